--- a/ferry/ferryforward/congestion.go
+++ b/ferry/ferryforward/congestion.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// congestionGap is the time without a refusal that ends a congestion.
+	// congestionGap is the time without a refusal after which congestion is considered over.
 	congestionGap = 700 * time.Millisecond
-	// leastRetryAfter is about how long one place takes to become free, and mostRetryAfter how long a lost engine takes to be replaced.
-	leastRetryAfter = 150 * time.Millisecond
-	mostRetryAfter  = 3 * time.Second
-	// retrySpread is the part by which the times of refused callers differ, so that they do not come back together.
-	retrySpread = 0.5
+	// minRetryAfter is about the time until a slot becomes free, and maxRetryAfter about the time to replace a
+	// lost engine.
+	minRetryAfter = 150 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
+	// retryJitter is the largest relative jitter added to Retry-After, so that refused callers do not retry together.
+	retryJitter = 0.5
 )
 
-// congestion tells for how long a service has been refusing requests for want of room.
+// congestion tracks how long a service has been refusing requests for lack of capacity.
 type congestion struct {
 	mu    sync.Mutex
 	since time.Time
 	last  time.Time
 }
 
-// refused notes a refusal.
-func (c *congestion) refused(now time.Time) {
+// recordRefusal records a refusal.
+func (c *congestion) recordRefusal(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.last) > congestionGap {
@@ -33,7 +34,8 @@
 	c.last = now
 }
 
-// retryAfter is when a refused caller has a good chance: what has lasted for a while will probably last as long again.
+// retryAfter returns the wait suggested to a refused caller. It grows with the age of the congestion, which is
+// expected to last about as long again.
 func (c *congestion) retryAfter(now time.Time) time.Duration {
 	c.mu.Lock()
 	lasted := c.last.Sub(c.since)
@@ -41,6 +43,6 @@
 		lasted = 0
 	}
 	c.mu.Unlock()
-	after := min(leastRetryAfter+lasted, mostRetryAfter)
-	return time.Duration(float64(after) * (1 + retrySpread*rand.Float64())).Round(time.Millisecond)
+	after := min(minRetryAfter+lasted, maxRetryAfter)
+	return time.Duration(float64(after) * (1 + retryJitter*rand.Float64())).Round(time.Millisecond)
 }
--- a/ferry/ferryforward/dialect.go
+++ b/ferry/ferryforward/dialect.go
@@ -10,64 +10,64 @@
 	"cactusferry.dev/ferry/ferrypath"
 )
 
-// Ask is what a request's headers say, decoded.
-type Ask struct {
+// RequestInfo holds the values decoded from a request's headers.
+type RequestInfo struct {
 	ID ferryid.RequestID
-	// Wait is how long the caller will wait; zero stands for no limit.
+	// Wait is the caller's timeout; zero means no limit.
 	Wait time.Duration
 	Key  ferryconfig.Key
-	// Prompt and Answer are the tokens of a generation: those to be read and those to be written at the most.
+	// Prompt is the number of prompt tokens of a generation, and Answer the maximum number of tokens to generate.
 	Prompt, Answer ferryid.Tokens
-	// AnswerHint is the caller's estimate of the tokens to be written, or zero.
+	// AnswerHint is the caller's estimate of the number of generated tokens, or zero.
 	AnswerHint ferryid.Tokens
-	// After is the id of the last event that the caller has of an earlier answer, or empty.
+	// After is the id of the last event that the caller received of an earlier answer, or empty.
 	After string
 }
 
-// Outgoing is what the router itself tells an upstream.
-type Outgoing struct {
-	// Instance is the upstream that the request is meant for; any other must not run it.
+// OutgoingInfo holds the values that the router adds to a forwarded request.
+type OutgoingInfo struct {
+	// Instance is the name of the upstream that the request is sent to; any other instance must not run it.
 	Instance string
 	Wait     time.Duration
 	Customer ferryid.CustomerName
-	// Path is set for a generation that several engines run.
+	// Path is set for a generation that runs over several engines.
 	Path *ferrypath.Path
-	// After continues a stream after an event, or is empty.
+	// After is the id of the event after which a stream resumes, or empty.
 	After string
 }
 
-// Verdict is what an upstream's answer says beside its status.
-type Verdict struct {
-	// NotRun is the upstream's own word that it did not run the request.
+// AnswerInfo holds the values decoded from the headers of an upstream's answer.
+type AnswerInfo struct {
+	// NotRun is set when the upstream states that it did not run the request.
 	NotRun bool
-	// Elsewhere says that another upstream answers at the address now.
+	// Elsewhere is set when a different instance now answers at the address.
 	Elsewhere bool
-	// Misplaced says that an engine of the path does not hold the layers asked of it; nothing was run.
+	// Misplaced is set when an engine of the path does not hold the requested layers; nothing was run.
 	Misplaced bool
-	// Signed says that the answer bears the mark of an upstream, without which a success is not its own.
+	// Signed is set when the answer carries an upstream's signature; a success without one is not trusted.
 	Signed bool
-	// Culprit is the address of the engine on the path that failed, or empty.
-	Culprit string
-	Load    *ferrybalance.Load
+	// FailedEngine is the address of the engine on the path that failed or refused, or empty.
+	FailedEngine string
+	Load         *ferrybalance.Load
 }
 
-// Refused reports whether the request was certainly not run.
-func (v Verdict) Refused() bool {
+// CertainlyNotRun reports whether the request was certainly not run.
+func (v AnswerInfo) CertainlyNotRun() bool {
 	return v.NotRun || v.Elsewhere || v.Misplaced
 }
 
-// Dialect reads and writes the headers that callers, router and upstreams have agreed on.
+// Dialect decodes and encodes the headers shared by callers, the router and upstreams.
 type Dialect interface {
-	// Ask decodes a request's headers.
-	Ask(h http.Header) (Ask, error)
-	// Send sets what goes to the upstream beside the caller's own headers, and takes away what does not.
-	Send(h http.Header, o Outgoing)
-	// Judge reads an upstream's answer.
-	Judge(status int, h http.Header) Verdict
-	// Deliver takes away the headers of an upstream's answer that do not concern the caller.
-	Deliver(h http.Header)
-	// Refuse sets what a caller is told beside a problem's status; a wait of zero stands for none.
-	Refuse(h http.Header, id ferryid.RequestID, wait time.Duration)
-	// Echo is the header that an answer repeats from its request.
+	// DecodeRequest decodes the headers of a caller's request.
+	DecodeRequest(h http.Header) (RequestInfo, error)
+	// EncodeOutgoing adds the router's headers for the upstream and removes those that must not be forwarded.
+	EncodeOutgoing(h http.Header, o OutgoingInfo)
+	// DecodeAnswer decodes the status and headers of an upstream's answer.
+	DecodeAnswer(status int, h http.Header) AnswerInfo
+	// StripInternal removes the headers of an upstream's answer that are not for the caller.
+	StripInternal(h http.Header)
+	// EncodeRefusal adds the headers of a problem answer; a wait of zero adds no Retry-After.
+	EncodeRefusal(h http.Header, id ferryid.RequestID, wait time.Duration)
+	// Echo returns the name of the header that an answer copies from its request.
 	Echo() string
 }
--- a/ferry/ferryforward/doc.go
+++ b/ferry/ferryforward/doc.go
@@ -1,2 +1,3 @@
-// Package ferryforward takes callers' requests to the upstreams of their routes: it admits or refuses, sends, sends again where that is allowed, and passes on whole answers and whole events only.
+// Package ferryforward admits callers' requests, forwards them to the upstreams of their routes and retries them
+// where the route permits. Callers receive complete answers and complete events only.
 package ferryforward
--- a/ferry/ferryforward/event.go
+++ b/ferry/ferryforward/event.go
@@ -10,7 +10,7 @@
 	idField  = []byte("id:")
 )
 
-// splitEvents cuts a buffer after its last whole event.
+// splitEvents splits a buffer after its last complete event.
 func splitEvents(b []byte) (whole, rest []byte) {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
@@ -19,7 +19,7 @@
 	return b[:i+len(eventEnd)], b[i+len(eventEnd):]
 }
 
-// nextEvent cuts the first event off a series of whole ones.
+// nextEvent returns the first of a series of complete events and the remaining ones.
 func nextEvent(b []byte) (event, rest []byte) {
 	i := bytes.Index(b, eventEnd)
 	if i < 0 {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// position remembers the last event that was passed on.
+// position is the last event that was forwarded to the caller.
 type position struct {
 	id     string
 	number int64
@@ -58,7 +58,8 @@
 	return p
 }
 
-// advance takes the id of the next event and reports whether the event is new; ids that are no numbers are always taken as new.
+// advance moves to the id of the next event and reports whether the event is new; non-numeric ids always count
+// as new.
 func (p *position) advance(id []byte) bool {
 	if id == nil {
 		return true
--- a/ferry/ferryforward/forwarder.go
+++ b/ferry/ferryforward/forwarder.go
@@ -18,71 +18,74 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// Config is what a Forwarder needs; all but MaxAge, OthersServe and Started must be set.
+// Config configures a Forwarder; all fields but MaxAge, OthersServe and Started are required.
 type Config struct {
 	Clock clockwork.Clock
-	// Steady is a clock that also counts the time for which the instance is suspended.
+	// Steady is a clock that also advances while the instance is suspended.
 	Steady   clockwork.Clock
 	Holder   *ferryconfig.Holder
 	Services *Services
 	Dialect  Dialect
 	Client   *ferryexchange.Client
-	// Started is closed once the entry knows all that it needs to serve; requests that come before wait a little. It may be nil.
+	// Started is closed once the entry is ready to serve; earlier requests wait up to startWait. It may be nil.
 	Started <-chan struct{}
-	// OthersServe reports whether some other entry could serve what this one cannot for want of the platform.
+	// OthersServe reports whether another entry could serve a request that this one refuses because the platform
+	// is unreachable.
 	OthersServe func() bool
-	// Rerouter moves runs around engines that are gone.
+	// Rerouter moves runs off unreachable engines.
 	Rerouter Rerouter
 	Log      zerolog.Logger
 	Scope    tally.Scope
-	// MaxAge is how long ago the configuration must have been proved current for a request with a key; zero stands for no limit.
+	// MaxAge is the maximum age of the proof that the configuration is current, for requests with a key; zero
+	// means no limit.
 	MaxAge time.Duration
 }
 
-// Forwarder takes requests to upstreams.
+// Forwarder forwards requests to upstreams.
 type Forwarder struct {
 	cfg Config
-	// log takes what goes wrong with requests, and answers the lines of those that went well; each is bounded by itself.
-	log, answers zerolog.Logger
-	metrics      metrics
-	prober       *prober
-	maxAge       atomic.Int64
+	// log is for failed and late requests, successLog for the others; each has its own rate limit.
+	log, successLog zerolog.Logger
+	metrics         metrics
+	prober          *prober
+	maxAge          atomic.Int64
 }
 
-// New returns a forwarder.
+// New returns a Forwarder.
 func New(cfg Config) *Forwarder {
 	f := &Forwarder{
-		cfg: cfg, log: bounded(cfg, troubleLines), answers: bounded(cfg, answerLines),
+		cfg: cfg, log: rateLimited(cfg, problemLinesPerSecond), successLog: rateLimited(cfg, successLinesPerSecond),
 		metrics: metrics{cfg.Scope}, prober: newProber(cfg.Client, cfg.Clock),
 	}
 	f.SetMaxAge(cfg.MaxAge)
 	return f
 }
 
-// The most lines in a second on requests that went well, and on all else; a line costs about ten microseconds.
+// Limits on log lines per second, for successful requests and for everything else. A line costs about 10 µs.
 const (
-	answerLines  = 60
-	troubleLines = 150
+	successLinesPerSecond = 60
+	problemLinesPerSecond = 150
 )
 
-func bounded(cfg Config, perSecond int) zerolog.Logger {
+func rateLimited(cfg Config, perSecond int) zerolog.Logger {
 	return ferrylog.New(ferrylog.Config{Log: cfg.Log, Clock: cfg.Clock, PerSecond: perSecond, Scope: cfg.Scope})
 }
 
-// SetMaxAge says how long ago the configuration must have been proved current for a request with a key; zero stands for no limit.
+// SetMaxAge sets the maximum age of the proof that the configuration is current, for requests with a key; zero
+// means no limit.
 func (f *Forwarder) SetMaxAge(d time.Duration) {
 	f.maxAge.Store(int64(d))
 }
 
-// Handle answers one call.
+// Handle serves one call.
 func (f *Forwarder) Handle(ctx context.Context, c *ferryingress.Call) {
 	f.awaitStart(ctx)
 	r, p := f.admit(c)
 	if p != nil {
-		f.problem(r, p)
+		f.answerProblem(r, p)
 		return
 	}
-	ctx, cancel := r.timed(ctx)
+	ctx, cancel := r.withDeadline(ctx)
 	defer cancel()
 	r.service.budget.Request()
 	if r.route.Streaming || r.service.chooser != nil {
@@ -92,10 +95,11 @@
 	f.plain(ctx, r)
 }
 
-// startWait is how long a request waits for an entry that starts, which reads what it needs in about 150 ms where the platform answers.
+// startWait is how long a request waits for the entry to start. Loading takes about 150 ms when the platform
+// answers.
 const startWait = 400 * time.Millisecond
 
-// awaitStart keeps a request that came while the entry was starting for a little while: it will be served sooner than by coming back.
+// awaitStart holds a request that arrives during startup, since a short wait is faster for the caller than a retry.
 func (f *Forwarder) awaitStart(ctx context.Context) {
 	if f.cfg.Started == nil {
 		return
@@ -112,17 +116,17 @@
 	}
 }
 
-// admit finds the route and the customer of a call, or the problem that stands in its way.
+// admit resolves the route, customer and service of a call, or returns the problem to answer with.
 func (f *Forwarder) admit(c *ferryingress.Call) (*request, *ferryoutcome.Problem) {
 	r := &request{call: c, proofAge: noProof}
-	ask, err := f.cfg.Dialect.Ask(c.Header)
-	r.Ask = ask
+	info, err := f.cfg.Dialect.DecodeRequest(c.Header)
+	r.RequestInfo = info
 	if err != nil {
 		return r, ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "%s", err)
 	}
 	s := f.cfg.Holder.Current()
 	if s == nil {
-		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").After(afterRestart)
+		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").After(retryAfterRestart)
 	}
 	r.version = s.Version
 	if age, proved := f.cfg.Holder.Age(f.cfg.Steady.Now()); proved {
@@ -135,7 +139,7 @@
 		return r, p
 	}
 	now := f.cfg.Clock.Now()
-	r.deadline = now.Add(maxWait)
+	r.deadline = now.Add(maxTimeout)
 	for _, wait := range []time.Duration{r.Wait, r.route.Timeout} {
 		if at := c.At.Add(wait); wait > 0 && at.Before(r.deadline) {
 			r.deadline = at
@@ -143,26 +147,27 @@
 	}
 	r.service = f.cfg.Services.get(r.route.Target(xxhash.Sum64String(string(r.ID))))
 	if r.service == nil {
-		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "The route's service is not known here yet.").After(afterRestart)
+		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "The route's service is not known here yet.").After(retryAfterRestart)
 	}
 	r.header = ferryexchange.PassOn(c.Header)
 	return r, nil
 }
 
-// maxWait bounds a request for which nobody states a limit.
-const maxWait = 10 * time.Minute
+// maxTimeout is the timeout of a request for which neither caller nor route sets a shorter one.
+const maxTimeout = 10 * time.Minute
 
-// authenticate finds the customer; a key can only be trusted while the configuration is known to be current.
+// authenticate resolves the customer. A key is accepted only while the configuration is proved to be current, since
+// it may have been revoked.
 func (f *Forwarder) authenticate(r *request, s *ferryconfig.Snapshot) *ferryoutcome.Problem {
 	if !s.Keyed() || r.route.Public {
 		return nil
 	}
-	if most := time.Duration(f.maxAge.Load()); most > 0 && (r.proofAge == noProof || r.proofAge >= most) {
-		p := ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The keys were last known to be valid %s ago, the limit is %s.", r.proofAge.Round(time.Millisecond), most)
+	if limit := time.Duration(f.maxAge.Load()); limit > 0 && (r.proofAge == noProof || r.proofAge >= limit) {
+		p := ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The keys were last known to be valid %s ago, the limit is %s.", r.proofAge.Round(time.Millisecond), limit)
 		if f.cfg.OthersServe != nil && f.cfg.OthersServe() {
-			return p.After(afterStale)
+			return p.After(retryAfterStale)
 		}
-		return p.After(afterOutage)
+		return p.After(retryAfterOutage)
 	}
 	customer := s.Customer(r.Key)
 	if customer == nil {
@@ -172,7 +177,7 @@
 	return nil
 }
 
-// avoidName adds an upstream to those that the request has failed at.
-func (r *request) avoidName(name string) {
+// avoidUpstream excludes an upstream that failed the request from further attempts.
+func (r *request) avoidUpstream(name string) {
 	r.avoid = append(r.avoid, ferryid.UpstreamName(name))
 }
--- a/ferry/ferryforward/forwarder_test.go
+++ b/ferry/ferryforward/forwarder_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWhoIsLetIn(t *testing.T) {
+func TestAdmission(t *testing.T) {
 	for _, tt := range []struct {
 		name, target string
 		header       []string
@@ -19,20 +19,20 @@
 		want         int
 		retry        bool
 	}{
-		{"a known key", "/safe/x", []string{"Key: good"}, 0, 200, false},
-		{"an unknown key", "/safe/x", []string{"Key: bad"}, 0, 401, false},
+		{"known key", "/safe/x", []string{"Key: good"}, 0, 200, false},
+		{"unknown key", "/safe/x", []string{"Key: bad"}, 0, 401, false},
 		{"no key", "/safe/x", []string{"A: b"}, 0, 401, false},
-		{"no key on a public route", "/open/x", []string{"A: b"}, 0, 200, false},
+		{"public route without key", "/open/x", []string{"A: b"}, 0, 200, false},
 		{"no route", "/other/x", []string{"Key: good"}, 0, 404, false},
-		{"a bad header", "/safe/x", []string{"Key: good", "Wait-Ms: soon"}, 0, 400, false},
-		{"a key just before its proof is too old", "/safe/x", []string{"Key: good"}, maxAge - 5*time.Millisecond, 200, false},
-		{"a key that was proved too long ago", "/safe/x", []string{"Key: good"}, maxAge, 503, true},
-		{"an unknown key then", "/safe/x", []string{"Key: new"}, maxAge, 503, true},
-		{"a public route then", "/open/x", []string{"A: b"}, maxAge, 200, false},
+		{"invalid header", "/safe/x", []string{"Key: good", "Wait-Ms: soon"}, 0, 400, false},
+		{"configuration proof just below MaxAge", "/safe/x", []string{"Key: good"}, maxAge - 5*time.Millisecond, 200, false},
+		{"configuration proof at MaxAge", "/safe/x", []string{"Key: good"}, maxAge, 503, true},
+		{"unknown key at MaxAge", "/safe/x", []string{"Key: new"}, maxAge, 503, true},
+		{"public route at MaxAge", "/open/x", []string{"A: b"}, maxAge, 200, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, "u")
+				b := newHarness(t, "u")
 				time.Sleep(tt.later)
 				a := b.call("GET", tt.target, "1", tt.header...)
 				assert.Equal(t, a.status, tt.want)
@@ -46,14 +46,14 @@
 	}
 }
 
-func TestAnAnswerIsPassedOnAsItIs(t *testing.T) {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, "u")
-		b.servers["u"].set(func(c net.Conn, r *http.Request) bool {
+		b := newHarness(t, "u")
+		b.upstreams["u"].setHandler(func(c net.Conn, r *http.Request) bool {
 			assert.Check(t, r.Header.Get("Customer") == "smolyan")
 			assert.Check(t, r.Header.Get("Key") == "" && r.Header.Get("Instance") == "u")
 			assert.Check(t, r.RequestURI == "/once/a%2F?q=%20")
-			say(c, "HTTP/1.1 418 Teapot\r\nRequest-Id: 1\r\nSigned: yes\r\nX-A: b\r\nInternal: x\r\nContent-Length: 2\r\n\r\nno")
+			writef(c, "HTTP/1.1 418 Teapot\r\nRequest-Id: 1\r\nSigned: yes\r\nX-A: b\r\nInternal: x\r\nContent-Length: 2\r\n\r\nno")
 			return true
 		})
 		a := b.call("POST", "/once/a%2F?q=%20", "1")
@@ -63,61 +63,61 @@
 	})
 }
 
-// TestWhatAnUpstreamMayDo runs one request against upstreams that all behave alike.
-func TestWhatAnUpstreamMayDo(t *testing.T) {
+// TestUpstreamFailures sends one request to upstreams that all fail in the same way.
+func TestUpstreamFailures(t *testing.T) {
 	unsigned := func(c net.Conn, r *http.Request) bool {
-		say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 2\r\n\r\nno", r.Header.Get("Request-Id"))
+		writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 2\r\n\r\nno", r.Header.Get("Request-Id"))
 		return true
 	}
 	encoded := func(c net.Conn, r *http.Request) bool {
-		say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Encoding: br\r\nContent-Length: 2\r\n\r\nno", r.Header.Get("Request-Id"))
+		writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Encoding: br\r\nContent-Length: 2\r\n\r\nno", r.Header.Get("Request-Id"))
 		return true
 	}
 	short := func(c net.Conn, r *http.Request) bool {
-		say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nno", r.Header.Get("Request-Id"))
+		writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nno", r.Header.Get("Request-Id"))
 		return false
 	}
 	failing := func(c net.Conn, r *http.Request) bool {
-		say(c, "HTTP/1.1 500 Bad\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad", r.Header.Get("Request-Id"))
+		writef(c, "HTTP/1.1 500 Bad\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad", r.Header.Get("Request-Id"))
 		return true
 	}
 	for _, tt := range []struct {
 		name, target string
-		do           behaviour
+		do           handler
 		status       int
 		outcome      string
 		runs         int
 	}{
-		{"breaks off, repeatable", "/safe/x", breakOff, 502, "Unknown", 2},
-		{"breaks off, not repeatable", "/once/x", breakOff, 502, "Unknown", 1},
+		{"closes unanswered, repeatable", "/safe/x", closeUnanswered, 502, "Unknown", 2},
+		{"closes unanswered, not repeatable", "/once/x", closeUnanswered, 502, "Unknown", 1},
 		{"unsigned, repeatable", "/safe/x", unsigned, 502, "Unknown", 2},
 		{"unsigned, not repeatable", "/once/x", unsigned, 502, "Unknown", 1},
-		{"encoded", "/once/x", encoded, 502, "Unknown", 1},
-		{"short", "/once/x", short, 502, "Unknown", 1},
-		{"fails, repeatable", "/safe/x", failing, 500, "", 2},
-		{"fails, not repeatable", "/once/x", failing, 500, "", 1},
-		{"refuses, repeatable", "/safe/x", refuse, 503, "NotRun", 0},
-		{"refuses, not repeatable", "/once/x", refuse, 503, "NotRun", 0},
-		{"never answers", "/once/x", silent, 504, "Unknown", 1},
+		{"content encoding", "/once/x", encoded, 502, "Unknown", 1},
+		{"truncated body", "/once/x", short, 502, "Unknown", 1},
+		{"status 500, repeatable", "/safe/x", failing, 500, "", 2},
+		{"status 500, not repeatable", "/once/x", failing, 500, "", 1},
+		{"answers not run, repeatable", "/safe/x", answerNotRun, 503, "NotRun", 0},
+		{"answers not run, not repeatable", "/once/x", answerNotRun, 503, "NotRun", 0},
+		{"does not answer", "/once/x", neverAnswer, 504, "Unknown", 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, "u", "v", "w")
+				b := newHarness(t, "u", "v", "w")
 				for _, name := range []string{"u", "v", "w"} {
-					s := b.servers[name]
+					s := b.upstreams[name]
 					do := tt.do
 					if tt.outcome != "NotRun" {
-						do = running(s, do)
+						do = countRuns(s, do)
 					}
-					s.set(do)
+					s.setHandler(do)
 				}
 				a := b.call("POST", tt.target, "1")
 				assert.NilError(t, a.err)
 				assert.Equal(t, a.status, tt.status)
 				assert.Equal(t, a.header.Get("Outcome"), tt.outcome)
 				runs := 0
-				for _, s := range b.servers {
-					runs += s.count()
+				for _, s := range b.upstreams {
+					runs += s.runCount()
 				}
 				assert.Equal(t, runs, tt.runs)
 				if tt.status == 504 {
@@ -128,18 +128,18 @@
 	}
 }
 
-func TestOneGoodUpstreamIsEnough(t *testing.T) {
+func TestFailoverToAnotherUpstream(t *testing.T) {
 	for _, tt := range []struct {
 		name, target string
-		do           behaviour
+		do           handler
 	}{
-		{"the others refuse", "/once/x", refuse},
-		{"another breaks off", "/safe/x", breakOff},
+		{"first upstream answers not run", "/once/x", answerNotRun},
+		{"first upstream closes unanswered", "/safe/x", closeUnanswered},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, "u", "v")
-				b.servers["u"].set(tt.do)
+				b := newHarness(t, "u", "v")
+				b.upstreams["u"].setHandler(tt.do)
 				for i := range 10 {
 					id := string(rune('a' + i))
 					a := b.call("POST", tt.target, id)
@@ -150,10 +150,10 @@
 	}
 }
 
-func TestALostUpstreamIsNotRun(t *testing.T) {
+func TestUnreachableUpstreamAnswersNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, "u")
-		b.servers["u"].l.Close()
+		b := newHarness(t, "u")
+		b.upstreams["u"].l.Close()
 		a := b.call("POST", "/once/x", "1")
 		assert.Equal(t, a.status, 503)
 		assert.Equal(t, a.header.Get("Outcome"), "NotRun")
@@ -161,18 +161,18 @@
 	})
 }
 
-func TestLongAnswersArePassedOnAsTheyCome(t *testing.T) {
+func TestLongAnswersAreStreamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, "u")
-		text := strings.Repeat("x", 3*wholeBytes)
+		b := newHarness(t, "u")
+		text := strings.Repeat("x", 3*maxBufferedBytes)
 		cut := false
-		b.servers["u"].set(func(c net.Conn, r *http.Request) bool {
-			say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Request-Id"), len(text))
+		b.upstreams["u"].setHandler(func(c net.Conn, r *http.Request) bool {
+			writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Request-Id"), len(text))
 			if cut {
-				say(c, "%s", text[1:])
+				writef(c, "%s", text[1:])
 				return false
 			}
-			say(c, "%s", text)
+			writef(c, "%s", text)
 			return true
 		})
 		a := b.call("GET", "/safe/x", "1")
@@ -180,19 +180,19 @@
 		assert.Assert(t, a.body == text)
 		cut = true
 		a = b.call("GET", "/safe/x", "2")
-		assert.Assert(t, a.err != nil, "an answer that lacks a byte must not look whole")
+		assert.Assert(t, a.err != nil, "an answer that lacks its last byte was delivered as complete")
 	})
 }
 
-func TestTheUpstreamHearsThatTheCallerLeft(t *testing.T) {
+func TestCallerDisconnectReachesUpstream(t *testing.T) {
 	for _, target := range []string{"/once/x", "/events/x", "/gen/x"} {
 		t.Run(target, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, "u")
+				b := newHarness(t, "u")
 				began := time.Now()
 				ended := make(chan time.Duration, 1)
-				for _, s := range b.servers {
-					s.set(func(c net.Conn, _ *http.Request) bool {
+				for _, s := range b.upstreams {
+					s.setHandler(func(c net.Conn, _ *http.Request) bool {
 						_, _ = c.Read(make([]byte, 1))
 						ended <- time.Since(began)
 						return false
@@ -205,7 +205,7 @@
 				took := <-ended
 				assert.Assert(t, took < 120*time.Millisecond, "%s", took)
 				time.Sleep(5 * time.Second)
-				assert.Equal(t, len(ended), 0, "nothing is sent for a caller that left")
+				assert.Equal(t, len(ended), 0, "request retried after its caller disconnected")
 			})
 		})
 	}
--- a/ferry/ferryforward/bed_test.go
+++ b/ferry/ferryforward/harness_test.go
@@ -29,29 +29,29 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// plainDialect has one header for each thing that is said.
-type plainDialect struct{}
+// testDialect is a Dialect with one header per value.
+type testDialect struct{}
 
-func (plainDialect) Ask(h http.Header) (Ask, error) {
+func (testDialect) DecodeRequest(h http.Header) (RequestInfo, error) {
 	ms, err := strconv.Atoi("0" + h.Get("Wait-Ms"))
-	return Ask{
+	return RequestInfo{
 		ID: ferryid.RequestID(h.Get("Request-Id")), Key: ferryconfig.Key(h.Get("Key")), After: h.Get("Last-Event-Id"),
 		Wait: time.Duration(ms) * time.Millisecond, Prompt: 100, Answer: 20,
 	}, err
 }
 
-func (plainDialect) Send(h http.Header, o Outgoing) {
+func (testDialect) EncodeOutgoing(h http.Header, o OutgoingInfo) {
 	delete(h, "Key")
 	h.Set("Instance", o.Instance)
 	h.Set("Wait-Ms", strconv.FormatInt(o.Wait.Milliseconds(), 10))
 	h.Set("Customer", string(o.Customer))
 	h.Set("Last-Event-Id", o.After)
 	if o.Path != nil {
-		h.Set("Path", pathText(o.Path))
+		h.Set("Path", pathNames(o.Path))
 	}
 }
 
-func pathText(p *ferrypath.Path) string {
+func pathNames(p *ferrypath.Path) string {
 	var parts []string
 	for _, hop := range p.Hops() {
 		parts = append(parts, hop.Upstream.Name)
@@ -59,56 +59,56 @@
 	return strings.Join(parts, " ")
 }
 
-func (plainDialect) Judge(_ int, h http.Header) Verdict {
-	return Verdict{NotRun: h.Get("Not-Run") != "", Elsewhere: h.Get("Elsewhere") != "", Signed: h.Get("Signed") != "", Culprit: h.Get("Culprit")}
+func (testDialect) DecodeAnswer(_ int, h http.Header) AnswerInfo {
+	return AnswerInfo{NotRun: h.Get("Not-Run") != "", Elsewhere: h.Get("Elsewhere") != "", Signed: h.Get("Signed") != "", FailedEngine: h.Get("Culprit")}
 }
 
-func (plainDialect) Deliver(h http.Header) { delete(h, "Internal") }
+func (testDialect) StripInternal(h http.Header) { delete(h, "Internal") }
 
-func (plainDialect) Refuse(h http.Header, id ferryid.RequestID, wait time.Duration) {
+func (testDialect) EncodeRefusal(h http.Header, id ferryid.RequestID, wait time.Duration) {
 	h.Set("Request-Id", string(id))
 	if wait > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', -1, 64))
 	}
 }
 
-func (plainDialect) Echo() string { return "Request-Id" }
+func (testDialect) Echo() string { return "Request-Id" }
 
-// behaviour answers one request on a connection that is closed afterwards unless it returns true.
-type behaviour func(c net.Conn, r *http.Request) bool
+// handler answers one request on a connection and reports whether the connection stays open.
+type handler func(c net.Conn, r *http.Request) bool
 
-// server is one upstream of the bed.
-type server struct {
+// testUpstream is one upstream of a test.
+type testUpstream struct {
 	name    string
 	address string
 	l       net.Listener
 
-	mu   sync.Mutex
-	do   behaviour
-	runs []string
+	mu     sync.Mutex
+	handle handler
+	runs   []string
 }
 
-func (s *server) set(do behaviour) {
+func (s *testUpstream) setHandler(do handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.do = do
+	s.handle = do
 }
 
-// ran notes that a request was run.
-func (s *server) ran(r *http.Request) {
+// recordRun records that a request was run.
+func (s *testUpstream) recordRun(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, r.Header.Get("Request-Id"))
 }
 
-func (s *server) count() int {
+func (s *testUpstream) runCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
 }
 
-// countOf is how often a request was run.
-func (s *server) countOf(id string) int {
+// runCountOf returns how often a request was run.
+func (s *testUpstream) runCountOf(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -120,7 +120,7 @@
 	return n
 }
 
-func (s *server) serve() {
+func (s *testUpstream) serve() {
 	for {
 		c, err := s.l.Accept()
 		if err != nil {
@@ -138,7 +138,7 @@
 					return
 				}
 				s.mu.Lock()
-				do := s.do
+				do := s.handle
 				s.mu.Unlock()
 				if !do(c, r) {
 					return
@@ -148,33 +148,33 @@
 	}
 }
 
-// bed is a forwarder between callers and upstreams of a test.
-type bed struct {
-	t       *testing.T
-	holder  *ferryconfig.Holder
-	forward *Forwarder
-	client  *ferryexchange.Client
-	servers map[string]*server
-	dial    func() net.Conn
-	moved   *rerouter
-	clock   clockwork.Clock
+// harness is a Forwarder with its ingress and the upstreams of a test.
+type harness struct {
+	t         *testing.T
+	holder    *ferryconfig.Holder
+	forwarder *Forwarder
+	client    *ferryexchange.Client
+	upstreams map[string]*testUpstream
+	dial      func() net.Conn
+	rerouter  *fakeRerouter
+	clock     clockwork.Clock
 }
 
-// rerouter notes orders to move runs and carries them out by f.
-type rerouter struct {
-	mu    sync.Mutex
-	paths []string
-	f     func(p *ferrypath.Path) error
+// fakeRerouter records reroute orders and answers them with result.
+type fakeRerouter struct {
+	mu     sync.Mutex
+	paths  []string
+	result func(p *ferrypath.Path) error
 }
 
-func (r *rerouter) Reroute(_ context.Context, _ ferryid.RequestID, p *ferrypath.Path) error {
+func (r *fakeRerouter) Reroute(_ context.Context, _ ferryid.RequestID, p *ferrypath.Path) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.paths = append(r.paths, pathText(p))
-	if r.f == nil {
-		return errors.New("no")
+	r.paths = append(r.paths, pathNames(p))
+	if r.result == nil {
+		return errors.New("reroute order not expected")
 	}
-	return r.f(p)
+	return r.result(p)
 }
 
 const maxAge = 5 * time.Second
@@ -200,16 +200,16 @@
 	}
 }
 
-// layers are the engines of the bed's model: two hold the first layers, two each part of the rest.
-var layers = map[string]ferryid.LayerRange{
+// engineLayers maps the engines to the layers of the model that they hold; each layer is held by two engines.
+var engineLayers = map[string]ferryid.LayerRange{
 	"first-a": {From: 0, To: 2}, "first-b": {From: 0, To: 2}, "mid-a": {From: 2, To: 5}, "mid-b": {From: 2, To: 5}, "last-a": {From: 5, To: 8}, "last-b": {From: 5, To: 8},
 }
 
-// newBed must be called in a synctest bubble.
-func newBed(t *testing.T, plain ...string) *bed {
+// newHarness starts a harness with the named plain upstreams; it must be called in a synctest bubble.
+func newHarness(t *testing.T, plain ...string) *harness {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	b := &bed{t: t, holder: &ferryconfig.Holder{}, servers: map[string]*server{}, moved: &rerouter{}, clock: clock}
+	b := &harness{t: t, holder: &ferryconfig.Holder{}, upstreams: map[string]*testUpstream{}, rerouter: &fakeRerouter{}, clock: clock}
 	table := ferrydiscovery.NewTable(clock)
 	services := NewServices(ServicesConfig{Clock: clock, Domain: "d", RepeatWindow: 10 * time.Second, RepeatRatio: 0.2, RepeatAllowance: 100})
 	b.client = ferryexchange.New(ferryexchange.Config{Dial: ferrynettest.Dial})
@@ -221,25 +221,25 @@
 	b.holder.Prove(1, clock.Now())
 	var list []ferrydiscovery.Upstream
 	for _, name := range plain {
-		list = append(list, b.add(name, "plain", ferryid.LayerRange{}))
+		list = append(list, b.addUpstream(name, "plain", ferryid.LayerRange{}))
 	}
-	for name, held := range layers {
-		list = append(list, b.add(name, "llm", held))
+	for name, held := range engineLayers {
+		list = append(list, b.addUpstream(name, "llm", held))
 	}
 	table.Replace(list, 1)
 	services.SetEntries(map[ferryid.DomainName]int{"d": 1}, 0)
-	b.forward = New(Config{
-		Clock: clock, Steady: clock, Holder: b.holder, Services: services, Dialect: plainDialect{}, Client: b.client, Rerouter: b.moved,
+	b.forwarder = New(Config{
+		Clock: clock, Steady: clock, Holder: b.holder, Services: services, Dialect: testDialect{}, Client: b.client, Rerouter: b.rerouter,
 		Log: zerolog.Nop(), Scope: tally.NoopScope, MaxAge: maxAge,
 	})
 	b.listen()
 	return b
 }
 
-func (b *bed) add(name string, service ferryid.ServiceName, held ferryid.LayerRange) ferrydiscovery.Upstream {
-	s := &server{name: name, l: ferrynettest.Listen(), do: whole}
+func (b *harness) addUpstream(name string, service ferryid.ServiceName, held ferryid.LayerRange) ferrydiscovery.Upstream {
+	s := &testUpstream{name: name, l: ferrynettest.Listen(), handle: answerOK}
 	s.address = s.l.Addr().String()
-	b.servers[name] = s
+	b.upstreams[name] = s
 	b.t.Cleanup(func() { s.l.Close() })
 	go s.serve()
 	return ferrydiscovery.Upstream{Version: 1, Instance: ferryplatform.Instance{
@@ -247,10 +247,10 @@
 	}}
 }
 
-func (b *bed) listen() {
+func (b *harness) listen() {
 	l := ferrynettest.Listen()
 	ctx, cancel := context.WithCancel(b.t.Context())
-	s := ferryingress.NewServer(ferryingress.Config{Log: zerolog.Nop(), Handle: b.forward.Handle, Refused: b.forward.Refused})
+	s := ferryingress.NewServer(ferryingress.Config{Log: zerolog.Nop(), Handle: b.forwarder.Handle, Refused: b.forwarder.Refused})
 	go func() { _ = s.Serve(ctx, l) }()
 	b.dial = func() net.Conn {
 		c, err := ferrynettest.Dial(b.t.Context(), "tcp", l.Addr().String())
@@ -261,32 +261,32 @@
 		cancel()
 		l.Close()
 		s.Stop()
-		for _, up := range b.servers {
+		for _, up := range b.upstreams {
 			up.l.Close()
 		}
 		b.client.Close()
-		time.Sleep(time.Minute) // everything under way ends meanwhile
+		time.Sleep(time.Minute) // lets all goroutines of the bubble end
 	})
 }
 
-// answer is what a caller gets.
-type answer struct {
+// callerAnswer is the answer that a caller received.
+type callerAnswer struct {
 	status int
 	header http.Header
 	body   string
-	// err is set where the answer is not whole.
+	// err is set if the answer is incomplete.
 	err  error
 	took time.Duration
 }
 
-// call makes one request on a connection of its own.
-func (b *bed) call(method, target, id string, header ...string) answer {
+// call sends one request on a new connection.
+func (b *harness) call(method, target, id string, header ...string) callerAnswer {
 	c := b.dial()
 	defer c.Close()
 	return b.callOn(c, method, target, id, header...)
 }
 
-func (b *bed) callOn(c net.Conn, method, target, id string, header ...string) answer {
+func (b *harness) callOn(c net.Conn, method, target, id string, header ...string) callerAnswer {
 	began := time.Now()
 	body := ""
 	if method == http.MethodPost {
@@ -301,77 +301,77 @@
 	assert.NilError(b.t, err)
 	w, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return answer{err: err, took: time.Since(began)}
+		return callerAnswer{err: err, took: time.Since(began)}
 	}
 	text, err := io.ReadAll(w.Body)
-	return answer{status: w.StatusCode, header: w.Header, body: string(text), err: err, took: time.Since(began)}
+	return callerAnswer{status: w.StatusCode, header: w.Header, body: string(text), err: err, took: time.Since(began)}
 }
 
-func say(c net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(c, format, args...) }
+func writef(c net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(c, format, args...) }
 
-// whole answers with the request's id.
-func whole(c net.Conn, r *http.Request) bool {
+// answerOK answers 200 with the request's id in the body.
+func answerOK(c net.Conn, r *http.Request) bool {
 	body := "answer to " + r.Header.Get("Request-Id")
-	say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nInternal: x\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Request-Id"), len(body), body)
+	writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nInternal: x\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Request-Id"), len(body), body)
 	return true
 }
 
-// running makes a behaviour note its runs.
-func running(s *server, do behaviour) behaviour {
+// countRuns wraps a handler so that its runs are counted.
+func countRuns(s *testUpstream, do handler) handler {
 	return func(c net.Conn, r *http.Request) bool {
-		s.ran(r)
+		s.recordRun(r)
 		return do(c, r)
 	}
 }
 
-// refuse says that the request was not run.
-func refuse(c net.Conn, r *http.Request) bool {
-	say(c, "HTTP/1.1 503 Full\r\nRequest-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Request-Id"))
+// answerNotRun answers that the request was not run.
+func answerNotRun(c net.Conn, r *http.Request) bool {
+	writef(c, "HTTP/1.1 503 Full\r\nRequest-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Request-Id"))
 	return true
 }
 
-// breakOff closes without an answer.
-func breakOff(net.Conn, *http.Request) bool { return false }
+// closeUnanswered closes the connection without an answer.
+func closeUnanswered(net.Conn, *http.Request) bool { return false }
 
-// silent never answers.
-func silent(net.Conn, *http.Request) bool {
+// neverAnswer does not answer within any timeout of the tests.
+func neverAnswer(net.Conn, *http.Request) bool {
 	time.Sleep(30 * time.Second)
 	return false
 }
 
-// events streams events with ids from the one after the last that the caller has up to n, with a pause before each.
-func events(n int, pause time.Duration) behaviour {
+// streamEvents streams the events after Last-Event-Id up to n, with a pause before each.
+func streamEvents(n int, pause time.Duration) handler {
 	return func(c net.Conn, r *http.Request) bool {
-		return someEvents(c, r, n, n, pause)
+		return streamEventsUpTo(c, r, n, n, pause)
 	}
 }
 
-// someEvents streams like events, but breaks off in the middle of the event after the given one.
-func someEvents(c net.Conn, r *http.Request, upTo, n int, pause time.Duration) bool {
-	say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Request-Id"))
+// streamEventsUpTo streams like streamEvents, but closes the connection in the middle of the event after upTo.
+func streamEventsUpTo(c net.Conn, r *http.Request, upTo, n int, pause time.Duration) bool {
+	writef(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Request-Id"))
 	from, _ := strconv.Atoi("0" + r.Header.Get("Last-Event-Id"))
 	for i := from + 1; i <= upTo; i++ {
 		time.Sleep(pause)
-		chunk(c, event(r.Header.Get("Request-Id"), i))
+		writeChunk(c, eventText(r.Header.Get("Request-Id"), i))
 	}
 	if upTo < n {
-		half := event(r.Header.Get("Request-Id"), upTo+1)
-		chunk(c, half[:len(half)/2])
+		half := eventText(r.Header.Get("Request-Id"), upTo+1)
+		writeChunk(c, half[:len(half)/2])
 		return false
 	}
-	say(c, "0\r\n\r\n")
+	writef(c, "0\r\n\r\n")
 	return true
 }
 
-func event(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", i, id, i) }
+func eventText(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", i, id, i) }
 
-func chunk(c net.Conn, s string) { say(c, "%x\r\n%s\r\n", len(s), s) }
+func writeChunk(c net.Conn, s string) { writef(c, "%x\r\n%s\r\n", len(s), s) }
 
-// allEvents is the text of a whole stream.
-func allEvents(id string, n int) string {
+// completeStream returns the text of a complete stream of n events.
+func completeStream(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
-		b.WriteString(event(id, i))
+		b.WriteString(eventText(id, i))
 	}
 	return b.String()
 }
--- a/ferry/ferryforward/metrics.go
+++ b/ferry/ferryforward/metrics.go
@@ -10,17 +10,17 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// The bounds of the histograms of waits, in steps that double from 1 ms to about 65 s.
+// Latency histogram buckets double from 1 ms to about 65 s.
 const (
 	firstBucket = time.Millisecond
-	waitBuckets = 17
+	bucketCount = 17
 )
 
-// metrics counts requests by service and times their answers.
+// metrics reports request counts and latencies per service.
 type metrics struct{ scope tally.Scope }
 
-func waits() tally.DurationBuckets {
-	return tally.MustMakeExponentialDurationBuckets(firstBucket, 2, waitBuckets)
+func latencyBuckets() tally.DurationBuckets {
+	return tally.MustMakeExponentialDurationBuckets(firstBucket, 2, bucketCount)
 }
 
 func (m metrics) failed(p *ferryoutcome.Problem) {
@@ -30,17 +30,17 @@
 func (m metrics) answered(s ferryid.ServiceName, status int, took time.Duration) {
 	sc := m.scope.Tagged(map[string]string{"service": string(s)})
 	sc.Tagged(map[string]string{"status": strconv.Itoa(status / 100 * 100)}).Counter("requests_answered").Inc(1)
-	sc.Histogram("answer_seconds", waits()).RecordDuration(took)
+	sc.Histogram("answer_seconds", latencyBuckets()).RecordDuration(took)
 }
 
 func (m metrics) firstEvent(s ferryid.ServiceName, took time.Duration) {
-	m.scope.Tagged(map[string]string{"service": string(s)}).Histogram("first_event_seconds", waits()).RecordDuration(took)
+	m.scope.Tagged(map[string]string{"service": string(s)}).Histogram("first_event_seconds", latencyBuckets()).RecordDuration(took)
 }
 
-func (m metrics) heldBack(s ferryid.ServiceName) {
+func (m metrics) retryDenied(s ferryid.ServiceName) {
 	m.scope.Tagged(map[string]string{"service": string(s)}).Counter("requests_held_back").Inc(1)
 }
 
-func (m metrics) sentAgain(s ferryid.ServiceName, why string) {
+func (m metrics) retried(s ferryid.ServiceName, why string) {
 	m.scope.Tagged(map[string]string{"service": string(s), "why": why}).Counter("requests_sent_again").Inc(1)
 }
--- a/ferry/ferryforward/probe.go
+++ b/ferry/ferryforward/probe.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// aliveAge and deadAge are how long the result of a probe is used for other streams over the same engine.
-	aliveAge = 50 * time.Millisecond
-	deadAge  = 150 * time.Millisecond
-	// maxProbes bounds the results that are kept.
+	// aliveTTL and deadTTL are how long a probe result is reused by other streams over the same engine.
+	aliveTTL = 50 * time.Millisecond
+	deadTTL  = 150 * time.Millisecond
+	// maxProbes is the capacity of the result cache.
 	maxProbes = 1024
 )
 
-// probeTimes are how long an engine may take to accept a connection, once and once more since an opening packet may be lost:
-// links between domains take a millisecond.
-var probeTimes = []time.Duration{15 * time.Millisecond, 25 * time.Millisecond}
+// probeTimeouts are the connect timeouts of a probe. There are two attempts because a SYN may be lost; links between
+// failure domains take about 1 ms.
+var probeTimeouts = []time.Duration{15 * time.Millisecond, 25 * time.Millisecond}
 
 const (
-	// lateBy is how much later than its time a probe may end on a machine that keeps up; timers are late by less than a millisecond there.
-	lateBy = 5 * time.Millisecond
-	// slowProbeTime is what an engine gets while this machine does not keep up, so that the machine's own slowness is not taken for the engine's.
-	slowProbeTime = 200 * time.Millisecond
-	// slowFor is how long the machine counts as slow after a probe ended late.
-	slowFor = time.Second
+	// timerLateness is how late a probe's timeout may fire before this machine counts as overloaded. Timers are late
+	// by less than 1 ms otherwise.
+	timerLateness = 5 * time.Millisecond
+	// slowProbeTimeout is the connect timeout while this machine is overloaded, so that its own delays are not
+	// attributed to the engine.
+	slowProbeTimeout = 200 * time.Millisecond
+	// slowTTL is how long the machine counts as overloaded after a late timeout.
+	slowTTL = time.Second
 )
 
-// prober tells whether engines still answer; many streams that suspect the same one share a probe.
+// prober checks the liveness of engines by TCP connects. Streams that suspect the same engine share a probe.
 type prober struct {
 	client *ferryexchange.Client
 	clock  clockwork.Clock
 	mu     sync.Mutex
 	probes map[string]*probe
-	// slowUntil is how long this machine counts as slow.
+	// slowUntil is when this machine stops counting as overloaded.
 	slowUntil time.Time
 }
 
-// probe is one question to an address; done is closed when it is answered.
+// probe is one liveness check of an address; done is closed after alive has been set.
 type probe struct {
 	done  chan struct{}
 	at    time.Time
@@ -54,38 +56,38 @@
 	return &prober{client: c, clock: clock, probes: map[string]*probe{}}
 }
 
-// slow reports whether this machine has not kept up lately.
+// slow reports whether this machine has recently been overloaded.
 func (p *prober) slow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.clock.Now().Before(p.slowUntil)
 }
 
-// dead returns which of the hops at the given indices have engines that do not answer. If none of those answers, another engine of the
-// path is asked too: if that one does not answer either, the trouble is probably this entry's own, and it returns none.
-func (p *prober) dead(hops []ferrypath.Hop, at []int) []int {
-	probes := make([]*probe, len(at))
-	for k, i := range at {
-		probes[k] = p.ask(hops[i].Upstream.Address)
+// deadHops returns the given indices of hops whose engines do not answer. If none of them answers, one more engine of
+// the path is probed: if that fails too, the fault is probably this entry's own network and no hop is reported.
+func (p *prober) deadHops(hops []ferrypath.Hop, indices []int) []int {
+	probes := make([]*probe, len(indices))
+	for k, i := range indices {
+		probes[k] = p.probe(hops[i].Upstream.Address)
 	}
 	var dead []int
-	for k, i := range at {
+	for k, i := range indices {
 		<-probes[k].done
 		if !probes[k].alive {
 			dead = append(dead, i)
 		}
 	}
-	if len(dead) == len(at) && !p.otherAnswers(hops, at) {
+	if len(dead) == len(indices) && !p.otherReachable(hops, indices) {
 		return nil
 	}
 	return dead
 }
 
-// otherAnswers reports whether the first engine of the path that is not among the given ones answers.
-func (p *prober) otherAnswers(hops []ferrypath.Hop, but []int) bool {
+// otherReachable reports whether the first engine of the path outside the excluded hops answers.
+func (p *prober) otherReachable(hops []ferrypath.Hop, excluded []int) bool {
 	for i := range hops {
-		if !slices.Contains(but, i) {
-			pr := p.ask(hops[i].Upstream.Address)
+		if !slices.Contains(excluded, i) {
+			pr := p.probe(hops[i].Upstream.Address)
 			<-pr.done
 			return pr.alive
 		}
@@ -93,8 +95,8 @@
 	return false
 }
 
-// ask returns a recent probe of the address, or begins one.
-func (p *prober) ask(address string) *probe {
+// probe returns a recent probe of the address, or starts one.
+func (p *prober) probe(address string) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -108,38 +110,38 @@
 	p.probes[address] = pr
 	go func() {
 		defer close(pr.done)
-		pr.alive = p.answers(address)
+		pr.alive = p.reachable(address)
 	}()
 	return pr
 }
 
-// answers tries an address a few times, and once for longer if this machine turns out to be slow.
-func (p *prober) answers(address string) bool {
+// reachable connects with each of the usual timeouts, and with the longer one if this machine is overloaded.
+func (p *prober) reachable(address string) bool {
 	if !p.slow() {
-		for _, d := range probeTimes {
-			if p.try(address, d) {
+		for _, d := range probeTimeouts {
+			if p.connect(address, d) {
 				return true
 			}
 		}
 	}
-	return p.slow() && p.try(address, slowProbeTime)
+	return p.slow() && p.connect(address, slowProbeTimeout)
 }
 
-// try opens a connection and notes whether this machine was late to see that it did not come.
-func (p *prober) try(address string, most time.Duration) bool {
+// connect connects once and records whether the timeout fired late.
+func (p *prober) connect(address string, timeout time.Duration) bool {
 	began := p.clock.Now()
-	ctx, cancel := clockwork.WithTimeout(context.Background(), p.clock, most)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), p.clock, timeout)
 	defer cancel()
 	err := p.client.Probe(ctx, address)
-	if now := p.clock.Now(); now.Sub(began) > most+lateBy {
+	if now := p.clock.Now(); now.Sub(began) > timeout+timerLateness {
 		p.mu.Lock()
-		p.slowUntil = now.Add(slowFor)
+		p.slowUntil = now.Add(slowTTL)
 		p.mu.Unlock()
 	}
 	return err == nil
 }
 
-// recent reports whether the probe is under way or its result can still be used.
+// recent reports whether the probe is in progress or its result is fresh enough to be reused.
 func (pr *probe) recent(now time.Time) bool {
 	select {
 	case <-pr.done:
@@ -147,7 +149,7 @@
 		return true
 	}
 	if pr.alive {
-		return now.Sub(pr.at) < aliveAge
+		return now.Sub(pr.at) < aliveTTL
 	}
-	return now.Sub(pr.at) < deadAge
+	return now.Sub(pr.at) < deadTTL
 }
--- a/ferry/ferryforward/probe_test.go
+++ b/ferry/ferryforward/probe_test.go
@@ -18,23 +18,23 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// TestProbes tells engines that are gone from a machine that is too slow to notice that they answer.
-func TestProbes(t *testing.T) {
+// TestProbeResult checks that an engine is not reported dead because this machine is too slow to see its answer.
+func TestProbeResult(t *testing.T) {
 	const silent = time.Hour
 	for _, tc := range []struct {
 		name string
-		// answers are how long the engine takes to accept each connection in turn; the last holds for all later ones.
+		// answers are the engine's delays in accepting successive connections; the last one repeats.
 		answers []time.Duration
-		// lag is how much later than it should this machine sees anything.
+		// lag is the delay with which this machine handles a timeout.
 		lag         time.Duration
 		alive, slow bool
 	}{
-		{name: "answers at once", answers: []time.Duration{time.Millisecond}, alive: true},
-		{name: "one opening packet was lost", answers: []time.Duration{silent, time.Millisecond}, alive: true},
-		{name: "gone", answers: []time.Duration{silent}},
-		{name: "gone, on a slow machine", answers: []time.Duration{silent}, lag: 30 * time.Millisecond, slow: true},
-		{name: "answers, on a slow machine", answers: []time.Duration{silent, silent, 60 * time.Millisecond}, lag: 30 * time.Millisecond, alive: true, slow: true},
-		{name: "refuses", answers: []time.Duration{-1}},
+		{name: "engine answers at once", answers: []time.Duration{time.Millisecond}, alive: true},
+		{name: "one SYN lost", answers: []time.Duration{silent, time.Millisecond}, alive: true},
+		{name: "engine gone", answers: []time.Duration{silent}},
+		{name: "engine gone, overloaded machine", answers: []time.Duration{silent}, lag: 30 * time.Millisecond, slow: true},
+		{name: "engine answers, overloaded machine", answers: []time.Duration{silent, silent, 60 * time.Millisecond}, lag: 30 * time.Millisecond, alive: true, slow: true},
+		{name: "connection refused", answers: []time.Duration{-1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				}
 				clock := clockwork.NewRealClock()
 				p := newProber(ferryexchange.New(ferryexchange.Config{Clock: clock, Dial: dial}), clock)
-				pr := p.ask("10.0.0.1:1")
+				pr := p.probe("10.0.0.1:1")
 				<-pr.done
 				assert.Equal(t, pr.alive, tc.alive)
 				assert.Equal(t, p.slow(), tc.slow)
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestDeadEngines compares the engines of a path: where nothing answers, the fault is this entry's own.
+// TestDeadEngines checks that no engine is reported dead if no engine of the path answers: then this entry's own
+// network is at fault.
 func TestDeadEngines(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -73,12 +74,12 @@
 		asked []int
 		want  []int
 	}{
-		{"one of all", []string{"b"}, []int{0, 1, 2}, []int{1}},
-		{"the only one asked", []string{"a"}, []int{0}, []int{0}},
-		{"all that were asked, and no other", []string{"a", "b"}, []int{0, 1}, []int{0, 1}},
-		{"all that were asked, and another", []string{"a", "b", "c"}, []int{1}, nil},
-		{"all", []string{"a", "b", "c"}, []int{0, 1, 2}, nil},
-		{"none", nil, []int{0, 1, 2}, nil},
+		{"one of three dead", []string{"b"}, []int{0, 1, 2}, []int{1}},
+		{"the only suspect dead", []string{"a"}, []int{0}, []int{0}},
+		{"all suspects dead, other engine alive", []string{"a", "b"}, []int{0, 1}, []int{0, 1}},
+		{"all suspects and the other engine dead", []string{"a", "b", "c"}, []int{1}, nil},
+		{"all dead", []string{"a", "b", "c"}, []int{0, 1, 2}, nil},
+		{"none dead", nil, []int{0, 1, 2}, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -95,7 +96,7 @@
 				for _, name := range []string{"a", "b", "c"} {
 					hops = append(hops, ferrypath.Hop{Upstream: &ferrydiscovery.Upstream{Instance: ferryplatform.Instance{Name: name, Address: name}}})
 				}
-				assert.DeepEqual(t, p.dead(hops, tt.asked), tt.want)
+				assert.DeepEqual(t, p.deadHops(hops, tt.asked), tt.want)
 			})
 		})
 	}
--- a/ferry/ferryforward/refuse.go
+++ b/ferry/ferryforward/refuse.go
@@ -10,46 +10,47 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// errTimeUp ends the context of a request whose time is over.
-var errTimeUp = errors.New("the request's time is over")
+// errDeadline is the cancellation cause of a request that has reached its deadline.
+var errDeadline = errors.New("request deadline exceeded")
 
-// The times after which a refused caller may come back.
+// Retry-After values by the reason of the refusal.
 const (
-	// afterRestart is about how long an entry takes to learn the configuration.
-	afterRestart = 300 * time.Millisecond
-	// afterNobody is about how long a lost upstream takes to be replaced or found again.
-	afterNobody = time.Second
-	// afterStale sends a caller on to another entry, which reaches the platform.
-	afterStale = 50 * time.Millisecond
-	// afterOutage is about how long a platform takes that no entry reaches.
-	afterOutage = 1500 * time.Millisecond
+	// retryAfterRestart is about the time an entry takes to load the configuration.
+	retryAfterRestart = 300 * time.Millisecond
+	// retryAfterNoUpstream is about the time until a lost upstream is replaced or usable again.
+	retryAfterNoUpstream = time.Second
+	// retryAfterStale is short, because another entry still reaches the platform.
+	retryAfterStale = 50 * time.Millisecond
+	// retryAfterOutage is about the duration of a platform outage that affects all entries.
+	retryAfterOutage = 1500 * time.Millisecond
 )
 
-// mayRepeat takes one repetition from the budget of the request's service, if there is one.
-func (f *Forwarder) mayRepeat(r *request) bool {
+// takeRetry takes one retry from the retry budget of the service and reports whether one was left.
+func (f *Forwarder) takeRetry(r *request) bool {
 	if r.service.budget.Repeat() {
 		return true
 	}
-	f.metrics.heldBack(r.service.name)
-	f.log.Info().Str("Request", string(r.ID)).Int("Arrived", r.arrived).Int("Ran", r.ran).Msg("not sent again: the budget is used up")
+	f.metrics.retryDenied(r.service.name)
+	f.log.Info().Str("Request", string(r.ID)).Int("Arrived", r.arrived).Int("Ran", r.ran).Msg("request not retried: retry budget exhausted")
 	return false
 }
 
-// noRoom is the problem of a request for which the upstreams have no room; the longer that lasts, the later the caller should come back.
-func (f *Forwarder) noRoom(r *request, err error) *ferryoutcome.Problem {
+// overloadProblem returns the problem of a request refused for lack of capacity; Retry-After grows with the
+// duration of the congestion.
+func (f *Forwarder) overloadProblem(r *request, err error) *ferryoutcome.Problem {
 	after := r.service.congestion.retryAfter(f.cfg.Clock.Now())
 	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "The upstreams have no room.").After(after).Because(err)
 }
 
-// problem answers a call with a problem, if it has no answer yet, and logs why.
-func (f *Forwarder) problem(r *request, p *ferryoutcome.Problem) {
+// answerProblem logs a problem and sends it to the caller, unless the call has been answered already.
+func (f *Forwarder) answerProblem(r *request, p *ferryoutcome.Problem) {
 	c := r.call
 	f.metrics.failed(p)
 	ev := f.log.Warn()
 	if p.Status == http.StatusNotFound || p.Status == http.StatusUnauthorized || p.Status == http.StatusBadRequest {
 		ev = f.log.Info()
 	}
-	r.describe(ev).Str("Target", c.Target).Int("Sends", r.arrived+r.unsent).Int("Ran", r.ran).Dur("Held", f.cfg.Clock.Since(c.At)).Str("Kind", string(p.Kind)).Int("Status", p.Status).
+	r.addLogFields(ev).Str("Target", c.Target).Int("Sends", r.arrived+r.unsent).Int("Ran", r.ran).Dur("Held", f.cfg.Clock.Since(c.At)).Str("Kind", string(p.Kind)).Int("Status", p.Status).
 		Str("Outcome", string(p.Outcome)).Dur("RetryAfter", p.RetryAfter).AnErr("Cause", p.Cause).Msg(p.Detail)
 	if c.Answered() {
 		return
@@ -57,22 +58,22 @@
 	p.RequestID = string(r.ID)
 	body, err := json.Marshal(p)
 	if err != nil {
-		f.log.Error().Err(err).Msg("encode problem")
+		f.log.Error().Err(err).Msg("encode problem answer")
 	}
 	h := http.Header{"Content-Type": {ferryoutcome.ContentType}, ferryoutcome.Header: {string(p.Outcome)}}
-	f.cfg.Dialect.Refuse(h, r.ID, p.RetryAfter)
+	f.cfg.Dialect.EncodeRefusal(h, r.ID, p.RetryAfter)
 	if err := c.Answer(p.Status, h, append(body, '\n')); err != nil {
-		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("answer not delivered")
+		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write problem answer to the caller")
 	}
 }
 
-// Refused answers a request that could not be read.
+// Refused answers a request that the ingress could not parse.
 func (f *Forwarder) Refused(c *ferryingress.Call, e *ferryingress.RequestError) {
 	p := ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "%s", e.Detail)
 	p.Status = e.Status
-	ask, err := f.cfg.Dialect.Ask(c.Header)
+	info, err := f.cfg.Dialect.DecodeRequest(c.Header)
 	if err != nil {
-		ask.ID = ""
+		info.ID = ""
 	}
-	f.problem(&request{call: c, Ask: ask, proofAge: noProof}, p)
+	f.answerProblem(&request{call: c, RequestInfo: info, proofAge: noProof}, p)
 }
--- a/ferry/ferryforward/request.go
+++ b/ferry/ferryforward/request.go
@@ -13,37 +13,39 @@
 	"cactusferry.dev/ferry/ferryingress"
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
-	Ask
+	RequestInfo
 	call     *ferryingress.Call
 	route    *ferryconfig.Route
 	service  *service
 	customer ferryid.CustomerName
-	// version is that of the configuration that the request was judged by, and proofAge how long before it had been proved current.
+	// version is the configuration that the request was admitted under, and proofAge the time since that
+	// configuration was last proved current.
 	version  ferryconfig.Version
 	proofAge time.Duration
-	// deadline is when the caller must have its answer.
+	// deadline is the earliest of the caller's and the route's timeout and maxTimeout.
 	deadline time.Time
-	// header are the caller's headers that are passed on.
+	// header holds the caller's headers without the hop-by-hop ones.
 	header http.Header
 
-	// arrived counts the sends that may have reached an upstream, and ran those that may have run there.
+	// arrived counts the attempts that may have reached an upstream, and ran those that may have run there and
+	// count towards the route's attempts.
 	arrived int
 	ran     int
-	// mayHaveRun says that some upstream may have run it, whether that counts as an attempt or not.
+	// mayHaveRun is set once an upstream may have run the request, whether or not that counts in ran.
 	mayHaveRun bool
-	// unsent counts sends of which no byte left.
+	// unsent counts attempts that sent no byte.
 	unsent int
-	// avoid are upstreams that have failed the request, and full those that had no room for it.
+	// avoid lists upstreams that failed the request, and full those that refused it for lack of capacity.
 	avoid, full []ferryid.UpstreamName
 }
 
-// noProof is the age of a configuration that has not been proved current yet.
+// noProof is the proofAge of a configuration that has not been proved current yet.
 const noProof = time.Duration(-1)
 
-// describe adds what a request was judged by to a line of the log.
-func (r *request) describe(ev *zerolog.Event) *zerolog.Event {
+// addLogFields adds the admission data of the request to a log event.
+func (r *request) addLogFields(ev *zerolog.Event) *zerolog.Event {
 	ev.Str("Request", string(r.ID)).Uint64("Configuration", uint64(r.version)).Int64("ProofAge", r.proofAge.Milliseconds())
 	if r.route != nil {
 		ev.Str("Route", string(r.route.Name))
@@ -57,30 +59,30 @@
 	return ev
 }
 
-// repeatable reports whether the request may be sent again after it may have run.
+// repeatable reports whether the route permits a retry after the request may have run.
 func (r *request) repeatable() bool {
 	return r.route.Repeat == ferryconfig.RepeatAlways || r.route.Repeat == ferryconfig.RepeatFromEvent
 }
 
-// mayRunAgain reports whether one more upstream may run the request.
+// mayRunAgain reports whether the request may run at one more upstream.
 func (r *request) mayRunAgain() bool {
 	return r.ran == 0 || (r.repeatable() && r.ran < max(1, r.route.MaxAttempts))
 }
 
-func (r *request) left(now time.Time) time.Duration {
+func (r *request) remaining(now time.Time) time.Duration {
 	return r.deadline.Sub(now)
 }
 
-func (r *request) outgoing(dialect Dialect, o Outgoing) *ferryexchange.Request {
+func (r *request) outgoing(dialect Dialect, o OutgoingInfo) *ferryexchange.Request {
 	h := r.header.Clone()
-	dialect.Send(h, o)
+	dialect.EncodeOutgoing(h, o)
 	return &ferryexchange.Request{
 		Method: r.call.Method, Target: r.call.Target, Host: r.call.Host, Header: h, Body: r.call.Body,
 		Alone: !r.repeatable(), Echo: dialect.Echo(),
 	}
 }
 
-// timed returns a context that ends at the request's deadline.
-func (r *request) timed(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithDeadlineCause(ctx, r.deadline, errTimeUp)
+// withDeadline returns a context that ends at the request's deadline.
+func (r *request) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithDeadlineCause(ctx, r.deadline, errDeadline)
 }
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -15,7 +15,7 @@
 	"cactusferry.dev/ferry/ferrypath"
 )
 
-// service is what the forwarder keeps of one service; chooser is nil unless its upstreams are engines that hold layers.
+// service is the forwarding state of one service; chooser is nil unless its upstreams are engines that hold layers.
 type service struct {
 	name       ferryid.ServiceName
 	balancer   *ferrybalance.Balancer
@@ -24,32 +24,32 @@
 	congestion congestion
 }
 
-// ServicesConfig sets up Services.
+// ServicesConfig configures Services.
 type ServicesConfig struct {
 	Clock clockwork.Clock
 	// Domain is the failure domain of this entry.
 	Domain ferryid.DomainName
-	// RepeatWindow, RepeatRatio and RepeatAllowance bound how often requests are sent again, over all entries.
+	// RepeatWindow, RepeatRatio and RepeatAllowance define the retry budget that all entries share.
 	RepeatWindow    time.Duration
 	RepeatRatio     float64
 	RepeatAllowance float64
-	// Resumed says that entries have been serving before this process started.
+	// Resumed is set if entries were already serving before this process started.
 	Resumed bool
 }
 
-// Services keeps the upstreams of each service in step with configuration and discovery.
+// Services keeps the forwarding state of each service up to date with configuration and discovery.
 type Services struct {
 	cfg     ServicesConfig
 	current atomic.Pointer[map[ferryid.ServiceName]*service]
 
-	mu      sync.Mutex
-	entries map[ferryid.DomainName]int
-	hearing time.Duration
-	config  *ferryconfig.Snapshot
-	view    *ferrydiscovery.View
+	mu          sync.Mutex
+	entries     map[ferryid.DomainName]int
+	reportDelay time.Duration
+	config      *ferryconfig.Snapshot
+	view        *ferrydiscovery.View
 }
 
-// NewServices returns an empty set.
+// NewServices returns Services without any service.
 func NewServices(cfg ServicesConfig) *Services {
 	s := &Services{cfg: cfg}
 	s.current.Store(&map[ferryid.ServiceName]*service{})
@@ -60,29 +60,30 @@
 	return (*s.current.Load())[name]
 }
 
-// SetEntries says how many entries of each failure domain share the upstreams and the budgets, and how long they take to hear of each other.
-func (s *Services) SetEntries(byDomain map[ferryid.DomainName]int, hearing time.Duration) {
+// SetEntries sets the number of entries in each failure domain that share the upstreams and the retry budgets, and
+// the delay with which their reports reach each other.
+func (s *Services) SetEntries(byDomain map[ferryid.DomainName]int, reportDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries, s.hearing = byDomain, hearing
+	s.entries, s.reportDelay = byDomain, reportDelay
 	for _, sv := range *s.current.Load() {
-		s.share(sv)
+		s.applyEntries(sv)
 	}
 }
 
-// share tells a service among how many entries its upstreams and its budget are divided.
-func (s *Services) share(sv *service) {
+// applyEntries applies the number of entries to the retry budget and the path chooser of a service.
+func (s *Services) applyEntries(sv *service) {
 	n := 0
 	for _, k := range s.entries {
 		n += k
 	}
-	sv.budget.SetEntries(n, s.hearing)
+	sv.budget.SetEntries(n, s.reportDelay)
 	if sv.chooser != nil {
 		sv.chooser.SetEntries(s.entries)
 	}
 }
 
-// Chooser returns what chooses paths over the engines of a service, or nil where it has none that hold layers.
+// Chooser returns the path chooser of a service, or nil if its upstreams are not engines that hold layers.
 func (s *Services) Chooser(name ferryid.ServiceName) *ferrypath.Chooser {
 	if sv := s.get(name); sv != nil {
 		return sv.chooser
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Layered returns the services whose engines hold layers.
+// Layered returns the names of the services whose engines hold layers.
 func (s *Services) Layered() []ferryid.ServiceName {
 	var out []ferryid.ServiceName
 	for name, sv := range *s.current.Load() {
@@ -101,7 +102,8 @@
 	return out
 }
 
-// Spent is what this entry has sent again of each service in the last window, where the others have to know it.
+// Spent returns this entry's use of the retry budgets in the last window, for the services where it exceeds what
+// may go unreported.
 func (s *Services) Spent() map[ferryid.ServiceName]ferrybudget.Spent {
 	out := map[ferryid.ServiceName]ferrybudget.Spent{}
 	for name, sv := range *s.current.Load() {
@@ -112,14 +114,14 @@
 	return out
 }
 
-// SetSpent takes what other entries have told of each service.
-func (s *Services) SetSpent(told map[ferryid.ServiceName][]ferrybudget.Spent) {
+// SetSpent sets the use of the retry budgets reported by other entries, by service.
+func (s *Services) SetSpent(reported map[ferryid.ServiceName][]ferrybudget.Spent) {
 	for name, sv := range *s.current.Load() {
-		sv.budget.SetOthers(told[name])
+		sv.budget.SetOthers(reported[name])
 	}
 }
 
-// SetConfig takes a new configuration.
+// SetConfig applies a new configuration.
 func (s *Services) SetConfig(c *ferryconfig.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +129,7 @@
 	s.rebuild()
 }
 
-// SetView takes a new view of the upstreams.
+// SetView applies a new view of the upstreams.
 func (s *Services) SetView(v *ferrydiscovery.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +156,7 @@
 	s.current.Store(&next)
 }
 
-// reuse keeps what is known of a service that still exists; it returns a new value where its kind changed.
+// reuse returns the existing state of a service, or a new one if there is none or the service's kind changed.
 func (s *Services) reuse(old *service, c *ferryconfig.Service) *service {
 	layered := c.Model != nil && c.Model.Layers > 0
 	if old != nil && (old.chooser != nil) == layered {
@@ -170,6 +172,6 @@
 	if layered {
 		sv.chooser = ferrypath.NewChooser(ferrypath.Options{Clock: s.cfg.Clock, Domain: s.cfg.Domain})
 	}
-	s.share(sv)
+	s.applyEntries(sv)
 	return sv
 }
--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -14,157 +14,163 @@
 )
 
 const (
-	// suspectFirst and suspectNext are how long a run may be silent, before its first event and between two, until its engines are looked at.
-	suspectFirst = 250 * time.Millisecond
-	suspectNext  = 60 * time.Millisecond
-	// lookAgain is the pause between two looks at a run that stays silent.
-	lookAgain = 100 * time.Millisecond
-	// slowPause is the pause of a run from which it is moved off engines that are slow, and slowAgain the time between two tries.
-	slowPause = 120 * time.Millisecond
-	slowAgain = time.Second
-	// giveUpFirst and giveUpNext are how long a run may be silent while all its engines answer: callers leave after 2 s.
-	giveUpFirst = 1300 * time.Millisecond
-	giveUpNext  = 1200 * time.Millisecond
-	// workingAge is how long an event shows that the engines of its path work.
-	workingAge = 40 * time.Millisecond
-	// rerouteTime bounds one order to move a run.
-	rerouteTime = 300 * time.Millisecond
-	// leaveAfter is how long a run stays on an engine that leaves: most are done by then, and the engine serves at least twice as long.
-	leaveAfter = time.Second
-	// slowPatience is how many times longer a run may be silent while this machine is slow, before it is suspect.
-	slowPatience = 4
-	// usualGaps is how many usual pauses of a run its silence must exceed to be suspect.
-	usualGaps = 4
+	// firstEventSuspect and eventGapSuspect are the silence, before the first event and between events, after which the
+	// engines of a run are probed.
+	firstEventSuspect = 250 * time.Millisecond
+	eventGapSuspect   = 60 * time.Millisecond
+	// recheckInterval is the interval between probes while a run stays silent.
+	recheckInterval = 100 * time.Millisecond
+	// slowRerouteGap is the silence after which a run is moved off slow engines, and slowRerouteInterval the
+	// interval between two such moves.
+	slowRerouteGap      = 120 * time.Millisecond
+	slowRerouteInterval = time.Second
+	// firstEventTimeout and eventGapTimeout are the idle timeouts before the first event and between events while
+	// all engines answer. Callers disconnect after 2 s.
+	firstEventTimeout = 1300 * time.Millisecond
+	eventGapTimeout   = 1200 * time.Millisecond
+	// livenessTTL is how long an event counts as proof that the engines of its path are alive.
+	livenessTTL = 40 * time.Millisecond
+	// rerouteTimeout is the timeout of one reroute order.
+	rerouteTimeout = 300 * time.Millisecond
+	// drainRerouteDelay is how long a run stays on a draining engine. Most runs end earlier, and the engine serves
+	// at least twice as long.
+	drainRerouteDelay = time.Second
+	// slowFactor multiplies the suspect limits while this machine is overloaded.
+	slowFactor = 4
+	// suspectGapFactor is the multiple of a run's mean gap between events from which its silence is suspect.
+	suspectGapFactor = 4
 )
 
-// errDead says that the engine that holds the connection does not answer any more.
-var errDead = errors.New("the first engine of the path does not answer")
+// errFirstEngineDead ends a run whose first engine, which holds the connection, is unreachable.
+var errFirstEngineDead = errors.New("run ended: first engine of the path does not answer")
 
-// errElsewhere says that the stream goes on better by a new run in another failure domain.
-var errElsewhere = errors.New("the failure domain lacks layers now")
+// errRestartElsewhere ends a run that is better replaced by a new run in another failure domain.
+var errRestartElsewhere = errors.New("run ended: failure domain no longer holds all layers")
 
-// Rerouter moves a run that is under way to another path with the same first part.
+// Rerouter moves a run in progress to another path that starts with the same engine.
 type Rerouter interface {
 	Reroute(ctx context.Context, id ferryid.RequestID, p *ferrypath.Path) error
 }
 
-// watchdog looks after one run over a path of engines: when events stay away it finds the engine that is gone and leads the run around it.
+// watchdog supervises one run over a path of engines. When events stop it probes the engines and reroutes the run
+// around those that are unreachable or slow.
 type watchdog struct {
-	*streaming
+	*callerStream
 	run    *ferrypath.Run
 	cancel context.CancelCauseFunc
 	began  time.Time
 	timer  clockwork.Timer
-	// mayRestart says that the request may be run once more elsewhere.
+	// mayRestart is set if the request may be run once more elsewhere.
 	mayRestart bool
 
-	// last is when the run last made progress, since began; gap is its usual pause; events says that its first event has come.
-	last   atomic.Int64
-	gap    atomic.Int64
-	events atomic.Bool
+	// last is the time of the last progress as an offset from began, and meanGap the moving average of the time
+	// between events, both in nanoseconds; started is set by the first event.
+	last    atomic.Int64
+	meanGap atomic.Int64
+	started atomic.Bool
 
-	mu   sync.Mutex
-	over bool
-	// slowTried is when the run was last to be moved off slow engines; it belongs to the looks, which follow one another.
-	slowTried time.Time
-	// seen is the version of the engines that the path was last compared with; it belongs to the goroutine that passes events on.
-	seen int64
+	mu      sync.Mutex
+	stopped bool
+	// lastSlowReroute is the time of the last move off slow engines. Only check uses it, and its calls never overlap.
+	lastSlowReroute time.Time
+	// seenVersion is the engines' version that the path was last checked against. Only the forwarding goroutine uses it.
+	seenVersion int64
 }
 
-func (s *streaming) watch(run *ferrypath.Run, cancel context.CancelCauseFunc) *watchdog {
-	d := &watchdog{streaming: s, run: run, cancel: cancel, began: s.cfg.Clock.Now(), seen: run.Chooser().Version(), mayRestart: s.mayRestart()}
+func (s *callerStream) watch(run *ferrypath.Run, cancel context.CancelCauseFunc) *watchdog {
+	d := &watchdog{callerStream: s, run: run, cancel: cancel, began: s.cfg.Clock.Now(), seenVersion: run.Chooser().Version(), mayRestart: s.mayRestart()}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.timer = s.cfg.Clock.AfterFunc(suspectFirst, d.look)
+	d.timer = s.cfg.Clock.AfterFunc(firstEventSuspect, d.check)
 	return d
 }
 
-// mayRestart reports whether the run that begins now may be followed by another, though its first engine lives.
-func (s *streaming) mayRestart() bool {
+// mayRestart reports whether the run that starts now may be replaced by another while its first engine is alive.
+func (s *callerStream) mayRestart() bool {
 	return s.r.repeatable() && s.r.ran+1 < max(1, s.r.route.MaxAttempts)
 }
 
-// gapWeight is the weight of the newest pause in the usual one.
+// gapWeight is the inverse weight of the newest gap in the moving average.
 const gapWeight = 8
 
-// progress notes that events came.
-func (d *watchdog) progress() {
+// recordProgress records that events arrived.
+func (d *watchdog) recordProgress() {
 	if d == nil {
 		return
 	}
 	at := d.cfg.Clock.Now()
 	d.run.Progress(at)
 	now := int64(at.Sub(d.began))
-	if d.events.Swap(true) {
+	if d.started.Swap(true) {
 		pause := now - d.last.Load()
-		d.gap.Add((pause - d.gap.Load()) / gapWeight)
+		d.meanGap.Add((pause - d.meanGap.Load()) / gapWeight)
 	}
 	d.last.Store(now)
 	suspect, _ := d.limits()
 	d.arm(suspect)
-	if v := d.run.Chooser().Version(); v != d.seen {
-		d.seen = v
-		d.leave()
+	if v := d.run.Chooser().Version(); v != d.seenVersion {
+		d.seenVersion = v
+		d.scheduleDrainReroute()
 	}
 }
 
-// arm sets the time of the next look.
+// arm schedules the next check.
 func (d *watchdog) arm(after time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.over {
+	if !d.stopped {
 		d.timer.Reset(after)
 	}
 }
 
-// leave moves the run, if it still lasts a little later, off engines that leave.
-func (d *watchdog) leave() {
+// scheduleDrainReroute schedules a reroute off draining engines, for a run that has not ended by then.
+func (d *watchdog) scheduleDrainReroute() {
 	if len(d.run.Leaving()) == 0 {
 		return
 	}
-	d.cfg.Clock.AfterFunc(leaveAfter, func() {
+	d.cfg.Clock.AfterFunc(drainRerouteDelay, func() {
 		d.mu.Lock()
-		over := d.over
+		stopped := d.stopped
 		d.mu.Unlock()
-		if leaving := d.run.Leaving(); !over && len(leaving) > 0 {
+		if leaving := d.run.Leaving(); !stopped && len(leaving) > 0 {
 			d.reroute(leaving, false)
 		}
 	})
 }
 
-// stop ends the watch; a look that is under way ends by itself.
+// stop ends the supervision; a check in progress runs to its end.
 func (d *watchdog) stop() {
 	if d == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.over = true
+	d.stopped = true
 	d.timer.Stop()
 }
 
-// limits are how long the run may be silent until it is suspect, and until it is given up.
-func (d *watchdog) limits() (suspect, giveUp time.Duration) {
-	first, next := suspectFirst, suspectNext
+// limits returns the silence after which the run is suspect and the idle timeout after which it is ended.
+func (d *watchdog) limits() (suspect, timeout time.Duration) {
+	first, next := firstEventSuspect, eventGapSuspect
 	if d.prober.slow() {
-		first, next = slowPatience*first, slowPatience*next
+		first, next = slowFactor*first, slowFactor*next
 	}
-	if !d.events.Load() {
-		return first, giveUpFirst
+	if !d.started.Load() {
+		return first, firstEventTimeout
 	}
-	return max(next, usualGaps*time.Duration(d.gap.Load())), giveUpNext
+	return max(next, suspectGapFactor*time.Duration(d.meanGap.Load())), eventGapTimeout
 }
 
-// look runs when the timer fires.
-func (d *watchdog) look() {
+// check runs when the timer fires. It ends a run that exceeded its idle timeout and probes one that is suspect.
+func (d *watchdog) check() {
 	silent := d.cfg.Clock.Since(d.began) - time.Duration(d.last.Load())
-	suspect, giveUp := d.limits()
-	next := lookAgain
+	suspect, timeout := d.limits()
+	next := recheckInterval
 	switch {
 	case silent < suspect:
 		next = suspect - silent
-	case silent >= giveUp && d.canRestart():
-		d.log.Warn().Str("Request", string(d.r.ID)).Dur("Silent", silent).Str("Path", pathOf(chain{d.run})).Msg("run given up")
+	case silent >= timeout && d.canRestart():
+		d.log.Warn().Str("Request", string(d.r.ID)).Dur("Silent", silent).Str("Path", formatDestination(enginePath{d.run})).Msg("run ended: idle timeout exceeded")
 		d.cancel(errStalled)
 		return
 	default:
@@ -173,83 +179,83 @@
 	d.arm(next)
 }
 
-// inspect finds the engines of the path that are gone, or much slower than they should be, and leads the run around them.
+// inspect probes the engines of the path and reroutes the run around dead or slow ones.
 func (d *watchdog) inspect(silent time.Duration) {
 	hops := d.run.Path().Hops()
-	dead := d.prober.dead(hops, d.run.Quiet(d.cfg.Clock.Now().Add(-workingAge)))
+	dead := d.prober.deadHops(hops, d.run.Quiet(d.cfg.Clock.Now().Add(-livenessTTL)))
 	if len(dead) == 0 {
-		if slow := d.run.Slow(); len(slow) > 0 && silent >= slowPause && d.cfg.Clock.Since(d.slowTried) >= slowAgain {
-			d.slowTried = d.cfg.Clock.Now()
-			d.log.Info().Str("Request", string(d.r.ID)).Dur("Silent", silent).Strs("Slow", names(slow)).Msg("engines are slow")
+		if slow := d.run.Slow(); len(slow) > 0 && silent >= slowRerouteGap && d.cfg.Clock.Since(d.lastSlowReroute) >= slowRerouteInterval {
+			d.lastSlowReroute = d.cfg.Clock.Now()
+			d.log.Info().Str("Request", string(d.r.ID)).Dur("Silent", silent).Strs("Slow", names(slow)).Msg("engines slower than expected: rerouting the run")
 			d.reroute(slow, false)
 		}
 		return
 	}
-	var without []ferryid.UpstreamName
+	var deadNames []ferryid.UpstreamName
 	for _, i := range dead {
 		name := hops[i].Upstream.Name
 		d.run.Chooser().Dead(name)
-		without = append(without, ferryid.UpstreamName(name))
+		deadNames = append(deadNames, ferryid.UpstreamName(name))
 	}
-	d.log.Warn().Str("Request", string(d.r.ID)).Dur("Silent", silent).Strs("Dead", names(without)).Msg("engines do not answer")
+	d.log.Warn().Str("Request", string(d.r.ID)).Dur("Silent", silent).Strs("Dead", names(deadNames)).Msg("engines failed the liveness probe")
 	if dead[0] == 0 {
-		d.cancel(errDead)
+		d.cancel(errFirstEngineDead)
 		return
 	}
-	if !d.reroute(without, true) && d.canRestart() {
+	if !d.reroute(deadNames, true) && d.canRestart() {
 		d.cancel(errStalled)
 	}
 }
 
-// canRestart reports whether another run can follow this one now. The last one is never given up for its silence: nothing better can come of
-// that, and the caller decides how long to wait.
+// canRestart reports whether another run can replace this one now. The last permitted run is never ended for
+// its silence, since nothing could replace it and the caller decides how long to wait.
 func (d *watchdog) canRestart() bool {
 	return d.mayRestart && d.r.service.budget.Left() > 0
 }
 
-// BlockedError says that a run cannot be moved to a path because of one of its engines.
+// BlockedError reports the engine of a path that prevents a run from being moved to that path.
 type BlockedError struct {
 	Address string
 	Err     error
 }
 
 func (e *BlockedError) Error() string {
-	return "engine at " + e.Address + " is in the way: " + e.Err.Error()
+	return "reroute blocked by engine at " + e.Address + ": " + e.Err.Error()
 }
 
-// Unwrap returns the underlying error.
+// Unwrap returns the error of the blocking engine.
 func (e *BlockedError) Unwrap() error { return e.Err }
 
-// maxDetours is how many paths are tried for one run at a time.
+// maxDetours is the maximum number of paths tried in one reroute.
 const maxDetours = 3
 
-// reroute moves the run to a path without the engines named and reports whether it did. A run that cannot go on as it is may also be
-// given up for a new one elsewhere.
-func (d *watchdog) reroute(without []ferryid.UpstreamName, lost bool) bool {
+// reroute moves the run to a path without the named engines and reports whether it succeeded. It may instead end
+// the run in favour of a new one in another failure domain, which counts as success.
+func (d *watchdog) reroute(excluded []ferryid.UpstreamName, engineLost bool) bool {
 	for range maxDetours {
-		to, err := d.run.Detour(without)
-		if err == nil && lost && to.Crossings() > d.run.Path().Crossings() && d.canRestart() {
-			// All that was read so far would have to pass between domains; it is read again faster where the new path begins.
-			d.cancel(errElsewhere)
+		to, err := d.run.Detour(excluded)
+		if err == nil && engineLost && to.Crossings() > d.run.Path().Crossings() && d.canRestart() {
+			// A move would transfer all computed state between domains; a new run recomputes it faster.
+			d.cancel(errRestartElsewhere)
 			return true
 		}
 		if err == nil {
-			ctx, cancel := context.WithTimeout(context.Background(), rerouteTime)
+			ctx, cancel := context.WithTimeout(context.Background(), rerouteTimeout)
 			err = d.cfg.Rerouter.Reroute(ctx, d.r.ID, to)
 			cancel()
 		}
 		if err == nil {
 			d.run.Move(to)
-			d.metrics.sentAgain(d.r.service.name, "Moved")
-			d.log.Info().Str("Request", string(d.r.ID)).Str("Path", pathOf(chain{d.run})).Msg("run moved")
+			d.metrics.retried(d.r.service.name, "Moved")
+			d.log.Info().Str("Request", string(d.r.ID)).Str("Path", formatDestination(enginePath{d.run})).Msg("run rerouted")
 			return true
 		}
-		d.log.Warn().Str("Request", string(d.r.ID)).Err(err).Msg("run not moved")
+		d.log.Warn().Str("Request", string(d.r.ID)).Err(err).Msg("reroute run")
 		var blocked *BlockedError
 		if !errors.As(err, &blocked) || to.At(blocked.Address) <= 0 {
 			return false
 		}
-		without = append(without, ferryid.UpstreamName(to.Hops()[to.At(blocked.Address)].Upstream.Name))
+		excluded = append(excluded, ferryid.UpstreamName(to.Hops()[to.At(blocked.Address)].Upstream.Name))
 	}
 	return false
 }
--- a/ferry/ferryforward/start_test.go
+++ b/ferry/ferryforward/start_test.go
@@ -10,8 +10,8 @@
 	"cactusferry.dev/ferry/ferryconfig"
 )
 
-// TestRequestsWaitForTheStart sends a request to an entry that learns the configuration only later.
-func TestRequestsWaitForTheStart(t *testing.T) {
+// TestRequestsWaitForStartup sends a request to an entry that is still loading its configuration.
+func TestRequestsWaitForStartup(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		starts       time.Duration
@@ -19,17 +19,17 @@
 		least, most  time.Duration
 		retryExpects bool
 	}{
-		{"it starts at once", 0, 200, 0, 10 * time.Millisecond, false},
-		{"it starts soon", 200 * time.Millisecond, 200, 200 * time.Millisecond, 210 * time.Millisecond, false},
-		{"it does not start", time.Minute, 503, startWait, startWait + 10*time.Millisecond, true},
+		{"entry starts at once", 0, 200, 0, 10 * time.Millisecond, false},
+		{"entry starts within startWait", 200 * time.Millisecond, 200, 200 * time.Millisecond, 210 * time.Millisecond, false},
+		{"entry does not start", time.Minute, 503, startWait, startWait + 10*time.Millisecond, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, "u")
+				b := newHarness(t, "u")
 				started := make(chan struct{})
-				b.forward.cfg.Started = started
+				b.forwarder.cfg.Started = started
 				late := &ferryconfig.Holder{}
-				b.forward.cfg.Holder = late
+				b.forwarder.cfg.Holder = late
 				time.AfterFunc(tt.starts, func() {
 					late.Offer(b.holder.Current())
 					late.Prove(1, time.Now())
@@ -39,7 +39,7 @@
 				a := b.call("GET", "/safe/x", "1")
 				assert.Equal(t, a.status, tt.want)
 				assert.Equal(t, a.header.Get("Retry-After") != "", tt.retryExpects)
-				assert.Assert(t, a.took >= tt.least && a.took < tt.most, "it took %s", a.took)
+				assert.Assert(t, a.took >= tt.least && a.took < tt.most, "request took %s", a.took)
 			})
 		})
 	}
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -18,39 +18,43 @@
 )
 
 const (
-	// eventWait is how long a run of a single upstream may be silent before another is tried, where one may be: callers leave after 2 s.
-	eventWait = 1300 * time.Millisecond
-	// maxSends bounds the upstreams that one stream is sent to, those that died among them.
+	// eventTimeout is the idle timeout of a run at a single upstream if another run is permitted. Callers disconnect
+	// after 2 s.
+	eventTimeout = 1300 * time.Millisecond
+	// maxSends is the maximum number of attempts of one stream, including those whose upstream died.
 	maxSends = 5
-	// maxRefusals bounds the upstreams without room that one stream is offered to: where two have none, others need what is left more.
+	// maxRefusals is the number of capacity refusals after which a stream is refused or waits: where two upstreams
+	// are full, other requests need the remaining capacity more.
 	maxRefusals = 2
-	// patience is how long a stream that has begun may wait for another run, and patiencePause the time between two tries: callers leave after 2 s.
-	patience      = 1500 * time.Millisecond
-	patiencePause = 100 * time.Millisecond
-	// eventBytes is the first size of the buffer for events; longer ones make it grow up to maxEventBytes.
-	eventBytes    = 2 << 10
-	maxEventBytes = 1 << 20
+	// resumeTimeout is how long a started stream may wait for another run, and resumeInterval the interval between
+	// attempts. Callers disconnect after 2 s.
+	resumeTimeout  = 1500 * time.Millisecond
+	resumeInterval = 100 * time.Millisecond
+	// initialEventBytes is the initial size of the event buffer, which grows up to maxEventBytes.
+	initialEventBytes = 2 << 10
+	maxEventBytes     = 1 << 20
 )
 
-// streaming is one stream to a caller, over all the runs that it takes.
-type streaming struct {
+// callerStream is one stream to a caller, across all of its runs.
+type callerStream struct {
 	*Forwarder
-	r    *request
-	out  *ferryingress.Stream
-	last position
-	buf  []byte
-	// refusals counts the upstreams that had no room, and stuck says that there was no way or no budget for the last attempt.
-	refusals int
-	stuck    bool
-	// events counts what was passed on; first, latest and longest are when the first came, when the last one did, and the longest pause.
-	events        int
-	first, latest time.Time
-	longest       time.Duration
+	r        *request
+	out      *ferryingress.Stream
+	position position
+	buf      []byte
+	// refusals counts capacity refusals. noCapacity is set if the last attempt found no destination or no retry budget.
+	refusals   int
+	noCapacity bool
+	// events counts forwarded events; firstAt and lastAt are the times of the first and the last one, and longestGap
+	// is the longest time between two.
+	events          int
+	firstAt, lastAt time.Time
+	longestGap      time.Duration
 }
 
-// stream sends a request to one way after another until its stream is complete.
+// stream runs a request at one destination after another until its stream is complete.
 func (f *Forwarder) stream(ctx context.Context, r *request) {
-	s := &streaming{Forwarder: f, r: r, last: newPosition(r.After)}
+	s := &callerStream{Forwarder: f, r: r, position: newPosition(r.After)}
 	var last *ferryoutcome.Problem
 	for sends := 0; ; sends++ {
 		p, over := s.attempt(ctx, sends)
@@ -60,41 +64,42 @@
 		if p != nil {
 			last = p
 		}
-		if ctx.Err() != nil || !s.mayGoOn() || !s.goOn(ctx, sends) {
-			s.giveUp(ctx, last)
+		if ctx.Err() != nil || !s.canContinue() || !s.shouldRetry(ctx, sends) {
+			s.abort(ctx, last)
 			return
 		}
-		f.metrics.sentAgain(r.service.name, string(last.Kind))
+		f.metrics.retried(r.service.name, string(last.Kind))
 	}
 }
 
-// attempt makes one run, if there is a way for it and budget. It returns the problem that came of it, and true once the caller has all it will get.
-func (s *streaming) attempt(ctx context.Context, sends int) (*ferryoutcome.Problem, bool) {
-	w, none := s.pickWay(s.r)
+// attempt makes one run if there is a destination and retry budget for it. It returns the resulting problem, and
+// true once nothing more is to be sent to the caller.
+func (s *callerStream) attempt(ctx context.Context, sends int) (*ferryoutcome.Problem, bool) {
+	w, none := s.pickDestination(s.r)
 	if none != nil {
-		s.stuck = true
+		s.noCapacity = true
 		if sends > 0 {
 			return nil, false
 		}
 		return none, false
 	}
-	if s.r.arrived > 0 && !s.mayRepeat(s.r) {
-		cancelled(w)
-		s.stuck = true
+	if s.r.arrived > 0 && !s.takeRetry(s.r) {
+		finishCancelled(w)
+		s.noCapacity = true
 		return nil, false
 	}
-	s.stuck = false
+	s.noCapacity = false
 	p := s.run(ctx, w)
 	return p, p == nil
 }
 
-// goOn reports whether another attempt should be made. A stream that has begun waits a little for room and budget, as long as its
-// caller does not notice more than a pause; one that has not is refused at once where nothing is free.
-func (s *streaming) goOn(ctx context.Context, sends int) bool {
-	if !s.stuck && sends+1 < maxSends && s.refusals <= maxRefusals {
+// shouldRetry reports whether to make another attempt. A stream that has started waits for capacity and retry
+// budget until resumeTimeout after its last event; one that has not is refused at once.
+func (s *callerStream) shouldRetry(ctx context.Context, sends int) bool {
+	if !s.noCapacity && sends+1 < maxSends && s.refusals <= maxRefusals {
 		return true
 	}
-	if s.out == nil || s.cfg.Clock.Since(s.latest) > patience {
+	if s.out == nil || s.cfg.Clock.Since(s.lastAt) > resumeTimeout {
 		return false
 	}
 	s.r.full = nil
@@ -102,101 +107,103 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.cfg.Clock.After(patiencePause):
+	case <-s.cfg.Clock.After(resumeInterval):
 		return true
 	}
 }
 
-// mayGoOn reports whether another run may begin or continue the stream.
-func (s *streaming) mayGoOn() bool {
+// canContinue reports whether the route permits another run to start or resume the stream.
+func (s *callerStream) canContinue() bool {
 	if s.out == nil {
 		return s.r.mayRunAgain()
 	}
 	return s.r.route.Repeat == ferryconfig.RepeatFromEvent && s.r.mayRunAgain()
 }
 
-// giveUp ends the stream without its end: by a problem while nothing was passed on, else by breaking the connection off.
-func (s *streaming) giveUp(ctx context.Context, last *ferryoutcome.Problem) {
+// abort ends an incomplete stream: with a problem answer if nothing was forwarded, else by leaving the answer
+// unterminated, which closes the connection.
+func (s *callerStream) abort(ctx context.Context, last *ferryoutcome.Problem) {
 	if s.out == nil {
-		s.Forwarder.giveUp(ctx, s.r, last, nil)
+		s.Forwarder.answerFailure(ctx, s.r, last, nil)
 		return
 	}
-	msg := "stream broken off"
+	msg := "stream aborted: no further run possible"
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ferryingress.ErrCallerLeft):
-		msg = "the caller left"
+		msg = "stream aborted: caller disconnected"
 	case errors.Is(cause, context.Canceled):
-		msg = "stream broken off: this process ends"
+		msg = "stream aborted: process is shutting down"
 	}
 	s.log.Warn().Str("Request", string(s.r.ID)).Int("Events", s.events).Int("Ran", s.r.ran).AnErr("Cause", last.Cause).Msg(msg)
 }
 
-// run sends the request over one way and passes its events on; it returns nil once the caller has all it will get.
-func (s *streaming) run(ctx context.Context, w way) *ferryoutcome.Problem {
+// run sends the request to one destination and forwards its events; it returns nil once nothing more is to be sent
+// to the caller.
+func (s *callerStream) run(ctx context.Context, w destination) *ferryoutcome.Problem {
 	r := s.r
-	o := Outgoing{Instance: w.first().Name, Wait: r.left(s.cfg.Clock.Now()), Customer: r.customer, After: s.last.id}
-	if c, ok := w.(chain); ok {
+	o := OutgoingInfo{Instance: w.first().Name, Wait: r.remaining(s.cfg.Clock.Now()), Customer: r.customer, After: s.position.id}
+	if c, ok := w.(enginePath); ok {
 		o.Path = c.run.Path()
 	}
 	waiting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	progress := func() {}
-	if c, ok := w.(chain); ok {
-		dog := s.watch(c.run, cancel)
-		defer dog.stop()
-		progress = dog.progress
+	if c, ok := w.(enginePath); ok {
+		wd := s.watch(c.run, cancel)
+		defer wd.stop()
+		progress = wd.recordProgress
 	} else if s.mayRestart() {
-		timer := s.cfg.Clock.AfterFunc(eventWait, func() { cancel(errStalled) })
+		timer := s.cfg.Clock.AfterFunc(eventTimeout, func() { cancel(errStalled) })
 		defer timer.Stop()
-		progress = func() { timer.Reset(eventWait) }
+		progress = func() { timer.Reset(eventTimeout) }
 	}
 	a, err := s.cfg.Client.Do(waiting, w.first().Address, r.outgoing(s.cfg.Dialect, o))
 	if err != nil {
-		return s.failed(ctx, w, err)
+		return s.handleSendError(ctx, w, err)
 	}
 	defer a.Close()
-	v := s.cfg.Dialect.Judge(a.Status, a.Header)
+	v := s.cfg.Dialect.DecodeAnswer(a.Status, a.Header)
 	r.arrived++
 	switch {
-	case v.Refused():
-		return s.refused(w, a.Status, v)
+	case v.CertainlyNotRun():
+		return s.handleRefusal(w, a.Status, v)
 	case a.Status/100 != 2:
-		return s.status(ctx, w, a)
+		return s.handleErrorStatus(ctx, w, a)
 	case !v.Signed || a.Header.Get("Content-Encoding") != "":
-		return s.broken(ctx, w, errUnsigned)
+		return s.handleBrokenRun(ctx, w, errUnsigned)
 	}
 	err = s.relay(a, progress)
 	switch {
 	case err == nil:
-		done(w)
-		s.logDone(w)
+		finishDone(w)
+		s.logCompleted(w)
 		s.metrics.answered(r.service.name, a.Status, s.cfg.Clock.Since(r.call.At))
 		return nil
-	case errors.Is(err, errCaller):
-		cancelled(w)
-		s.log.Info().Str("Request", string(r.ID)).Int("Events", s.events).Err(err).Msg("the caller left")
+	case errors.Is(err, errCallerWrite):
+		finishCancelled(w)
+		s.log.Info().Str("Request", string(r.ID)).Int("Events", s.events).Err(err).Msg("stream ended: caller disconnected")
 		return nil
 	}
-	return s.broken(ctx, w, err)
+	return s.handleBrokenRun(ctx, w, err)
 }
 
 var (
-	// errStalled says that a run made no progress.
-	errStalled = errors.New("the run made no progress")
-	// errCaller says that the caller takes nothing any more.
-	errCaller = errors.New("the caller's connection is gone")
+	// errStalled ends a run that exceeded its idle timeout or could not be rerouted.
+	errStalled = errors.New("run ended: no progress within its idle timeout")
+	// errCallerWrite reports that writing to the caller failed.
+	errCallerWrite = errors.New("answer to the caller could not be written")
 )
 
-// relay passes whole events on until the upstream's answer is complete.
-func (s *streaming) relay(a *ferryexchange.Answer, progress func()) error {
+// relay forwards complete events until the upstream's answer ends.
+func (s *callerStream) relay(a *ferryexchange.Answer, progress func()) error {
 	if s.buf == nil {
-		s.buf = make([]byte, eventBytes)
+		s.buf = make([]byte, initialEventBytes)
 	}
 	n := 0
 	for {
 		if n == len(s.buf) {
 			if n >= maxEventBytes {
-				return errors.New("an event is too long")
+				return errors.New("event exceeds the maximum length")
 			}
 			s.buf = append(s.buf, make([]byte, n)...)
 		}
@@ -205,7 +212,7 @@
 		whole, rest := splitEvents(s.buf[:n])
 		if len(whole) > 0 {
 			progress()
-			if err := s.pass(a, whole); err != nil {
+			if err := s.forwardEvents(a, whole); err != nil {
 				return err
 			}
 			n = copy(s.buf, rest)
@@ -214,19 +221,19 @@
 		case errors.Is(err, io.EOF) && n > 0:
 			return io.ErrUnexpectedEOF
 		case errors.Is(err, io.EOF):
-			return s.end(a)
+			return s.endAnswer(a)
 		case err != nil:
 			return err
 		}
 	}
 }
 
-// pass writes events to the caller, but for those that it has already.
-func (s *streaming) pass(a *ferryexchange.Answer, whole []byte) error {
+// forwardEvents writes events to the caller, without those already forwarded.
+func (s *callerStream) forwardEvents(a *ferryexchange.Answer, whole []byte) error {
 	from, events := whole, whole
 	for len(events) > 0 {
 		event, rest := nextEvent(events)
-		if s.last.advance(eventID(event)) {
+		if s.position.advance(eventID(event)) {
 			s.events++
 			events = rest
 			continue
@@ -237,177 +244,180 @@
 	if len(from) == 0 {
 		return nil
 	}
-	if err := s.open(a); err != nil {
+	if err := s.openAnswer(a); err != nil {
 		return err
 	}
 	if _, err := s.out.Write(from); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
-	s.passed(s.cfg.Clock.Now())
+	s.recordForwarded(s.cfg.Clock.Now())
 	return nil
 }
 
-// passed notes when events were passed on.
-func (s *streaming) passed(now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+// recordForwarded records the time at which events were forwarded.
+func (s *callerStream) recordForwarded(now time.Time) {
+	if s.firstAt.IsZero() {
+		s.firstAt = now
 		s.metrics.firstEvent(s.r.service.name, now.Sub(s.r.call.At))
 	} else {
-		s.longest = max(s.longest, now.Sub(s.latest))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
 	}
-	s.latest = now
+	s.lastAt = now
 }
 
-// logDone writes how the stream went; late ones stand out.
-func (s *streaming) logDone(w way) {
+// logCompleted logs a completed stream, with a mark if it missed an objective of its route.
+func (s *callerStream) logCompleted(w destination) {
 	r := s.r
-	ev := s.answers.Info()
-	first := s.first.Sub(r.call.At)
-	if (r.route.Objective > 0 && first > r.route.Objective) || (r.route.GapObjective > 0 && s.longest > r.route.GapObjective) {
+	ev := s.successLog.Info()
+	first := s.firstAt.Sub(r.call.At)
+	if (r.route.Objective > 0 && first > r.route.Objective) || (r.route.GapObjective > 0 && s.longestGap > r.route.GapObjective) {
 		ev = s.log.Info().Bool("Late", true)
 	}
-	if c, ok := w.(chain); ok {
+	if c, ok := w.(enginePath); ok {
 		ev.Int64("ReportAge", c.run.ReportAge().Milliseconds())
 	}
-	r.describe(ev).Str("Path", pathOf(w)).Int("Events", s.events).Dur("First", first).Dur("LongestPause", s.longest).
-		Dur("Took", s.latest.Sub(r.call.At)).Int("Sends", r.arrived+r.unsent).Msg("streamed")
+	r.addLogFields(ev).Str("Path", formatDestination(w)).Int("Events", s.events).Dur("First", first).Dur("LongestPause", s.longestGap).
+		Dur("Took", s.lastAt.Sub(r.call.At)).Int("Sends", r.arrived+r.unsent).Msg("stream completed")
 }
 
-// open starts the answer to the caller with the first run's headers.
-func (s *streaming) open(a *ferryexchange.Answer) error {
+// openAnswer starts the answer to the caller with the headers of the first run.
+func (s *callerStream) openAnswer(a *ferryexchange.Answer) error {
 	if s.out != nil {
 		return nil
 	}
 	h := ferryexchange.PassOn(a.Header)
-	s.cfg.Dialect.Deliver(h)
+	s.cfg.Dialect.StripInternal(h)
 	out, err := s.r.call.Stream(a.Status, h)
 	if err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
 	s.out = out
 	return nil
 }
 
-func (s *streaming) end(a *ferryexchange.Answer) error {
-	if err := s.open(a); err != nil {
+func (s *callerStream) endAnswer(a *ferryexchange.Answer) error {
+	if err := s.openAnswer(a); err != nil {
 		return err
 	}
 	if err := s.out.End(); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
 	return nil
 }
 
-// status takes an answer that is no success.
-func (s *streaming) status(ctx context.Context, w way, a *ferryexchange.Answer) *ferryoutcome.Problem {
+// handleErrorStatus handles an answer with a non-success status.
+func (s *callerStream) handleErrorStatus(ctx context.Context, w destination, a *ferryexchange.Answer) *ferryoutcome.Problem {
 	r := s.r
 	r.ran++
 	r.mayHaveRun = true
-	body, err := io.ReadAll(io.LimitReader(a, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes))
 	if err != nil {
 		r.ran--
-		return s.broken(ctx, w, err)
+		return s.handleBrokenRun(ctx, w, err)
 	}
-	name := failedAt(w)
-	if s.out != nil || (a.Status >= http.StatusInternalServerError && s.mayGoOn() && r.service.budget.Left() > 0) {
-		r.avoidName(name)
+	name := finishFailed(w)
+	if s.out != nil || (a.Status >= http.StatusInternalServerError && s.canContinue() && r.service.budget.Left() > 0) {
+		r.avoidUpstream(name)
 		return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "The upstream answered with status %d.", a.Status)
 	}
 	h := ferryexchange.PassOn(a.Header)
-	s.cfg.Dialect.Deliver(h)
+	s.cfg.Dialect.StripInternal(h)
 	s.metrics.answered(r.service.name, a.Status, s.cfg.Clock.Since(r.call.At))
-	s.log.Info().Str("Request", string(r.ID)).Str("Upstream", name).Int("Status", a.Status).Msg("failed by the upstream")
+	s.log.Info().Str("Request", string(r.ID)).Str("Upstream", name).Int("Status", a.Status).Msg("upstream error status passed on to the caller")
 	if err := r.call.Answer(a.Status, h, body); err != nil {
-		s.log.Info().Str("Request", string(r.ID)).Err(err).Msg("answer not delivered")
+		s.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write answer to the caller")
 	}
 	return nil
 }
 
-// refused takes an upstream's word that the request was not run, because of itself or of another engine of the path.
-func (s *streaming) refused(w way, status int, v Verdict) *ferryoutcome.Problem {
+// handleRefusal handles an answer that the request was not run, because of the upstream itself or another engine of the
+// path.
+func (s *callerStream) handleRefusal(w destination, status int, v AnswerInfo) *ferryoutcome.Problem {
 	name := ""
 	if v.Elsewhere {
-		name = unreachable(w, v.Culprit)
+		name = finishUnreachable(w, v.FailedEngine)
 	} else {
-		name = refusedBy(w, v.Culprit)
-		s.inspectCulprit(w, v.Culprit)
+		name = finishRefused(w, v.FailedEngine)
+		s.probeRefusingEngine(w, v.FailedEngine)
 	}
 	s.r.full = append(s.r.full, ferryid.UpstreamName(name))
 	s.refusals++
-	s.r.service.congestion.refused(s.cfg.Clock.Now())
-	s.log.Info().Str("Request", string(s.r.ID)).Str("Upstream", name).Int("Status", status).Str("Path", pathOf(w)).Msg("refused by the upstream")
-	return s.noRoom(s.r, nil)
+	s.r.service.congestion.recordRefusal(s.cfg.Clock.Now())
+	s.log.Info().Str("Request", string(s.r.ID)).Str("Upstream", name).Int("Status", status).Str("Path", formatDestination(w)).Msg("upstream refused the stream without running it")
+	return s.overloadProblem(s.r, nil)
 }
 
-// inspectCulprit finds out whether the engine for which a request was refused is gone, so that other requests keep away from it.
-func (s *streaming) inspectCulprit(w way, address string) {
-	c, ok := w.(chain)
+// probeRefusingEngine probes the engine that caused a refusal and marks it dead if it does not answer, so that other
+// requests avoid it.
+func (s *callerStream) probeRefusingEngine(w destination, address string) {
+	c, ok := w.(enginePath)
 	if !ok || c.run.Path().At(address) <= 0 {
 		return
 	}
 	hops := c.run.Path().Hops()
 	hop := hops[c.run.Path().At(address)]
 	go func() {
-		if dead := s.prober.dead([]ferrypath.Hop{hops[0], hop}, []int{0, 1}); slices.Contains(dead, 1) {
+		if dead := s.prober.deadHops([]ferrypath.Hop{hops[0], hop}, []int{0, 1}); slices.Contains(dead, 1) {
 			c.run.Chooser().Dead(hop.Upstream.Name)
 		}
 	}()
 }
 
-// failed judges a send without an answer.
-func (s *streaming) failed(ctx context.Context, w way, err error) *ferryoutcome.Problem {
+// handleSendError returns the problem of a send that got no answer.
+func (s *callerStream) handleSendError(ctx context.Context, w destination, err error) *ferryoutcome.Problem {
 	var e *ferryexchange.Error
 	if errors.As(err, &e) && e.Phase == ferryoutcome.PhaseNotConnected {
-		s.logSend(s.r, w.first().Name, err, "not sent")
+		s.logSendError(s.r, w.first().Name, err, "stream request not sent: no connection to the upstream")
 		s.r.unsent++
 		if ctx.Err() != nil {
-			cancelled(w)
-			return s.timeUp(s.r, ferryoutcome.NotRun, err)
+			finishCancelled(w)
+			return s.timeoutProblem(s.r, ferryoutcome.NotRun, err)
 		}
-		s.r.avoidName(unreachable(w, ""))
-		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").After(afterNobody).Because(err)
+		s.r.avoidUpstream(finishUnreachable(w, ""))
+		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").After(retryAfterNoUpstream).Because(err)
 	}
 	s.r.arrived++
-	return s.broken(ctx, w, err)
+	return s.handleBrokenRun(ctx, w, err)
 }
 
-// broken judges a run that ended early. One whose upstream ended does not count against the attempts.
-func (s *streaming) broken(ctx context.Context, w way, err error) *ferryoutcome.Problem {
+// handleBrokenRun returns the problem of a run that ended early. For repeatable requests, a run whose first engine
+// died does not count towards the route's attempts.
+func (s *callerStream) handleBrokenRun(ctx context.Context, w destination, err error) *ferryoutcome.Problem {
 	s.r.mayHaveRun = true
 	if ctx.Err() != nil {
 		s.r.ran++
-		cancelled(w)
-		return s.timeUp(s.r, ferryoutcome.Unknown, err)
+		finishCancelled(w)
+		return s.timeoutProblem(s.r, ferryoutcome.Unknown, err)
 	}
-	gone := errors.Is(err, errDead) || (!givenUp(err) && s.ended(w))
+	gone := errors.Is(err, errFirstEngineDead) || (!endedByEntry(err) && s.firstEngineGone(w))
 	if !gone || !s.r.repeatable() {
 		s.r.ran++
 	}
-	s.log.Warn().Str("Request", string(s.r.ID)).Str("Path", pathOf(w)).Int("Events", s.events).Str("Last", s.last.id).
-		Bool("Gone", gone).Err(err).Msg("run broken off")
+	s.log.Warn().Str("Request", string(s.r.ID)).Str("Path", formatDestination(w)).Int("Events", s.events).Str("Last", s.position.id).
+		Bool("Gone", gone).Err(err).Msg("run ended before its stream was complete")
 	if gone {
-		s.r.avoidName(unreachable(w, ""))
+		s.r.avoidUpstream(finishUnreachable(w, ""))
 	} else {
-		s.r.avoidName(failedAt(w))
+		s.r.avoidUpstream(finishFailed(w))
 	}
 	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off.").Because(err)
 }
 
-// givenUp reports whether a run ended because this entry gave it up, whose first upstream worked until then.
-func givenUp(err error) bool {
-	return errors.Is(err, errStalled) || errors.Is(err, errElsewhere)
+// endedByEntry reports whether this entry ended the run itself, while its first upstream was alive.
+func endedByEntry(err error) bool {
+	return errors.Is(err, errStalled) || errors.Is(err, errRestartElsewhere)
 }
 
-// ended reports whether the engine that held the connection answers no more, while another one of the path does. What is not certain counts
-// as an attempt.
-func (s *streaming) ended(w way) bool {
-	c, ok := w.(chain)
-	return ok && slices.Contains(s.prober.dead(c.run.Path().Hops(), []int{0}), 0)
+// firstEngineGone reports whether the engine that held the connection is unreachable while another one of the path
+// answers. In doubt it returns false, so that the run counts as an attempt.
+func (s *callerStream) firstEngineGone(w destination) bool {
+	c, ok := w.(enginePath)
+	return ok && slices.Contains(s.prober.deadHops(c.run.Path().Hops(), []int{0}), 0)
 }
 
-// pathOf names the upstreams of a way, for the log.
-func pathOf(w way) string {
-	c, ok := w.(chain)
+// formatDestination formats the upstreams of a destination for the log.
+func formatDestination(w destination) string {
+	c, ok := w.(enginePath)
 	if !ok {
 		return w.first().Name
 	}
