--- a/ferry/ferrybudget/budget.go
+++ b/ferry/ferrybudget/budget.go
@@ -9,68 +9,69 @@
 
 const (
 	buckets = 10
-	// safety is the part of the budget that is used, since the windows of the entries differ a little.
+	// safety is the fraction of the budget that may be used, since the windows of the entries are not aligned.
 	safety = 0.95
-	// leastHearing is how long what one entry has spent takes at least until all others know it.
-	leastHearing = 300 * time.Millisecond
-	// untoldShare is the part of the allowance that entries of a large fleet may use without telling the others, which take it for used. In
-	// fleets of up to smallFleet entries it would be missed where one failure domain needs most of the budget, and telling costs little.
-	untoldShare = 0.3
-	smallFleet  = 16
-	// leastEntries is how many entries are assumed until more are known.
-	leastEntries = 3
+	// minReportDelay is the lower bound of the delay with which an entry's usage reaches all others.
+	minReportDelay = 300 * time.Millisecond
+	// unreportedShare is the fraction of the allowance that entries of a large fleet may use without reporting; the
+	// others count it as used. Fleets of up to smallFleet entries report everything: there reports cost little, and
+	// the fraction would be missing where one failure domain needs most of the budget.
+	unreportedShare = 0.3
+	smallFleet      = 16
+	// minEntries is the number of entries assumed until more are known.
+	minEntries = 3
 )
 
-// Config says how much may be repeated: in any window, Ratio of the requests and Allowance more, over all entries.
+// Config sets the limit for all entries together: Ratio times the requests plus Allowance retries in any Window.
 type Config struct {
 	Clock     clockwork.Clock
 	Window    time.Duration
 	Ratio     float64
 	Allowance float64
-	// Resumed says that earlier processes may have spent the allowance, so that it counts again only once a window has passed.
+	// Resumed is set if earlier processes may have used the allowance; it is then available after one window only.
 	Resumed bool
 }
 
-// Budget is this entry's part of a service's budget.
+// Budget is this entry's part of the retry budget of one service.
 type Budget struct {
 	cfg Config
 
-	mu      sync.Mutex
-	began   time.Time
-	entries int
-	hearing time.Duration
-	others  Spent
-	heard   time.Time
-	// fresh are the times of the repetitions that the others may not know of yet.
-	fresh    []time.Time
-	at       time.Time
-	requests [buckets]int
-	repeats  [buckets]int
-	head     int
-}
-
-// New returns a budget with nothing spent.
+	mu          sync.Mutex
+	began       time.Time
+	entries     int
+	reportDelay time.Duration
+	others      Spent
+	reportedAt  time.Time
+	// recent holds the times of the retries that may not have reached the other entries yet.
+	recent    []time.Time
+	headStart time.Time
+	requests  [buckets]int
+	repeats   [buckets]int
+	head      int
+}
+
+// New returns an unused Budget.
 func New(cfg Config) *Budget {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
 	}
-	return &Budget{cfg: cfg, entries: leastEntries, hearing: leastHearing, at: cfg.Clock.Now(), began: cfg.Clock.Now()}
+	return &Budget{cfg: cfg, entries: minEntries, reportDelay: minReportDelay, headStart: cfg.Clock.Now(), began: cfg.Clock.Now()}
 }
 
-// SetEntries says among how many entries the budget is divided, and how long they take to hear of each other.
-func (b *Budget) SetEntries(n int, hearing time.Duration) {
+// SetEntries sets the number of entries that share the budget and the delay with which their reports reach each other.
+func (b *Budget) SetEntries(n int, reportDelay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.entries, b.hearing = max(leastEntries, n), max(leastHearing, hearing)
+	b.entries, b.reportDelay = max(minEntries, n), max(minReportDelay, reportDelay)
 }
 
-// Spent is what one or more entries have counted in the last window.
+// Spent is the usage of one or more entries in the last window; Repeats counts retries.
 type Spent struct {
 	Requests int
 	Repeats  int
 }
 
-// Own is what this entry has counted in the last window.
+// Own returns this entry's usage in the last window.
 func (b *Budget) Own() Spent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,35 +79,35 @@
 	return Spent{Requests: sum(b.requests), Repeats: sum(b.repeats)}
 }
 
-// Untold is how many repetitions in a window this entry need not tell the others of.
-func (b *Budget) Untold() int {
+// UnreportedLimit returns the number of retries per window up to which this entry need not report its usage.
+func (b *Budget) UnreportedLimit() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.untold()
+	return b.unreportedLimit()
 }
 
-func (b *Budget) untold() int {
+func (b *Budget) unreportedLimit() int {
 	if b.entries <= smallFleet {
 		return 0
 	}
-	return int(untoldShare * b.allowance() / float64(b.entries))
+	return int(unreportedShare * b.allowance() / float64(b.entries))
 }
 
-// SetOthers says what other entries have told, as far as this one has heard; it is called several times a second. Entries that tell
-// nothing may have used what they need not tell.
-func (b *Budget) SetOthers(told []Spent) {
+// SetReported sets the usage reported by other entries; it is called several times a second. Entries that report
+// nothing are assumed to have used what they need not report.
+func (b *Budget) SetReported(reports []Spent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	untold := b.untold()
-	sum := Spent{Repeats: untold * max(0, b.entries-1-len(told))}
-	for _, s := range told {
+	limit := b.unreportedLimit()
+	sum := Spent{Repeats: limit * max(0, b.entries-1-len(reports))}
+	for _, s := range reports {
 		sum.Requests += s.Requests
-		sum.Repeats += max(untold, s.Repeats)
+		sum.Repeats += max(limit, s.Repeats)
 	}
-	b.others, b.heard = sum, b.cfg.Clock.Now()
+	b.others, b.reportedAt = sum, b.cfg.Clock.Now()
 }
 
-// Request counts a caller's request.
+// Request counts one caller's request.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,53 +115,53 @@
 	b.requests[b.head]++
 }
 
-// Repeat takes one repetition from the budget and reports whether there was one.
-func (b *Budget) Repeat() bool {
+// TakeRetry takes one retry from the budget and reports whether one was left.
+func (b *Budget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	if b.left() < 1 {
+	if b.remaining() < 1 {
 		return false
 	}
 	b.repeats[b.head]++
-	b.fresh = append(b.fresh, b.cfg.Clock.Now())
+	b.recent = append(b.recent, b.cfg.Clock.Now())
 	return true
 }
 
-// Left is the number of repetitions that are left now.
-func (b *Budget) Left() int {
+// Remaining returns the number of retries that this entry may make now.
+func (b *Budget) Remaining() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	return max(0, int(b.left()))
+	return max(0, int(b.remaining()))
 }
 
-// heardFor is how long what the others told is taken as current.
-const heardFor = time.Second
+// reportTTL is how long the reported usage counts as current, unless the report delay is longer.
+const reportTTL = time.Second
 
-// left is how many repetitions this entry may make now. While it hears of the others, all entries together may use no more than what is
-// left before they hear of each other again: an upstream's loss meets the entries of one failure domain, which then need more than
-// an even part of the whole. Otherwise an entry keeps to its even part.
-func (b *Budget) left() float64 {
+// remaining returns how many retries this entry may make now. With current reports, all entries together may use no
+// more than the rest of the budget before their next reports arrive. An entry may then exceed its even share, which
+// the entries of one failure domain need when it loses an upstream. Without current reports it may not.
+func (b *Budget) remaining() float64 {
 	spent := float64(sum(b.repeats))
-	if b.heard.IsZero() || b.cfg.Clock.Since(b.heard) > max(heardFor, b.hearing) {
+	if b.reportedAt.IsZero() || b.cfg.Clock.Since(b.reportedAt) > max(reportTTL, b.reportDelay) {
 		return safety*(b.cfg.Ratio*float64(sum(b.requests))+b.allowance()/float64(b.entries)) - spent
 	}
-	all := safety*(b.cfg.Ratio*float64(sum(b.requests)+b.others.Requests)+b.allowance()) - max(spent, float64(b.untold())) - float64(b.others.Repeats)
-	fresh := float64(b.forget())
-	return max(min((all+fresh)/b.caution()/float64(b.entries)-fresh, all), float64(b.untold())-spent)
+	all := safety*(b.cfg.Ratio*float64(sum(b.requests)+b.others.Requests)+b.allowance()) - max(spent, float64(b.unreportedLimit())) - float64(b.others.Repeats)
+	recent := float64(b.dropReported())
+	return max(min((all+recent)/b.overshootDivisor()/float64(b.entries)-recent, all), float64(b.unreportedLimit())-spent)
 }
 
-// caution divides what all entries together may use before they hear of each other; it covers that they hear at different moments. In small
-// fleets, where a few entries that hear late would spend a large part again, it is larger.
-func (b *Budget) caution() float64 {
+// overshootDivisor divides the rest of the budget to cover reports that arrive at different times. It is larger in
+// small fleets, where a few entries with late reports would use a large part of the budget twice.
+func (b *Budget) overshootDivisor() float64 {
 	if b.entries > smallFleet {
 		return 1.3
 	}
 	return 2
 }
 
-// allowance is what may be sent again beside the share of the requests.
+// allowance returns the fixed number of retries permitted beside the ratio.
 func (b *Budget) allowance() float64 {
 	if b.cfg.Resumed && b.cfg.Clock.Since(b.began) < b.cfg.Window {
 		return 0
@@ -168,29 +169,29 @@
 	return b.cfg.Allowance
 }
 
-// forget drops the repetitions that all others have heard of, and returns the number of those left.
-func (b *Budget) forget() int {
+// dropReported drops the retries that have reached all other entries and returns the number of the remaining ones.
+func (b *Budget) dropReported() int {
 	now := b.cfg.Clock.Now()
-	known := 0
-	for known < len(b.fresh) && now.Sub(b.fresh[known]) >= b.hearing {
-		known++
+	reported := 0
+	for reported < len(b.recent) && now.Sub(b.recent[reported]) >= b.reportDelay {
+		reported++
 	}
-	b.fresh = b.fresh[known:]
-	return len(b.fresh)
+	b.recent = b.recent[reported:]
+	return len(b.recent)
 }
 
-// advance moves the window on by whole buckets.
+// advance moves the window forward by whole buckets.
 func (b *Budget) advance() {
-	// The newest bucket is not full yet, so the others have to cover the window.
+	// The newest bucket is incomplete, so the others have to cover the window.
 	step := b.cfg.Window / (buckets - 1)
 	if step <= 0 {
 		return
 	}
-	passed := int(b.cfg.Clock.Since(b.at) / step)
+	passed := int(b.cfg.Clock.Since(b.headStart) / step)
 	if passed <= 0 {
 		return
 	}
-	b.at = b.at.Add(time.Duration(passed) * step)
+	b.headStart = b.headStart.Add(time.Duration(passed) * step)
 	for range min(passed, buckets) {
 		b.head = (b.head + 1) % buckets
 		b.requests[b.head], b.repeats[b.head] = 0, 0
--- a/ferry/ferrybudget/budget_test.go
+++ b/ferry/ferrybudget/budget_test.go
@@ -13,28 +13,28 @@
 	return Config{Clock: clock, Window: 10 * time.Second, Ratio: 0.2, Allowance: 200}
 }
 
-func TestAnEntryAloneKeepsToItsEvenPart(t *testing.T) {
+func TestEvenShareWithoutReports(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(config(clock))
 	b.SetEntries(10, 0)
 	n := 0
-	for b.Repeat() {
+	for b.TakeRetry() {
 		n++
 	}
-	assert.Equal(t, n, 19, "nearly a tenth of 200")
+	assert.Equal(t, n, 19, "95 % of a tenth of 200")
 	for range 100 {
 		b.Request()
 	}
-	for b.Repeat() {
+	for b.TakeRetry() {
 		n++
 	}
-	assert.Equal(t, n, 38, "and nearly a fifth of 100 requests")
+	assert.Equal(t, n, 38, "plus 95 % of a fifth of 100 requests")
 	clock.Advance(12 * time.Second)
-	assert.Assert(t, b.Repeat(), "the window has moved on")
+	assert.Assert(t, b.TakeRetry(), "no retry left after the window has passed")
 }
 
-// TestEntriesTogetherStayWithinTheBudget lets entries spend as fast as they may, while each hears of the others with a delay.
-func TestEntriesTogetherStayWithinTheBudget(t *testing.T) {
+// TestEntriesStayWithinSharedBudget has all entries retry as fast as they may while reports arrive with a delay.
+func TestEntriesStayWithinSharedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		n := rapid.SampledFrom([]int{3, 5, 9, 12, 17, 30, 60}).Draw(t, "entries")
@@ -44,33 +44,33 @@
 			entries[i].SetEntries(n, 0)
 		}
 		const step = 100 * time.Millisecond
-		var spent []int    // in each step
-		var said [][]Spent // what the entries had spent after each step
+		var spent []int     // in each step
+		var usage [][]Spent // what the entries had spent after each step
 		lag := rapid.IntRange(1, 3).Draw(t, "lag")
 		for at := range rapid.IntRange(20, 160).Draw(t, "steps") {
-			heard := make([]Spent, n)
+			reported := make([]Spent, n)
 			if at >= lag {
-				heard = said[at-lag]
+				reported = usage[at-lag]
 			}
 			for i, b := range entries {
 				var told []Spent
-				for j, s := range heard {
-					if j != i && s.Repeats > b.Untold() {
+				for j, s := range reported {
+					if j != i && s.Repeats > b.UnreportedLimit() {
 						told = append(told, s)
 					}
 				}
-				b.SetOthers(told)
+				b.SetReported(told)
 			}
 			now, told := 0, make([]Spent, n)
 			for i, b := range entries {
 				for range rapid.IntRange(0, 60).Draw(t, "wanted") {
-					if b.Repeat() {
+					if b.TakeRetry() {
 						now++
 					}
 				}
 				told[i] = b.Own()
 			}
-			spent, said = append(spent, now), append(said, told)
+			spent, usage = append(spent, now), append(usage, told)
 			clock.Advance(step)
 		}
 		for from := range spent {
@@ -78,27 +78,27 @@
 			for _, k := range spent[from:min(from+100, len(spent))] {
 				sum += k
 			}
-			assert.Assert(t, sum <= 200, "%d repetitions in ten seconds by %d entries", sum, n)
+			assert.Assert(t, sum <= 200, "%d retries in 10 s by %d entries, limit 200", sum, n)
 		}
 	})
 }
 
-func TestAnEntryMayUseWhatOthersLeave(t *testing.T) {
+func TestEntryMayUseUnusedShares(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(config(clock))
 	b.SetEntries(9, 0)
 	n := 0
-	for range 20 { // two seconds in which nobody else sends anything again
-		b.SetOthers(nil)
-		for b.Repeat() {
+	for range 20 { // 2 s in which no other entry retries
+		b.SetReported(nil)
+		for b.TakeRetry() {
 			n++
 		}
 		clock.Advance(100 * time.Millisecond)
 	}
-	assert.Assert(t, n > 50 && n < 190, "%d repetitions, an even part has 21", n)
+	assert.Assert(t, n > 50 && n < 190, "%d retries, an even share is 21", n)
 }
 
-func TestARestartedEntryDoesNotCountOnTheAllowance(t *testing.T) {
+func TestNoAllowanceAfterRestart(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	cfg := config(clock)
 	cfg.Resumed = true
@@ -108,24 +108,24 @@
 		b.Request()
 	}
 	n := 0
-	for b.Repeat() {
+	for b.TakeRetry() {
 		n++
 	}
-	assert.Equal(t, n, 3, "a fifth of 20 requests, and nothing more")
+	assert.Equal(t, n, 3, "95 % of a fifth of 20 requests and no allowance")
 	clock.Advance(cfg.Window)
-	assert.Assert(t, b.Left() > 50)
+	assert.Assert(t, b.Remaining() > 50)
 }
 
-func TestLargeFleetsNeedNotTellOfFewRepetitions(t *testing.T) {
+func TestUnreportedLimitOfLargeFleets(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(config(clock))
 	b.SetEntries(20, 0)
-	assert.Equal(t, b.Untold(), 3, "three tenths of 200, divided by 20")
-	b.SetOthers([]Spent{{Repeats: 400}})
+	assert.Equal(t, b.UnreportedLimit(), 3, "three tenths of 200 divided by 20")
+	b.SetReported([]Spent{{Repeats: 400}})
 	for range 3 {
-		assert.Assert(t, b.Repeat(), "what the others take for used is there even if they have used all else")
+		assert.Assert(t, b.TakeRetry(), "unreported share not available after others used up the budget")
 	}
-	assert.Assert(t, !b.Repeat())
+	assert.Assert(t, !b.TakeRetry())
 	b.SetEntries(9, 0)
-	assert.Equal(t, b.Untold(), 0)
+	assert.Equal(t, b.UnreportedLimit(), 0)
 }
--- a/ferry/ferrybudget/doc.go
+++ b/ferry/ferrybudget/doc.go
@@ -1,2 +1,3 @@
-// Package ferrybudget bounds how often requests are sent again, as a share of the requests and an allowance that all entries divide.
+// Package ferrybudget implements a retry budget that all entries share: within a sliding window, retries may reach a
+// ratio of the requests plus a fixed allowance.
 package ferrybudget
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -120,7 +120,7 @@
 func (f *Forwarder) countAndMayRetry(r *request) bool {
 	r.ran++
 	r.mayHaveRun = true
-	if r.mayRunAgain() && r.service.balancer.Usable() > len(r.avoid)+1 && r.service.budget.Left() > 0 {
+	if r.mayRunAgain() && r.service.balancer.Usable() > len(r.avoid)+1 && r.service.budget.Remaining() > 0 {
 		return true
 	}
 	r.ran--
--- a/ferry/ferryforward/refuse.go
+++ b/ferry/ferryforward/refuse.go
@@ -27,7 +27,7 @@
 
 // takeRetry takes one retry from the retry budget of the service and reports whether one was left.
 func (f *Forwarder) takeRetry(r *request) bool {
-	if r.service.budget.Repeat() {
+	if r.service.budget.TakeRetry() {
 		return true
 	}
 	f.metrics.retryDenied(r.service.name)
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -107,7 +107,7 @@
 func (s *Services) Spent() map[ferryid.ServiceName]ferrybudget.Spent {
 	out := map[ferryid.ServiceName]ferrybudget.Spent{}
 	for name, sv := range *s.current.Load() {
-		if own := sv.budget.Own(); own.Repeats > sv.budget.Untold() {
+		if own := sv.budget.Own(); own.Repeats > sv.budget.UnreportedLimit() {
 			out[name] = own
 		}
 	}
@@ -117,7 +117,7 @@
 // SetSpent sets the use of the retry budgets reported by other entries, by service.
 func (s *Services) SetSpent(reported map[ferryid.ServiceName][]ferrybudget.Spent) {
 	for name, sv := range *s.current.Load() {
-		sv.budget.SetOthers(reported[name])
+		sv.budget.SetReported(reported[name])
 	}
 }
 
--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -210,7 +210,7 @@
 // canRestart reports whether another run can replace this one now. The last permitted run is never ended for
 // its silence, since nothing could replace it and the caller decides how long to wait.
 func (d *watchdog) canRestart() bool {
-	return d.mayRestart && d.r.service.budget.Left() > 0
+	return d.mayRestart && d.r.service.budget.Remaining() > 0
 }
 
 // BlockedError reports the engine of a path that prevents a run from being moved to that path.
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -316,7 +316,7 @@
 		return s.handleBrokenRun(ctx, w, err)
 	}
 	name := finishFailed(w)
-	if s.out != nil || (a.Status >= http.StatusInternalServerError && s.canContinue() && r.service.budget.Left() > 0) {
+	if s.out != nil || (a.Status >= http.StatusInternalServerError && s.canContinue() && r.service.budget.Remaining() > 0) {
 		r.avoidUpstream(name)
 		return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "The upstream answered with status %d.", a.Status)
 	}
