--- a/ferry/ferryduty/doc.go
+++ b/ferry/ferryduty/doc.go
@@ -1,2 +1,3 @@
-// Package ferryduty computes which live entries hold a duty, and each entry's share of the platform's rates, with nothing negotiated.
+// Package ferryduty assigns duties to live entries by rendezvous hashing, and computes each entry's share of the
+// platform's rate limits. Neither needs any coordination beyond the membership.
 package ferryduty
--- a/ferry/ferryduty/duty_test.go
+++ b/ferry/ferryduty/duty_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestLossMovesOnlyItsDuties(t *testing.T) {
+func TestMemberLossMovesOnlyItsDuties(t *testing.T) {
 	ms := membersOf(50, 8)
 	gone := ferryid.EntryName("entry-007")
 	after := without(ms, gone)
@@ -94,7 +94,7 @@
 	assert.Assert(t, !ferryduty.Holds(ms, "lease", 1))
 }
 
-func TestDutiesAreEven(t *testing.T) {
+func TestDutiesAreSpreadEvenly(t *testing.T) {
 	ms := membersOf(350, 8)
 	held := map[ferryid.EntryName]int{}
 	for slot := range 3500 {
@@ -104,11 +104,12 @@
 	for _, n := range held {
 		most = max(most, n)
 	}
-	assert.Assert(t, most < 30, "one entry holds %d where 10 are the mean", most)
+	assert.Assert(t, most < 30, "one entry holds %d duties, mean 10", most)
 }
 
-// TestComingBackTogether lets all entries lose the platform at once and counts their tries in each second.
-func TestComingBackTogether(t *testing.T) {
+// TestBackoffStaysWithinTotalRate has all entries lose the platform at the same time and counts their calls in each
+// second.
+func TestBackoffStaysWithinTotalRate(t *testing.T) {
 	const total = 300
 	for _, n := range []int{9, 50, 350} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -132,14 +133,14 @@
 			for _, calls := range perSecond {
 				most = max(most, calls)
 			}
-			t.Logf("%d entries: at most %d calls a second of %d, last back %s after the outage's end", n, most, total, latest)
+			t.Logf("%d entries: at most %d calls/s of %d allowed, last reconnect %s after the end of the outage", n, most, total, latest)
 			assert.Assert(t, most <= total)
 			assert.Assert(t, latest < 19*time.Second)
 		})
 	}
 }
 
-func TestDutiesOfAFailureDomainGoToUsableEntriesFirst(t *testing.T) {
+func TestInDomainListsUsableEntriesFirst(t *testing.T) {
 	ms := membersOf(9, 3)
 	first := ferryduty.InDomain(ms, "reader", "domain-0")
 	assert.Equal(t, len(first), 3)
--- a/ferry/ferryduty/holder.go
+++ b/ferry/ferryduty/holder.go
@@ -11,51 +11,53 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// Duty names one duty, such as the watch of a kind of objects, a claim slot or a customer's limit.
+// Duty is the name of a task assigned to some of the entries, such as watching a kind of objects, a claim slot or a
+// customer's limit.
 type Duty string
 
-// Slot returns the duty of one numbered slot of several.
+// Slot returns the duty of one of several numbered slots.
 func Slot(d Duty, n int) Duty {
 	return Duty(string(d) + "/" + strconv.Itoa(n))
 }
 
-// candidate is a member with its rendezvous weight for a duty.
+// candidate is a member with its rendezvous hash for a duty.
 type candidate struct {
 	name   ferryid.EntryName
 	domain ferryid.DomainName
 	weight uint64
 }
 
-// Holders returns the k members that hold the duty, best first, in as many failure domains as there are.
+// Holders returns the k members that hold the duty, highest weight first, spread over as many failure domains as
+// possible.
 //
-// It is a pure function of the usable members: when one goes, only the duties it held move. Two entries
-// whose membership differs for a moment may both think that they hold a duty, so what a holder does has
-// to be made safe by conditional writes or fencing numbers.
+// It is a pure function of the usable members: when one leaves, only the duties it held move. Entries with
+// different views of the membership may both act as holder for a while, so holders have to use conditional
+// writes or fencing numbers.
 func Holders(ms ferrypeer.Members, d Duty, k int) []ferryid.EntryName {
 	ranked := rank(ms, d)
 	out := make([]ferryid.EntryName, 0, min(k, len(ranked)))
-	taken := map[ferryid.DomainName]int{}
+	perDomain := map[ferryid.DomainName]int{}
 	for round := 0; len(out) < k && len(out) < len(ranked); round++ {
 		for _, c := range ranked {
-			if taken[c.domain] == round && len(out) < k && !slices.Contains(out, c.name) {
+			if perDomain[c.domain] == round && len(out) < k && !slices.Contains(out, c.name) {
 				out = append(out, c.name)
-				taken[c.domain]++
+				perDomain[c.domain]++
 			}
 		}
 		for _, c := range ranked {
-			taken[c.domain] = max(taken[c.domain], round+1)
+			perDomain[c.domain] = max(perDomain[c.domain], round+1)
 		}
 	}
 	return out
 }
 
-// HoldersPerDomain returns the k members of each failure domain that hold the duty there, ordered by name.
+// HoldersPerDomain returns the k members of each failure domain that hold the duty there, sorted by name.
 func HoldersPerDomain(ms ferrypeer.Members, d Duty, k int) []ferryid.EntryName {
-	taken := map[ferryid.DomainName]int{}
+	perDomain := map[ferryid.DomainName]int{}
 	var out []ferryid.EntryName
 	for _, c := range rank(ms, d) {
-		if taken[c.domain] < k {
-			taken[c.domain]++
+		if perDomain[c.domain] < k {
+			perDomain[c.domain]++
 			out = append(out, c.name)
 		}
 	}
@@ -63,15 +65,16 @@
 	return out
 }
 
-// InDomain returns the live members of a failure domain, usable ones first, and among these the ones that hold the duty there.
+// InDomain returns the live members of a failure domain, usable ones first, each group by descending weight for the
+// duty.
 func InDomain(ms ferrypeer.Members, d Duty, domain ferryid.DomainName) []ferryid.EntryName {
 	var usable, others []ferryid.EntryName
-	for _, c := range order(ms, d, ferrypeer.MemberInfo.Usable) {
+	for _, c := range sortByWeight(ms, d, ferrypeer.MemberInfo.Usable) {
 		if c.domain == domain {
 			usable = append(usable, c.name)
 		}
 	}
-	for _, c := range order(ms, d, ferrypeer.MemberInfo.Live) {
+	for _, c := range sortByWeight(ms, d, ferrypeer.MemberInfo.Live) {
 		if c.domain == domain && !slices.Contains(usable, c.name) {
 			others = append(others, c.name)
 		}
@@ -89,16 +92,16 @@
 	return slices.Contains(HoldersPerDomain(ms, d, k), ms.Self)
 }
 
-// rank orders the usable members by their weight for a duty.
+// rank returns the usable members by descending weight for a duty.
 func rank(ms ferrypeer.Members, d Duty) []candidate {
-	return order(ms, d, ferrypeer.MemberInfo.Usable)
+	return sortByWeight(ms, d, ferrypeer.MemberInfo.Usable)
 }
 
-func order(ms ferrypeer.Members, d Duty, may func(ferrypeer.MemberInfo) bool) []candidate {
+func sortByWeight(ms ferrypeer.Members, d Duty, eligible func(ferrypeer.MemberInfo) bool) []candidate {
 	out := make([]candidate, 0, len(ms.List))
 	for _, m := range ms.List {
-		if may(m) {
-			out = append(out, candidate{name: m.Name, domain: m.FailureDomain, weight: weigh(d, m.Name)})
+		if eligible(m) {
+			out = append(out, candidate{name: m.Name, domain: m.FailureDomain, weight: rendezvousWeight(d, m.Name)})
 		}
 	}
 	slices.SortFunc(out, func(a, b candidate) int {
@@ -107,7 +110,7 @@
 	return out
 }
 
-func weigh(d Duty, n ferryid.EntryName) uint64 {
+func rendezvousWeight(d Duty, n ferryid.EntryName) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	_, _ = h.WriteString(string(d))
--- a/ferry/ferryduty/share.go
+++ b/ferry/ferryduty/share.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// useOfTotal leaves room for entries whose view of the live count lags.
-	useOfTotal = 0.8
-	// readyWithin is the time over which the first calls after an outage are spread at the least.
-	readyWithin  = time.Second
-	mostDoubling = 3
+	// rateUtilization leaves a margin for entries with an outdated live count.
+	rateUtilization = 0.8
+	// minSpread is the shortest time over which the first calls after an outage are spread.
+	minSpread    = time.Second
+	maxDoublings = 3
 )
 
-// PerSecond is a rate of calls.
+// PerSecond is a rate in calls per second.
 type PerSecond float64
 
-// Share returns the rate of calls to the platform that one of the live entries may make, out of the total that the platform allows; live counts below one are taken as one.
+// Share returns one entry's share of the total rate of calls that the platform allows; a live count below one is
+// taken as one.
 func Share(total PerSecond, live int) PerSecond {
-	return total * useOfTotal / PerSecond(max(1, live))
+	return total * rateUtilization / PerSecond(max(1, live))
 }
 
-// Backoff returns how long one entry waits before its next try at the platform after the given number of failures in a row, from 1.
+// Backoff returns the wait of one entry before its next call to the platform, after one or more consecutive failures.
 //
-// The waits of all entries are spread evenly over a time in which their tries together stay within the
-// total rate, and that time doubles with the failures up to eight times.
+// The waits of all entries are spread evenly over a time that keeps their calls within the total rate. That time
+// doubles with each failure, up to a factor of eight.
 func Backoff(self ferryid.EntryName, total PerSecond, live, failures int) time.Duration {
 	spread := time.Duration(float64(time.Second) / float64(Share(total, live)))
-	spread = max(spread, readyWithin) << min(max(0, failures-1), mostDoubling)
-	return spread/2 + time.Duration(unit(self, failures)*float64(spread))
+	spread = max(spread, minSpread) << min(max(0, failures-1), maxDoublings)
+	return spread/2 + time.Duration(hashFraction(self, failures)*float64(spread))
 }
 
-// unit returns a number in [0, 1) that differs between entries and tries, and is the same each time.
-func unit(self ferryid.EntryName, n int) float64 {
+// hashFraction returns a deterministic pseudo-random number in [0, 1) for an entry and an attempt.
+func hashFraction(self ferryid.EntryName, n int) float64 {
 	h := xxhash.Sum64String(string(self)) ^ uint64(n)*0x9E3779B97F4A7C15
 	h ^= h >> 29
 	h *= 0xBF58476D1CE4E5B9
