--- a/ferry/ferrybalance/balancer.go
+++ b/ferry/ferrybalance/balancer.go
@@ -13,98 +13,98 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Options tune a Balancer; Domain should be set.
+// Options configures a Balancer; Domain should be set.
 type Options struct {
 	Clock clockwork.Clock
-	// Domain is the failure domain of this entry, whose upstreams cost no bytes between domains.
+	// Domain is the failure domain of this entry; calls to its upstreams cause no traffic between domains.
 	Domain ferryid.DomainName
 }
 
-// Balancer chooses among the upstreams of one service; all methods may be called from any goroutine.
+// Balancer chooses among the upstreams of one service; it is safe for concurrent use.
 type Balancer struct {
 	opts Options
 
-	mu    sync.Mutex
-	rows  []*row
-	names map[ferryid.UpstreamName]*row
+	mu     sync.Mutex
+	states []*upstreamState
+	byName map[ferryid.UpstreamName]*upstreamState
 }
 
-// row is what this entry knows of one upstream.
-type row struct {
-	up      *ferrydiscovery.Upstream
-	running int
-	latency ewma
-	failing ewma
-	health  ferryhealth.Health
-	report  Load
-	at      time.Time
+// upstreamState is this entry's state of one upstream.
+type upstreamState struct {
+	up          *ferrydiscovery.Upstream
+	running     int
+	latency     ewma
+	failureRate ewma
+	health      ferryhealth.Health
+	load        Load
+	loadAt      time.Time
 }
 
-// Load is what an upstream says of itself in its answers.
+// Load is the load that an upstream reports in its answers, in requests and slots.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// New returns a balancer without upstreams.
+// New returns a Balancer without upstreams.
 func New(opts Options) *Balancer {
 	if opts.Clock == nil {
 		opts.Clock = clockwork.NewRealClock()
 	}
-	return &Balancer{opts: opts, names: map[ferryid.UpstreamName]*row{}}
+	return &Balancer{opts: opts, byName: map[ferryid.UpstreamName]*upstreamState{}}
 }
 
-// SetUpstreams takes the upstreams of the service; what is known of one that still runs is kept.
+// SetUpstreams replaces the upstreams of the service; the state of an upstream is kept until it restarts.
 func (b *Balancer) SetUpstreams(list []*ferrydiscovery.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	old := b.names
-	b.names = make(map[ferryid.UpstreamName]*row, len(list))
-	b.rows = b.rows[:0]
+	old := b.byName
+	b.byName = make(map[ferryid.UpstreamName]*upstreamState, len(list))
+	b.states = b.states[:0]
 	for _, u := range list {
 		r := old[ferryid.UpstreamName(u.Name)]
 		if r == nil || !r.up.SameRun(u) {
-			r = &row{}
+			r = &upstreamState{}
 		}
 		r.up = u
-		b.names[ferryid.UpstreamName(u.Name)] = r
-		b.rows = append(b.rows, r)
+		b.byName[ferryid.UpstreamName(u.Name)] = r
+		b.states = append(b.states, r)
 	}
 }
 
-// Call is one call that this entry has given to an upstream; it is ended by exactly one of its methods.
+// Call is one call assigned to an upstream; the caller must end it by exactly one of its methods.
 type Call struct {
 	Upstream *ferrydiscovery.Upstream
 
 	balancer *Balancer
-	row      *row
+	state    *upstreamState
 	started  time.Time
 }
 
-// Pick chooses an upstream for a call and counts it there, or returns nil where there is none left.
+// Pick chooses an upstream for a call and counts the call as running there, or returns nil if none is left.
 //
-// A call that must not repeat keeps away from upstreams with recent failures more than one that can be sent again.
+// Recent failures of an upstream weigh more for a call that cannot be retried.
 func (b *Balancer) Pick(avoid []ferryid.UpstreamName, repeatable bool) *Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.opts.Clock.Now()
-	best := b.least(now, avoid, repeatable, false)
+	best := b.cheapest(now, avoid, repeatable, false)
 	if best == nil {
-		best = b.least(now, avoid, repeatable, true)
+		best = b.cheapest(now, avoid, repeatable, true)
 	}
 	if best == nil {
 		return nil
 	}
 	best.health.Chosen(now)
 	best.running++
-	return &Call{Upstream: best.up, balancer: b, row: best, started: now}
+	return &Call{Upstream: best.up, balancer: b, state: best, started: now}
 }
 
-// least returns the cheapest upstream, of those that are out only as a last resort.
-func (b *Balancer) least(now time.Time, avoid []ferryid.UpstreamName, repeatable, lastResort bool) *row {
-	var best *row
+// cheapest returns the upstream with the lowest cost; as a last resort it also considers ejected upstreams.
+func (b *Balancer) cheapest(now time.Time, avoid []ferryid.UpstreamName, repeatable, lastResort bool) *upstreamState {
+	var best *upstreamState
 	least := math.Inf(1)
-	for _, r := range b.rows {
-		if !r.up.Ready() || avoids(avoid, r.up) || (!lastResort && !r.health.Usable(now, repeatable)) {
+	for _, r := range b.states {
+		if !r.up.Ready() || contains(avoid, r.up) || (!lastResort && !r.health.Usable(now, repeatable)) {
 			continue
 		}
 		c := b.cost(r, now, repeatable)
@@ -115,7 +115,7 @@
 	return best
 }
 
-func avoids(avoid []ferryid.UpstreamName, u *ferrydiscovery.Upstream) bool {
+func contains(avoid []ferryid.UpstreamName, u *ferrydiscovery.Upstream) bool {
 	for _, name := range avoid {
 		if string(name) == u.Name {
 			return true
@@ -125,28 +125,29 @@
 }
 
 const (
-	// usualLatency is assumed until an upstream has answered.
-	usualLatency = 20 * time.Millisecond
-	// leastLatency keeps costs apart where calls take no time worth measuring.
-	leastLatency = time.Millisecond
-	// remoteCost is what a call to another failure domain costs more, for its delay and bytes.
+	// defaultLatency is assumed until an upstream has answered.
+	defaultLatency = 20 * time.Millisecond
+	// minLatency keeps load effective in the cost of calls with negligible latency.
+	minLatency = time.Millisecond
+	// remoteCost is the extra cost of a call to another failure domain, for its delay and traffic.
 	remoteCost = time.Millisecond
-	// reportAge is how long an upstream's word on its load is believed.
-	reportAge = 300 * time.Millisecond
-	// failureCost is what a failure costs a call that can be sent again, and unsafeFailureCost one that cannot.
+	// loadTTL is how long a reported load is used.
+	loadTTL = 300 * time.Millisecond
+	// failureCost is the cost of a failure for a call that can be retried, and unsafeFailureCost for one that cannot.
 	failureCost       = 200 * time.Millisecond
 	unsafeFailureCost = 2 * time.Second
-	// jitter spreads similar costs over the upstreams, and with them a caller's second try: what fails at one may be a matter of that one and the request.
+	// jitter is the largest relative random surcharge. It spreads calls over upstreams of similar cost, and also a
+	// caller's retries, since a failure may depend on the combination of request and upstream.
 	jitter = 0.5
 )
 
-// cost is the time that a call is expected to cost at an upstream, in seconds.
-func (b *Balancer) cost(r *row, now time.Time, repeatable bool) float64 {
-	base := max(r.latency.or(b.quickest()), leastLatency.Seconds())
+// cost returns the expected cost of a call at an upstream, in seconds.
+func (b *Balancer) cost(r *upstreamState, now time.Time, repeatable bool) float64 {
+	base := max(r.latency.valueOr(b.lowestLatency()), minLatency.Seconds())
 	slots := float64(max(1, r.up.Slots))
 	load := float64(r.running)
-	if now.Sub(r.at) < reportAge {
-		load = max(load, float64(r.report.Running+r.report.Waiting))
+	if now.Sub(r.loadAt) < loadTTL {
+		load = max(load, float64(r.load.Running+r.load.Waiting))
 	}
 	c := base * (1 + load/slots)
 	if load >= slots {
@@ -155,79 +156,80 @@
 	if r.up.FailureDomain != b.opts.Domain {
 		c += remoteCost.Seconds()
 	}
-	price := failureCost
+	failurePenalty := failureCost
 	if !repeatable {
-		price = unsafeFailureCost
+		failurePenalty = unsafeFailureCost
 	}
-	c += r.failing.or(0) * price.Seconds()
+	c += r.failureRate.valueOr(0) * failurePenalty.Seconds()
 	if r.up.Warming > 0 {
 		c += base / 2
 	}
 	return c * (1 + jitter*rand.Float64())
 }
 
-// quickest is the least latency of the upstreams that have answered; one that has not is taken to be as quick, so that it is tried.
-func (b *Balancer) quickest() float64 {
-	least := usualLatency.Seconds()
-	for _, r := range b.rows {
-		least = min(least, r.latency.or(least))
+// lowestLatency returns the lowest mean latency, at most defaultLatency. It is assumed for upstreams without answers so
+// far, so that they are tried.
+func (b *Balancer) lowestLatency() float64 {
+	least := defaultLatency.Seconds()
+	for _, r := range b.states {
+		least = min(least, r.latency.valueOr(least))
 	}
 	return least
 }
 
-// Done ends a call that the upstream answered in full.
+// Done ends a call with a complete answer; load may be nil.
 func (c *Call) Done(load *Load) {
-	c.end(func(r *row, now time.Time) {
+	c.end(func(r *upstreamState, now time.Time) {
 		r.latency.add(now.Sub(c.started).Seconds())
-		r.failing.add(0)
+		r.failureRate.add(0)
 		r.health.Succeeded()
 		if load != nil {
-			r.report, r.at = *load, now
+			r.load, r.loadAt = *load, now
 		}
 	})
 }
 
-// Failed ends a call that the upstream failed or broke off.
+// Failed ends a call that the upstream failed or aborted.
 func (c *Call) Failed() {
-	c.end(func(r *row, now time.Time) {
-		r.failing.add(1)
+	c.end(func(r *upstreamState, now time.Time) {
+		r.failureRate.add(1)
 		r.health.Failed(now)
 	})
 }
 
-// Unreachable ends a call for which no connection could be had.
+// Unreachable ends a call for which no connection could be opened.
 func (c *Call) Unreachable() {
-	c.end(func(r *row, now time.Time) {
-		r.failing.add(1)
+	c.end(func(r *upstreamState, now time.Time) {
+		r.failureRate.add(1)
 		r.health.Unreachable(now)
 	})
 }
 
-// Refused ends a call that the upstream refused unrun for want of room.
+// Refused ends a call that the upstream refused without running it, for lack of capacity.
 func (c *Call) Refused() {
-	c.end(func(r *row, now time.Time) { r.health.Refused(now) })
+	c.end(func(r *upstreamState, now time.Time) { r.health.Refused(now) })
 }
 
-// Cancelled ends a call that the caller or this entry gave up.
+// Cancelled ends a call that the caller or this entry cancelled; it does not affect the upstream's state.
 func (c *Call) Cancelled() {
-	c.end(func(*row, time.Time) {})
+	c.end(func(*upstreamState, time.Time) {})
 }
 
-func (c *Call) end(f func(*row, time.Time)) {
+func (c *Call) end(f func(*upstreamState, time.Time)) {
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c.row.running--
-	f(c.row, b.opts.Clock.Now())
+	c.state.running--
+	f(c.state, b.opts.Clock.Now())
 }
 
-// Usable counts the upstreams that may be chosen now.
+// Usable returns the number of ready upstreams that are not ejected.
 func (b *Balancer) Usable() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.opts.Clock.Now()
 	n := 0
-	for _, r := range b.rows {
+	for _, r := range b.states {
 		if r.up.Ready() && r.health.Usable(now, true) {
 			n++
 		}
@@ -235,12 +237,12 @@
 	return n
 }
 
-// Known counts the upstreams that take work, whether they answer or not.
+// Known returns the number of ready upstreams, including ejected ones.
 func (b *Balancer) Known() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, r := range b.rows {
+	for _, r := range b.states {
 		if r.up.Ready() {
 			n++
 		}
--- a/ferry/ferrybalance/balancer_test.go
+++ b/ferry/ferrybalance/balancer_test.go
@@ -31,8 +31,8 @@
 	return b, clock
 }
 
-// share picks many times and counts, each pick ended by f.
-func share(b *Balancer, repeatable bool, f func(*Call)) map[string]int {
+// pickCounts picks 300 times, ends each call by f and counts the calls of each upstream.
+func pickCounts(b *Balancer, repeatable bool, f func(*Call)) map[string]int {
 	got := map[string]int{}
 	for range 300 {
 		c := b.Pick(nil, repeatable)
@@ -44,14 +44,14 @@
 
 func TestCallsSpreadOverEqualUpstreams(t *testing.T) {
 	b, clock := balancer(3)
-	got := share(b, true, func(c *Call) { clock.Advance(15 * time.Millisecond); c.Done(nil) })
+	got := pickCounts(b, true, func(c *Call) { clock.Advance(15 * time.Millisecond); c.Done(nil) })
 	for name, n := range got {
 		assert.Assert(t, n > 50, "%s got %d of 300", name, n)
 	}
 	assert.Equal(t, len(got), 3)
 }
 
-func TestRunningCallsAreSpreadEvenly(t *testing.T) {
+func TestConcurrentCallsSpreadEvenly(t *testing.T) {
 	b, _ := balancer(3)
 	got := map[string]int{}
 	for range 18 {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSlowAndFailingUpstreamsGetLess(t *testing.T) {
+func TestSlowAndFailingUpstreamsAreAvoided(t *testing.T) {
 	b, clock := balancer(3)
 	for range 20 {
 		for _, avoid := range [][]ferryid.UpstreamName{{"u1", "u2"}, {"u0", "u2"}, {"u0", "u1"}} {
@@ -74,56 +74,56 @@
 			c.Done(nil)
 		}
 	}
-	got := share(b, true, func(c *Call) { c.Cancelled() })
-	assert.Equal(t, got["u0"], 0, "an upstream that takes 20 times as long")
+	got := pickCounts(b, true, func(c *Call) { c.Cancelled() })
+	assert.Equal(t, got["u0"], 0, "calls to the upstream with 20 times the latency")
 	c := b.Pick([]ferryid.UpstreamName{"u0", "u2"}, true)
 	c.Failed()
-	got = share(b, false, func(c *Call) { c.Cancelled() })
-	assert.Equal(t, got["u1"], 0, "a call that must not repeat keeps away from one that has just failed")
+	got = pickCounts(b, false, func(c *Call) { c.Cancelled() })
+	assert.Equal(t, got["u1"], 0, "non-repeatable calls to an upstream that has just failed")
 }
 
-func TestNoUpstreamIsLeftOutWhenAllFail(t *testing.T) {
+func TestEjectedUpstreamsAreLastResort(t *testing.T) {
 	b, _ := balancer(2)
 	for range 4 {
 		b.Pick(nil, true).Unreachable()
 	}
 	assert.Equal(t, b.Usable(), 0)
-	assert.Assert(t, b.Pick(nil, true) != nil, "a wrong judgement must not stop a service")
+	assert.Assert(t, b.Pick(nil, true) != nil, "no upstream picked although all were ejected")
 	assert.Assert(t, b.Pick([]ferryid.UpstreamName{"u0", "u1"}, true) == nil)
 }
 
-func TestLeavingUpstreamsGetNothing(t *testing.T) {
+func TestDrainingUpstreamsGetNoCalls(t *testing.T) {
 	b, _ := balancer(2)
 	list := upstreams(2)
 	list[0].State = ferryplatform.StateLeaving
 	b.SetUpstreams(list)
-	got := share(b, true, func(c *Call) { c.Done(nil) })
+	got := pickCounts(b, true, func(c *Call) { c.Done(nil) })
 	assert.DeepEqual(t, got, map[string]int{"u1": 300})
 	assert.Equal(t, b.Known(), 1)
 }
 
-func TestWhatIsKnownEndsWithTheRun(t *testing.T) {
+func TestStateEndsWithUpstreamRestart(t *testing.T) {
 	b, _ := balancer(2)
 	for range 5 {
 		b.Pick([]ferryid.UpstreamName{"u1"}, true).Unreachable()
 	}
 	assert.Equal(t, b.Usable(), 1)
 	b.SetUpstreams(upstreams(2))
-	assert.Equal(t, b.Usable(), 1, "the same run is still out")
+	assert.Equal(t, b.Usable(), 1, "unchanged upstream is no longer ejected")
 	list := upstreams(2)
 	list[0].Started = time.Unix(200, 0)
 	b.SetUpstreams(list)
-	assert.Equal(t, b.Usable(), 2, "a new run starts afresh")
+	assert.Equal(t, b.Usable(), 2, "restarted upstream is still ejected")
 }
 
-func TestAnUpstreamsWordOnItsLoadCountsForAWhile(t *testing.T) {
+func TestReportedLoadExpires(t *testing.T) {
 	b, clock := balancer(2)
 	busy := b.Pick([]ferryid.UpstreamName{"u1"}, true)
 	clock.Advance(15 * time.Millisecond)
 	busy.Done(&Load{Running: 6, Waiting: 12, Slots: 6})
-	got := share(b, true, func(c *Call) { c.Cancelled() })
+	got := pickCounts(b, true, func(c *Call) { c.Cancelled() })
 	assert.Equal(t, got["u0"], 0)
-	clock.Advance(reportAge)
-	got = share(b, true, func(c *Call) { c.Cancelled() })
+	clock.Advance(loadTTL)
+	got = pickCounts(b, true, func(c *Call) { c.Cancelled() })
 	assert.Assert(t, got["u0"] > 50)
 }
--- a/ferry/ferrybalance/doc.go
+++ b/ferry/ferrybalance/doc.go
@@ -1,2 +1,3 @@
-// Package ferrybalance chooses the upstream for each call to a plain service, from the calls that run there, how long recent ones took and how many failed.
+// Package ferrybalance chooses the upstream for each call to a plain service by the number of running calls and the
+// recent latency and failures.
 package ferrybalance
--- a/ferry/ferrybalance/ewma.go
+++ b/ferry/ferrybalance/ewma.go
@@ -1,25 +1,25 @@
 package ferrybalance
 
-// newest is the weight of the newest observation in a running mean.
-const newest = 0.25
+// newestWeight is the weight of the newest observation.
+const newestWeight = 0.25
 
-// ewma is an exponentially weighted mean; its zero value has seen nothing.
+// ewma is an exponentially weighted moving average; its zero value has no observations.
 type ewma struct {
-	value float64
-	seen  bool
+	value       float64
+	initialized bool
 }
 
 func (e *ewma) add(v float64) {
-	if !e.seen {
-		e.value, e.seen = v, true
+	if !e.initialized {
+		e.value, e.initialized = v, true
 		return
 	}
-	e.value += newest * (v - e.value)
+	e.value += newestWeight * (v - e.value)
 }
 
-// or returns the mean, or the given value while nothing has been seen.
-func (e *ewma) or(v float64) float64 {
-	if !e.seen {
+// valueOr returns the average, or v if there are no observations.
+func (e *ewma) valueOr(v float64) float64 {
+	if !e.initialized {
 		return v
 	}
 	return e.value
