--- a/ferry/ferryfollow/doc.go
+++ b/ferry/ferryfollow/doc.go
@@ -1,2 +1,3 @@
-// Package ferryfollow keeps a view of one kind of the platform's objects current, by one list and then watches, and says when the view is lost and regained.
+// Package ferryfollow keeps a view of one kind of platform objects current by a list followed by watches, and reports
+// when the view may be stale.
 package ferryfollow
--- a/ferry/ferryfollow/follower.go
+++ b/ferry/ferryfollow/follower.go
@@ -14,45 +14,45 @@
 
 const (
 	minBackoff = 100 * time.Millisecond
-	maxBackoff = time.Second // entries of instances come back within 2 s of the platform's return
-	// answerGrace is how much later than its wait a watch is answered before its connection counts as silent.
-	answerGrace = 700 * time.Millisecond
-	// firstTimeout bounds a list, which is read by pages.
-	firstTimeout = 3 * time.Second
+	maxBackoff = time.Second // lets views of instances recover within 2 s after an outage
+	// watchGrace is the time beyond its wait after which an unanswered watch times out.
+	watchGrace = 700 * time.Millisecond
+	// listTimeout is the timeout of a list, which is read in pages.
+	listTimeout = 3 * time.Second
 )
 
-// Source is where objects are read: the platform, or an entry that reads it for others.
+// Source reads objects from the platform or through another entry.
 type Source interface {
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind string) (ferryplatform.Changes, error)
-	// Watch waits until objects of a kind change after a version, or until the wait is over.
+	// Watch returns the changes to a kind after a version; it blocks until there is one or wait has passed.
 	Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error)
 }
 
-// Config says what a Follower follows and who hears of it; Source, Kind, Clock and Watcher must be set.
+// Config configures a Follower; Source, Kind, Clock and Watcher are required.
 type Config struct {
 	Source Source
 	Kind   string
 	Clock  clockwork.Clock
 	Log    zerolog.Logger
-	// Wait is how long the platform may hold one watch; a silent connection is noticed that late.
+	// Wait is how long the platform may hold one watch; it delays the detection of a silent connection.
 	Wait time.Duration
-	// Pace is the pause after an answer with changes, so that a quick series of them costs few calls.
+	// Pace is the pause after an answer with changes, which batches a quick series of changes.
 	Pace    time.Duration
 	Watcher Watcher
 }
 
-// Watcher hears what a Follower sees, from one goroutine.
+// Watcher receives the results of a Follower, from a single goroutine.
 type Watcher interface {
-	// Listed brings all objects of the kind.
+	// Listed is called with all objects of the kind.
 	Listed(ferryplatform.Changes)
-	// Changed brings the objects that changed since the last answer; there may be none.
+	// Changed is called with the objects changed since the last answer, which may be none.
 	Changed(ferryplatform.Changes)
-	// Lost says that the view may be out of date from now on.
+	// Lost is called with the first error after which the view may be stale.
 	Lost(error)
 }
 
-// Follower follows one kind.
+// Follower keeps the view of one kind current.
 type Follower struct {
 	cfg      Config
 	after    ferryplatform.Version
@@ -61,7 +61,7 @@
 	failures int
 }
 
-// New returns a follower that does nothing until Run.
+// New returns a Follower; Run starts it.
 func New(cfg Config) *Follower {
 	return &Follower{cfg: cfg}
 }
@@ -74,18 +74,18 @@
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			f.fail(err)
+			f.recordFailure(err)
 			f.pause(ctx, f.backoff())
 			continue
 		}
-		f.regained()
+		f.recordSuccess()
 		if changes > 0 {
 			f.pause(ctx, f.cfg.Pace)
 		}
 	}
 }
 
-// step makes one call and hands on what it brought; it returns the number of changes.
+// step makes one call, passes its result to the watcher and returns the number of changed objects.
 func (f *Follower) step(ctx context.Context) (int, error) {
 	if !f.listed {
 		return f.list(ctx)
@@ -94,20 +94,20 @@
 }
 
 func (f *Follower) list(ctx context.Context) (int, error) {
-	ctx, cancel := clockwork.WithTimeout(ctx, f.cfg.Clock, firstTimeout)
+	ctx, cancel := clockwork.WithTimeout(ctx, f.cfg.Clock, listTimeout)
 	defer cancel()
 	changes, err := f.cfg.Source.List(ctx, f.cfg.Kind)
 	if err != nil {
 		return 0, err
 	}
 	f.after, f.listed = changes.Version, true
-	f.cfg.Log.Info().Str("Kind", f.cfg.Kind).Int("Objects", len(changes.Objects)).Uint64("Version", uint64(changes.Version)).Msg("listed")
+	f.cfg.Log.Info().Str("Kind", f.cfg.Kind).Int("Objects", len(changes.Objects)).Uint64("Version", uint64(changes.Version)).Msg("platform objects listed")
 	f.cfg.Watcher.Listed(changes)
 	return len(changes.Objects), nil
 }
 
 func (f *Follower) watch(ctx context.Context) (int, error) {
-	ctx, cancel := clockwork.WithTimeout(ctx, f.cfg.Clock, f.cfg.Wait+answerGrace)
+	ctx, cancel := clockwork.WithTimeout(ctx, f.cfg.Clock, f.cfg.Wait+watchGrace)
 	defer cancel()
 	changes, err := f.cfg.Source.Watch(ctx, f.cfg.Kind, f.after, f.cfg.Wait)
 	if err != nil {
@@ -121,39 +121,40 @@
 	return len(changes.Objects), nil
 }
 
-// fail notes a failed call; when the history is gone the next step lists, and nothing counts as lost for that.
-func (f *Follower) fail(err error) {
+// recordFailure records a failed call. If the platform no longer has the history, the next step lists and the view
+// does not count as lost.
+func (f *Follower) recordFailure(err error) {
 	f.failures++
 	var gone *ferryplatform.HistoryGoneError
 	if errors.As(err, &gone) {
 		f.listed = false
 		f.failures = 0
-		f.cfg.Log.Info().Err(err).Msg("list again")
+		f.cfg.Log.Info().Err(err).Msg("watch history expired: listing again")
 		return
 	}
 	if f.lost {
 		return
 	}
 	f.lost = true
-	f.cfg.Log.Warn().Err(err).Str("Kind", f.cfg.Kind).Msg("platform lost")
+	f.cfg.Log.Warn().Err(err).Str("Kind", f.cfg.Kind).Msg("read from the platform failed: view may be stale")
 	f.cfg.Watcher.Lost(err)
 }
 
-func (f *Follower) regained() {
+func (f *Follower) recordSuccess() {
 	f.failures = 0
 	if f.lost {
 		f.lost = false
-		f.cfg.Log.Info().Str("Kind", f.cfg.Kind).Uint64("Version", uint64(f.after)).Msg("platform regained")
+		f.cfg.Log.Info().Str("Kind", f.cfg.Kind).Uint64("Version", uint64(f.after)).Msg("platform reachable again: view is current")
 	}
 }
 
-// backoff grows with the failures in a row and differs between entries.
+// backoff returns the wait after consecutive failures; it grows exponentially and has jitter.
 func (f *Follower) backoff() time.Duration {
 	if f.failures == 0 {
 		return 0
 	}
-	most := min(minBackoff<<min(f.failures-1, 8), maxBackoff)
-	return most/2 + time.Duration(rand.Int64N(int64(most/2)))
+	limit := min(minBackoff<<min(f.failures-1, 8), maxBackoff)
+	return limit/2 + time.Duration(rand.Int64N(int64(limit/2)))
 }
 
 func (f *Follower) pause(ctx context.Context, d time.Duration) {
--- a/ferry/ferryfollow/follower_test.go
+++ b/ferry/ferryfollow/follower_test.go
@@ -17,13 +17,13 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// record notes what a watcher heard.
-type record struct {
+// recorder is a Watcher that records its calls.
+type recorder struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (r *record) add(format string, args ...any) {
+func (r *recorder) add(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
@@ -41,17 +41,17 @@
 	return strings.Join(out, " ")
 }
 
-func (r *record) Listed(c ferryplatform.Changes) { r.add("listed %s", names(c)) }
+func (r *recorder) Listed(c ferryplatform.Changes) { r.add("listed %s", names(c)) }
 
-func (r *record) Changed(c ferryplatform.Changes) {
+func (r *recorder) Changed(c ferryplatform.Changes) {
 	if len(c.Objects) > 0 {
 		r.add("changed %s", names(c))
 	}
 }
 
-func (r *record) Lost(error) { r.add("lost") }
+func (r *recorder) Lost(error) { r.add("lost") }
 
-func (r *record) heard() string {
+func (r *recorder) take() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := strings.Join(r.lines, ", ")
@@ -59,21 +59,21 @@
 	return out
 }
 
-// forgetful drops its history on demand, and may never answer a watch.
-type forgetful struct {
+// faultySource is a platform that on demand loses its history once or leaves watches unanswered.
+type faultySource struct {
 	*ferryplatformtest.Fake
 	mu     sync.Mutex
 	gone   bool
 	silent bool
 }
 
-func (f *forgetful) set(gone, silent bool) {
+func (f *faultySource) set(gone, silent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gone, f.silent = gone, silent
 }
 
-func (f *forgetful) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
+func (f *faultySource) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
 	f.mu.Lock()
 	gone, silent := f.gone, f.silent
 	f.gone = false
@@ -88,11 +88,11 @@
 	return f.Fake.Watch(ctx, kind, after, wait)
 }
 
-func follow(t *testing.T) (*forgetful, *record, func(name string)) {
+func startFollower(t *testing.T) (*faultySource, *recorder, func(name string)) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	f := &forgetful{Fake: ferryplatformtest.New(clock)}
-	r := &record{}
+	f := &faultySource{Fake: ferryplatformtest.New(clock)}
+	r := &recorder{}
 	put := func(name string) {
 		t.Helper()
 		_, err := f.Put(t.Context(), "k", name, ferryplatform.NoVersion, []byte("x"))
@@ -112,70 +112,70 @@
 	return f, r, put
 }
 
-func TestSeriesOfChangesComeTogether(t *testing.T) {
+func TestChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, r, put := follow(t)
+		f, r, put := startFollower(t)
 		time.Sleep(time.Second)
-		assert.Equal(t, r.heard(), "listed a")
+		assert.Equal(t, r.take(), "listed a")
 		before := f.Calls().Watch
 		put("b")
 		synctest.Wait()
-		assert.Equal(t, r.heard(), "changed b", "the first change is heard at once")
+		assert.Equal(t, r.take(), "changed b", "first change delayed")
 		for i := range 5 {
 			put(fmt.Sprintf("c%d", i))
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(500 * time.Millisecond)
-		assert.Equal(t, r.heard(), "changed c0 c1 c2 c3 c4")
+		assert.Equal(t, r.take(), "changed c0 c1 c2 c3 c4")
 		assert.Assert(t, f.Calls().Watch-before <= 3, "%d watches for six changes", f.Calls().Watch-before)
 	})
 }
 
-func TestLostHistoryIsListedAgain(t *testing.T) {
+func TestExpiredHistoryIsListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, r, put := follow(t)
+		f, r, put := startFollower(t)
 		time.Sleep(time.Second)
-		r.heard()
+		r.take()
 		f.set(true, false)
 		put("b")
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.heard(), "changed b, listed a b", "a dropped history is no loss of the platform")
+		assert.Equal(t, r.take(), "changed b, listed a b", "expired history reported as loss of the platform")
 	})
 }
 
-func TestASilentWatchIsNoticed(t *testing.T) {
+func TestSilentWatchTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, r, put := follow(t)
+		f, r, put := startFollower(t)
 		time.Sleep(time.Second)
-		r.heard()
+		r.take()
 		f.set(false, true)
-		time.Sleep(2500 * time.Millisecond) // the watch that still answers ends
+		time.Sleep(2500 * time.Millisecond) // lets the watch that is still answered end
 		put("b")
 		time.Sleep(3500 * time.Millisecond)
-		assert.Equal(t, r.heard(), "")
+		assert.Equal(t, r.take(), "")
 		time.Sleep(500 * time.Millisecond)
-		assert.Equal(t, r.heard(), "lost")
+		assert.Equal(t, r.take(), "lost")
 		f.set(false, false)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, r.heard(), "changed b", "and nothing was missed")
+		assert.Equal(t, r.take(), "changed b", "change missed during the silent watch")
 	})
 }
 
-func TestAnOutageCostsFewCallsAndEndsSoon(t *testing.T) {
+func TestOutageCausesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, r, _ := follow(t)
+		f, r, _ := startFollower(t)
 		time.Sleep(time.Second)
-		r.heard()
+		r.take()
 		f.SetFaults(ferryplatformtest.Faults{Outage: true})
 		before := f.Calls().Total()
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, r.heard(), "lost", "the loss is told once")
+		assert.Equal(t, r.take(), "lost", "loss not reported exactly once")
 		calls := f.Calls().Total() - before
 		assert.Assert(t, calls < 60, "%d calls in 20 s", calls)
 		f.SetFaults(ferryplatformtest.Faults{})
 		_, err := f.Put(t.Context(), "k", "b", ferryplatform.NoVersion, []byte("x"))
 		assert.NilError(t, err)
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, r.heard(), "changed b")
+		assert.Equal(t, r.take(), "changed b")
 	})
 }
