--- a/ferry/ferryexchange/answer.go
+++ b/ferry/ferryexchange/answer.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Answer is an upstream's answer whose body is still to be read by one goroutine.
+// Answer is an upstream's answer with a streamed body, which a single goroutine may read.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Skipped counts the answers to other requests that came before this one.
+	// Skipped is the number of answers to other requests that were skipped before this one.
 	Skipped int
 
-	body   io.ReadCloser
-	conn   *conn
-	keep   bool
-	whole  bool
-	broken bool
-	ctx    context.Context
-	stop   func() bool
-	client *Client
+	body      io.ReadCloser
+	conn      *conn
+	reusable  bool
+	complete  bool
+	failed    bool
+	ctx       context.Context
+	stopWatch func() bool
+	client    *Client
 }
 
-// counter counts events of all goroutines.
+// counter is a counter that is safe for concurrent use.
 type counter struct{ atomic.Int64 }
 
-// Read reads from the body; io.EOF means that the body is complete, any other error that it is not.
+// Read reads from the body; only io.EOF means that the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		a.whole = true
+		a.complete = true
 	case err != nil:
-		a.broken = true
+		a.failed = true
 		err = cause(a.ctx, err)
 	}
 	return n, err
 }
 
-// ReadTimeout bounds the time until the next bytes come; zero lifts the bound.
+// ReadTimeout sets the timeout of the next reads, counted from now; zero removes it.
 func (a *Answer) ReadTimeout(d time.Duration) {
 	var at time.Time
 	if d > 0 {
@@ -51,21 +51,22 @@
 	_ = a.conn.SetReadDeadline(at)
 }
 
-// Buffered is the number of bytes that can be read without waiting.
+// Buffered returns the number of bytes that can be read without blocking.
 func (a *Answer) Buffered() int {
 	return a.conn.br.Buffered()
 }
 
-// Close ends the exchange: the connection is kept if the body was read to its end, else closed so that the upstream stops.
+// Close ends the exchange. It keeps the connection if the body was read to its end, and else closes it so that the
+// upstream stops.
 func (a *Answer) Close() {
-	running := a.stop()
-	if !running || !a.whole || a.broken || !a.keep || a.conn.br.Buffered() > 0 {
+	running := a.stopWatch()
+	if !running || !a.complete || a.failed || !a.reusable || a.conn.br.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	idle := idleFor(a.Header, a.client.cfg.IdleTimeout)
+	idle := keepAliveTimeout(a.Header, a.client.cfg.IdleTimeout)
 	now := a.client.cfg.Clock.Now()
-	a.conn.until = now.Add(idle - min(idleMargin, idle/2))
+	a.conn.expires = now.Add(idle - min(idleMargin, idle/2))
 	_ = a.conn.SetReadDeadline(time.Time{})
 	a.client.pool.put(a.conn)
 }
--- a/ferry/ferryexchange/client.go
+++ b/ferry/ferryexchange/client.go
@@ -17,29 +17,29 @@
 
 const (
 	defaultDialTimeout = time.Second
-	defaultIdleTimeout = 4 * time.Second // below the 5 s that common servers keep idle connections
+	defaultIdleTimeout = 4 * time.Second // below the 5 s idle timeout of common servers
 	defaultIdleConns   = 8
-	// idleMargin is taken from the time that the other end keeps an idle connection, for a request under way while it closes.
+	// idleMargin is subtracted from the upstream's idle timeout, so that no request meets a connection being closed.
 	idleMargin = time.Second
-	// maxForeign is how many answers to other requests are passed over before the connection is given up.
-	maxForeign = 4
-	// maxSkipBytes bounds how much of a foreign answer is read to reach the next one.
+	// maxForeignAnswers is the number of answers to other requests after which an exchange fails.
+	maxForeignAnswers = 4
+	// maxSkipBytes is the maximum body size of an answer to another request that is skipped.
 	maxSkipBytes = 256 << 10
 )
 
-// Config sets up a Client; zero values take the defaults of 1 s, 4 s and 8.
+// Config configures a Client; DialTimeout, IdleTimeout and IdleConns default to 1 s, 4 s and 8.
 type Config struct {
 	Clock       clockwork.Clock
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept where the upstream does not say.
+	// IdleTimeout is how long an idle connection is kept if the upstream sends no Keep-Alive timeout.
 	IdleTimeout time.Duration
-	// IdleConns is the most idle connections to one upstream.
+	// IdleConns is the maximum number of idle connections per upstream.
 	IdleConns int
-	// Dial opens connections, or is nil for TCP.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client sends requests to upstreams.
+// Client sends requests to upstreams; it is safe for concurrent use.
 type Client struct {
 	cfg   Config
 	pool  *pool
@@ -47,7 +47,7 @@
 	dials counter
 }
 
-// New returns a client.
+// New returns a Client.
 func New(cfg Config) *Client {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
@@ -67,30 +67,30 @@
 	return &Client{cfg: cfg, pool: newPool(cfg.IdleConns), bufs: sync.Pool{New: func() any { return new(bytes.Buffer) }}}
 }
 
-// Dials counts the connections opened since the start.
+// Dials returns the number of attempts to open a connection so far.
 func (c *Client) Dials() int64 { return c.dials.Load() }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes idle connections that have reached their idle timeout.
 func (c *Client) Sweep() { c.pool.sweep(c.cfg.Clock.Now()) }
 
-// Drop closes the idle connections to an address whose upstream is gone.
+// Drop closes the idle connections to an address.
 func (c *Client) Drop(address string) { c.pool.drop(address) }
 
 // Close closes all idle connections.
 func (c *Client) Close() { c.pool.close() }
 
-// Do sends a request once and returns its answer, whose body must be closed, or an *Error.
+// Do sends a request once and returns its answer, which must be closed, or an *Error.
 //
-// The connection is closed when the context ends, which tells the upstream that nobody waits any more.
+// The connection is closed when the context ends, so that the upstream can stop.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
-	cn, err := c.connect(ctx, address, r.Alone)
+	cn, err := c.getConn(ctx, address, r.NewConn)
 	if err != nil {
 		return nil, &Error{Address: address, Phase: ferryoutcome.PhaseNotConnected, Err: err}
 	}
 	reused := cn.used
 	cn.used = true
 	stop := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	n, err := c.write(cn, r)
+	n, err := c.writeRequest(cn, r)
 	if err != nil {
 		stop()
 		_ = cn.Close()
@@ -100,17 +100,17 @@
 		}
 		return nil, &Error{Address: address, Phase: phase, Reused: reused, Err: cause(ctx, err)}
 	}
-	a, err := c.read(cn, r)
+	a, err := c.readAnswer(cn, r)
 	if err != nil {
 		stop()
 		_ = cn.Close()
 		return nil, &Error{Address: address, Phase: ferryoutcome.PhaseWriting, Reused: reused, Err: cause(ctx, err)}
 	}
-	a.ctx, a.stop, a.client = ctx, stop, c
+	a.ctx, a.stopWatch, a.client = ctx, stop, c
 	return a, nil
 }
 
-// Probe opens a connection and closes it again, to see whether anything answers at the address.
+// Probe checks that the address accepts connections.
 func (c *Client) Probe(ctx context.Context, address string) error {
 	c.dials.Add(1)
 	nc, err := c.cfg.Dial(ctx, "tcp", address)
@@ -120,7 +120,7 @@
 	return nc.Close()
 }
 
-// cause prefers the reason for which the context ended over the error that closing the connection brought.
+// cause returns the cancellation cause of an ended context in place of the resulting connection error.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -128,8 +128,8 @@
 	return err
 }
 
-func (c *Client) connect(ctx context.Context, address string, alone bool) (*conn, error) {
-	if !alone {
+func (c *Client) getConn(ctx context.Context, address string, newConnOnly bool) (*conn, error) {
+	if !newConnOnly {
 		if cn := c.pool.take(address, c.cfg.Clock.Now()); cn != nil {
 			return cn, nil
 		}
@@ -144,8 +144,8 @@
 	return newConn(nc, address), nil
 }
 
-// write hands the request over in one piece and returns how many bytes the connection took.
-func (c *Client) write(cn *conn, r *Request) (int, error) {
+// writeRequest sends the request in a single write and returns the number of bytes written.
+func (c *Client) writeRequest(cn *conn, r *Request) (int, error) {
 	b, _ := c.bufs.Get().(*bytes.Buffer)
 	defer c.bufs.Put(b)
 	b.Reset()
@@ -153,39 +153,40 @@
 	return cn.Write(b.Bytes())
 }
 
-// read returns the answer to the request, past interim answers and answers to other requests.
-func (c *Client) read(cn *conn, r *Request) (*Answer, error) {
+// readAnswer returns the answer to the request; it skips interim answers and answers to other requests.
+func (c *Client) readAnswer(cn *conn, r *Request) (*Answer, error) {
 	method := &http.Request{Method: r.Method}
-	for foreign := 0; foreign < maxForeign; {
+	for foreign := 0; foreign < maxForeignAnswers; {
 		w, err := http.ReadResponse(cn.br, method)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		switch {
 		case w.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errors.New("upstream switched protocols unasked")
+			return nil, errors.New("upstream answered 101 Switching Protocols to a request without Upgrade")
 		case w.StatusCode/100 == 1:
 			continue
 		case r.Echo == "" || w.Header.Get(r.Echo) == "" || w.Header.Get(r.Echo) == r.Header.Get(r.Echo):
-			return &Answer{Status: w.StatusCode, Header: w.Header, body: w.Body, conn: cn, keep: !w.Close, Skipped: foreign}, nil
+			return &Answer{Status: w.StatusCode, Header: w.Header, body: w.Body, conn: cn, reusable: !w.Close, Skipped: foreign}, nil
 		}
 		foreign++
-		if err := skip(w); err != nil {
+		if err := skipAnswer(w); err != nil {
 			return nil, err
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrForeignAnswers
 }
 
-// skip reads past a foreign answer; one that ends with its connection leaves no room for ours.
-func skip(w *http.Response) error {
+// skipAnswer reads the body of an answer to another request. It fails if no further answer can follow on the
+// connection.
+func skipAnswer(w *http.Response) error {
 	defer w.Body.Close()
 	if w.Close {
-		return ErrForeign
+		return ErrForeignAnswers
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(w.Body, maxSkipBytes))
 	if err != nil || n == maxSkipBytes {
-		return ErrForeign
+		return ErrForeignAnswers
 	}
 	return nil
 }
--- a/ferry/ferryexchange/doc.go
+++ b/ferry/ferryexchange/doc.go
@@ -1,2 +1,3 @@
-// Package ferryexchange sends single HTTP/1.1 requests over connections that it owns, never repeats one by itself, and knows for each that failed whether a byte of it was handed over.
+// Package ferryexchange is an HTTP/1.1 client that never retries by itself and reports for each failed request whether
+// any byte of it was written to the connection.
 package ferryexchange
--- a/ferry/ferryexchange/error.go
+++ b/ferry/ferryexchange/error.go
@@ -7,14 +7,14 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// ErrForeign says that only answers to other requests came.
-var ErrForeign = errors.New("answers to other requests came in place of this one's")
+// ErrForeignAnswers reports that the connection delivered only answers to other requests.
+var ErrForeignAnswers = errors.New("no answer to this request: connection delivered answers to other requests")
 
-// Error says how far a request had come when it failed.
+// Error is the error of a failed request with the phase in which it failed.
 type Error struct {
 	Address string
 	Phase   ferryoutcome.Phase
-	// Reused says that the connection had carried another request before.
+	// Reused is set if the connection had carried another request before.
 	Reused bool
 	Err    error
 }
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("exchange with %s: %v", e.Address, e.Err)
 }
 
-// Unwrap returns the underlying error.
+// Unwrap returns the cause of the failure.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Outcome is what is known of the failed request.
+// Outcome returns whether the failed request may have run.
 func (e *Error) Outcome() ferryoutcome.Outcome {
 	return ferryoutcome.OfFailure(e.Phase)
 }
--- a/ferry/ferryexchange/pool.go
+++ b/ferry/ferryexchange/pool.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// pool keeps idle connections by address, the one used last first.
+// pool keeps idle connections by address and reuses the most recent one first.
 type pool struct {
 	mu      sync.Mutex
-	most    int
+	maxIdle int
 	byAddr  map[string][]*conn
 	closed  bool
 	sweepAt time.Time
 }
 
-func newPool(most int) *pool {
-	return &pool{most: most, byAddr: map[string][]*conn{}}
+func newPool(maxIdle int) *pool {
+	return &pool{maxIdle: maxIdle, byAddr: map[string][]*conn{}}
 }
 
-// take returns an idle connection that is still open, or nil.
+// take removes and returns an idle connection that is still open, or returns nil.
 func (p *pool) take(address string, now time.Time) *conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.until) && c.alive() {
+		if now.Before(c.expires) && c.usable() {
 			return c
 		}
 		_ = c.Close()
@@ -44,25 +44,25 @@
 	return c
 }
 
-// put keeps a connection for the next request, or closes it if there are enough.
+// put adds an idle connection, or closes it if the pool is full or closed.
 func (p *pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.byAddr[c.address]) >= p.most {
+	if p.closed || len(p.byAddr[c.address]) >= p.maxIdle {
 		_ = c.Close()
 		return
 	}
 	p.byAddr[c.address] = append(p.byAddr[c.address], c)
 }
 
-// sweep closes the connections that are no longer to be used.
+// sweep closes expired connections.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, idle := range p.byAddr {
 		kept := idle[:0]
 		for _, c := range idle {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
--- a/ferry/ferryexchange/request.go
+++ b/ferry/ferryexchange/request.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection only and are never passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders are the hop-by-hop headers, which are never forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Request is one request as it goes to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// Target is the request target exactly as it goes on the first line.
+	// Target is the request target as written in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Alone asks for a new connection, since an idle one may be about to be closed by its other end.
-	Alone bool
-	// Echo is a header of the request that the answer repeats; an answer with another value belongs to another request.
+	// NewConn requests a new connection, since the upstream may be closing an idle one.
+	NewConn bool
+	// Echo is the name of a header that an answer copies from its request; answers with another value are skipped.
 	Echo string
 }
 
-// appendTo writes the request in its wire form.
+// appendTo writes the encoded request to a buffer.
 func (r *Request) appendTo(b *bytes.Buffer) {
 	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	_ = r.Header.WriteSubset(b, frameHeaders)
@@ -41,11 +41,11 @@
 	b.Write(r.Body)
 }
 
-// frameHeaders are written by appendTo itself.
+// frameHeaders are the headers that appendTo writes itself.
 var frameHeaders = map[string]bool{"Host": true, "Content-Length": true}
 
-// PassOn copies the headers that do not concern one connection only.
-func PassOn(from http.Header) http.Header {
+// EndToEndHeaders returns a copy of the headers without the hop-by-hop ones.
+func EndToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+4)
 	for k, vs := range from {
 		to[k] = vs
@@ -55,7 +55,7 @@
 			delete(to, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, k := range connectionHeaders {
+	for _, k := range hopByHopHeaders {
 		delete(to, k)
 	}
 	return to
--- a/ferry/ferryforward/forwarder.go
+++ b/ferry/ferryforward/forwarder.go
@@ -149,7 +149,7 @@
 	if r.service == nil {
 		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "The route's service is not known here yet.").After(retryAfterRestart)
 	}
-	r.header = ferryexchange.PassOn(c.Header)
+	r.header = ferryexchange.EndToEndHeaders(c.Header)
 	return r, nil
 }
 
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -98,7 +98,7 @@
 		a.Close()
 		return nil, f.handleBrokenExchange(ctx, r, pick, errUnsigned)
 	}
-	w := &bufferedAnswer{status: a.Status, header: ferryexchange.PassOn(a.Header), body: body, pick: pick, load: v.Load}
+	w := &bufferedAnswer{status: a.Status, header: ferryexchange.EndToEndHeaders(a.Header), body: body, pick: pick, load: v.Load}
 	if long {
 		w.rest = a
 	}
--- a/ferry/ferryforward/request.go
+++ b/ferry/ferryforward/request.go
@@ -78,7 +78,7 @@
 	dialect.EncodeOutgoing(h, o)
 	return &ferryexchange.Request{
 		Method: r.call.Method, Target: r.call.Target, Host: r.call.Host, Header: h, Body: r.call.Body,
-		Alone: !r.repeatable(), Echo: dialect.Echo(),
+		NewConn: !r.repeatable(), Echo: dialect.Echo(),
 	}
 }
 
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -285,7 +285,7 @@
 	if s.out != nil {
 		return nil
 	}
-	h := ferryexchange.PassOn(a.Header)
+	h := ferryexchange.EndToEndHeaders(a.Header)
 	s.cfg.Dialect.StripInternal(h)
 	out, err := s.r.call.Stream(a.Status, h)
 	if err != nil {
@@ -320,7 +320,7 @@
 		r.avoidUpstream(name)
 		return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "The upstream answered with status %d.", a.Status)
 	}
-	h := ferryexchange.PassOn(a.Header)
+	h := ferryexchange.EndToEndHeaders(a.Header)
 	s.cfg.Dialect.StripInternal(h)
 	s.metrics.answered(r.service.name, a.Status, s.cfg.Clock.Since(r.call.At))
 	s.log.Info().Str("Request", string(r.ID)).Str("Upstream", name).Int("Status", a.Status).Msg("upstream error status passed on to the caller")
