--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -48,7 +48,7 @@
 // answerFailure answers with the problem of the last attempt, or with noAttempt if none was made.
 func (f *Forwarder) answerFailure(ctx context.Context, r *request, last, noAttempt *ferryoutcome.Problem) {
 	switch {
-	case errors.Is(context.Cause(ctx), ferryingress.ErrCallerLeft):
+	case errors.Is(context.Cause(ctx), ferryingress.ErrCallerDisconnected):
 		f.log.Info().Str("Request", string(r.ID)).Int("Ran", r.ran).Msg("call abandoned: caller disconnected")
 		return
 	case last == nil:
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -129,7 +129,7 @@
 	}
 	msg := "stream aborted: no further run possible"
 	switch cause := context.Cause(ctx); {
-	case errors.Is(cause, ferryingress.ErrCallerLeft):
+	case errors.Is(cause, ferryingress.ErrCallerDisconnected):
 		msg = "stream aborted: caller disconnected"
 	case errors.Is(cause, context.Canceled):
 		msg = "stream aborted: process is shutting down"
--- a/ferry/ferryingress/call.go
+++ b/ferry/ferryingress/call.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Call is one request of a caller, read whole.
+// Call is one complete request of a caller.
 type Call struct {
 	Method string
-	// Target is the request target exactly as the caller sent it.
+	// Target is the request target as sent by the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// At is when the first byte of the request was read.
+	// At is the time at which the first byte of the request was read.
 	At time.Time
 	// Remote is the caller's address.
 	Remote string
@@ -22,38 +22,38 @@
 	w *writer
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (c *Call) Path() string {
 	path, _, _ := strings.Cut(c.Target, "?")
 	return path
 }
 
-// Answer writes a whole answer; only the first answer of a call is written.
+// Answer writes a complete answer; it fails if the call already has one.
 func (c *Call) Answer(status int, h http.Header, body []byte) error {
 	return c.w.answer(status, h, body)
 }
 
-// Stream starts an answer that is written in pieces.
+// Stream starts a streamed answer; it fails if the call already has an answer.
 func (c *Call) Stream(status int, h http.Header) (*Stream, error) {
 	return c.w.stream(status, h)
 }
 
-// CloseAfter closes the connection once the call is answered, and says so in the answer if that has not begun.
+// CloseAfter closes the connection after the answer, which gets Connection: close if it has not started.
 func (c *Call) CloseAfter() {
-	c.w.last = true
+	c.w.closeAfter = true
 }
 
-// Answered reports whether an answer has begun.
+// Answered reports whether an answer has been started.
 func (c *Call) Answered() bool {
-	return c.w.begun
+	return c.w.started
 }
 
-// Stream is an answer under way; without End it is recognisably incomplete.
+// Stream is a streamed answer; callers recognise it as incomplete unless End is called.
 type Stream struct{ w *writer }
 
-// Write passes a piece on at once.
+// Write writes a piece of the body without buffering.
 func (s *Stream) Write(p []byte) (int, error) {
-	return len(p), s.w.piece(p)
+	return len(p), s.w.writePiece(p)
 }
 
 // End completes the answer.
--- a/ferry/ferryingress/conn.go
+++ b/ferry/ferryingress/conn.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// lastWait is how long a connection that comes after the stop began may take to its only request.
-const lastWait = time.Second
+// stoppingIdleTimeout is the time for the first request on a connection without one, once the server stops.
+const stoppingIdleTimeout = time.Second
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that unblocks a read immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// serverConn is one caller's connection.
+// serverConn is the connection of one caller.
 type serverConn struct {
 	server *Server
 	net.Conn
-	limit *bounded
-	br    *bufio.Reader
-	w     writer
+	limited *limitedReader
+	br      *bufio.Reader
+	w       writer
 
-	// served counts the requests that were answered.
+	// served counts the requests read so far.
 	served int
 
-	mu   sync.Mutex
-	idle bool
-	ends bool
+	mu     sync.Mutex
+	idle   bool
+	ending bool
 }
 
-// serve answers one request after another until the connection ends.
+// serve handles requests in sequence until the connection ends.
 func (c *serverConn) serve(ctx context.Context) {
 	defer c.server.remove(c)
 	defer c.Close()
@@ -44,17 +44,18 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request and reports whether one came.
+// awaitRequest waits for the first byte of a request and reports whether there is one.
 func (c *serverConn) awaitRequest() bool {
 	if !c.setIdle(true) {
 		return false
 	}
-	c.limit.left = int64(readBufferBytes)
+	c.limited.remaining = int64(readBufferBytes)
 	_, err := c.br.Peek(1)
 	return c.setIdle(false) && err == nil
 }
 
-// setIdle marks the connection as waiting for a request or not; it returns false once it has been told to end while it waited.
+// setIdle sets whether the connection is waiting for a request. It returns false if the server is stopping and
+// no request is to be read.
 func (c *serverConn) setIdle(idle bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,29 +66,29 @@
 	if idle {
 		wait := c.server.limits().IdleTimeout
 		if stopping {
-			wait = min(wait, lastWait)
+			wait = min(wait, stoppingIdleTimeout)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(wait))
 	}
 	c.idle = idle
-	return !c.ends || c.br.Buffered() > 0
+	return !c.ending || c.br.Buffered() > 0
 }
 
-// stopIdle ends a connection that waits for a request; whatever has been read is still answered.
+// stopIdle ends a connection that waits for a request; a request of which bytes were read is still answered.
 func (c *serverConn) stopIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case !c.idle:
 	case c.served == 0:
-		_ = c.SetReadDeadline(time.Now().Add(lastWait))
+		_ = c.SetReadDeadline(time.Now().Add(stoppingIdleTimeout))
 	default:
-		c.ends = true
-		_ = c.SetReadDeadline(past)
+		c.ending = true
+		_ = c.SetReadDeadline(pastDeadline)
 	}
 }
 
-// serveOne reads and answers one request and reports whether the connection can carry another.
+// serveOne reads and answers one request and reports whether the connection can be reused.
 func (c *serverConn) serveOne(ctx context.Context) bool {
 	limits := c.server.limits()
 	at := c.server.cfg.Clock.Now()
@@ -105,31 +106,31 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	if c.server.stopping.Load() {
-		c.w.last = true
+		c.w.closeAfter = true
 	}
 	c.handle(ctx, call)
 	if !c.w.ended || c.w.err != nil {
-		c.w.abandon()
+		c.w.resetIncomplete()
 		return false
 	}
-	if c.w.last {
+	if c.w.closeAfter {
 		c.linger()
 		return false
 	}
 	return true
 }
 
-// readHead reads a request's head within the limit, of which some may be in the buffer already.
+// readHead reads a request's head within the limit, which also covers bytes that are in the buffer already.
 func (c *serverConn) readHead(limits Limits) (head, error) {
-	most := int64(limits.HeaderBytes)
-	before := c.limit.read - int64(c.br.Buffered())
-	c.limit.left = most
+	limit := int64(limits.HeaderBytes)
+	before := c.limited.total - int64(c.br.Buffered())
+	c.limited.remaining = limit
 	h, err := readHead(c.br)
 	switch {
-	case c.limit.read-int64(c.br.Buffered())-before > most:
+	case c.limited.total-int64(c.br.Buffered())-before > limit:
 		err = errHeaderTooLong
-	case err != nil && c.limit.err != nil:
-		err = headFault(c.limit.err)
+	case err != nil && c.limited.err != nil:
+		err = headError(c.limited.err)
 	}
 	return h, err
 }
@@ -138,9 +139,9 @@
 	if !h.chunked && h.length == 0 {
 		return nil, nil
 	}
-	c.limit.left = limits.BodyBytes + int64(limits.HeaderBytes)
+	c.limited.remaining = limits.BodyBytes + int64(limits.HeaderBytes)
 	_ = c.SetReadDeadline(time.Now().Add(limits.BodyTimeout))
-	if h.expects && h.length <= limits.BodyBytes {
+	if h.expectsContinue && h.length <= limits.BodyBytes {
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, err
@@ -149,7 +150,7 @@
 	return readBody(c.br, h, limits.BodyBytes)
 }
 
-// reject answers a request that could not be read whole, unless the caller has gone.
+// reject answers an incomplete or invalid request, unless the caller has disconnected.
 func (c *serverConn) reject(call *Call, err error) {
 	var e *RequestError
 	var timeout net.Error
@@ -160,7 +161,7 @@
 	default:
 		return
 	}
-	c.w.last = true
+	c.w.closeAfter = true
 	if call.Header == nil {
 		call.Header = http.Header{}
 	}
@@ -168,7 +169,8 @@
 	c.linger()
 }
 
-// linger ends the sending side and reads on for a while: closing with unread bytes would reset the connection and could take the answer with it.
+// linger closes the sending side and discards input for a while: closing a connection with unread bytes resets it,
+// and the caller could lose the answer.
 func (c *serverConn) linger() {
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tc.CloseWrite()
@@ -177,22 +179,22 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
 }
 
-// handle runs the handler and watches meanwhile whether the caller leaves.
+// handle runs the handler and cancels its context if the caller disconnects.
 func (c *serverConn) handle(ctx context.Context, call *Call) {
 	c.server.active.Add(1)
 	defer c.server.active.Add(-1)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	c.limit.left = int64(readBufferBytes)
+	c.limited.remaining = int64(readBufferBytes)
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if _, err := c.br.Peek(1); err != nil && !errors.Is(err, errTooLong) {
-			cancel(ErrCallerLeft)
+		if _, err := c.br.Peek(1); err != nil && !errors.Is(err, errReadLimit) {
+			cancel(ErrCallerDisconnected)
 		}
 	}()
 	defer func() {
-		_ = c.SetReadDeadline(past)
+		_ = c.SetReadDeadline(pastDeadline)
 		<-watched
 	}()
 	c.server.cfg.Handle(ctx, call)
--- a/ferry/ferryingress/doc.go
+++ b/ferry/ferryingress/doc.go
@@ -1,2 +1,3 @@
-// Package ferryingress accepts callers' HTTP/1.1 connections, reads whole requests within the limits in force and writes answers that cannot look complete unless they are.
+// Package ferryingress is an HTTP/1.x server for callers. It reads complete requests within configurable limits, and
+// never terminates an incomplete answer as if it were complete.
 package ferryingress
--- a/ferry/ferryingress/limits.go
+++ b/ferry/ferryingress/limits.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limits bound what a caller may send; zero stands for no limit.
+// Limits are the limits on callers' requests and connections; zero values take defaults.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -23,7 +23,7 @@
 	defaultIdleTimeout   = time.Minute
 )
 
-// withDefaults bounds what the limits leave open.
+// withDefaults replaces zero values by the defaults.
 func (l Limits) withDefaults() Limits {
 	if l.HeaderBytes <= 0 {
 		l.HeaderBytes = defaultHeaderBytes
@@ -43,7 +43,7 @@
 	return l
 }
 
-// RequestError says why a request cannot be accepted and which status tells the caller.
+// RequestError is the reason for refusing a request, with the status and detail of the answer.
 type RequestError struct {
 	Status int
 	Detail string
--- a/ferry/ferryingress/read.go
+++ b/ferry/ferryingress/read.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// head is the first line and the headers of a request, checked.
+// head is the validated request line and headers of a request.
 type head struct {
 	method, target, host string
 	header               http.Header
@@ -21,65 +21,65 @@
 	length               int64
 	chunked              bool
 	close                bool
-	expects              bool
+	expectsContinue      bool
 }
 
-// bounded reads from a connection until its allowance is used up; it counts what it read and keeps the error that ended it, which
-// the parsers above take for the end of a line.
-type bounded struct {
-	r    io.Reader
-	left int64
-	read int64
-	err  error
+// limitedReader reads from a connection up to a limit. It counts the bytes and keeps the last error, which the parsers
+// would otherwise take for the end of a line.
+type limitedReader struct {
+	r         io.Reader
+	remaining int64
+	total     int64
+	err       error
 }
 
-// errTooLong says that a bounded reader's allowance is used up.
-var errTooLong = errors.New("allowance used up")
+// errReadLimit is returned by a bounded reader that has reached its limit.
+var errReadLimit = errors.New("read limit exceeded")
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		b.err = errTooLong
-		return 0, errTooLong
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		b.err = errReadLimit
+		return 0, errReadLimit
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
-	b.read += int64(n)
+	b.remaining -= int64(n)
+	b.total += int64(n)
 	b.err = err
 	return n, err
 }
 
-// readHead reads a request's head; the first byte must have come already.
+// readHead reads and validates a request's head.
 func readHead(br *bufio.Reader) (head, error) {
 	tr := textproto.NewReader(br)
 	line, err := tr.ReadLine()
 	if line == "" && err == nil {
-		line, err = tr.ReadLine() // an empty line before a request is to be ignored (RFC 9112, 2.2)
+		line, err = tr.ReadLine() // ignore one empty line before the request (RFC 9112, 2.2)
 	}
 	if err != nil {
-		return head{}, headFault(err)
+		return head{}, headError(err)
 	}
-	h, err := parseLine(line)
+	h, err := parseRequestLine(line)
 	if err != nil {
 		return head{}, err
 	}
 	fields, err := tr.ReadMIMEHeader()
 	if err != nil {
-		return head{}, headFault(err)
+		return head{}, headError(err)
 	}
 	h.header = http.Header(fields)
-	return h, h.check()
+	return h, h.validate()
 }
 
-// errHeaderTooLong refuses a request whose header is longer than the limit.
+// errHeaderTooLong refuses a request whose head exceeds the limit.
 var errHeaderTooLong = &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Detail: "the header is too long"}
 
-func headFault(err error) error {
+func headError(err error) error {
 	var bad textproto.ProtocolError
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errReadLimit):
 		return errHeaderTooLong
 	case errors.As(err, &bad):
 		return malformed("%s", bad.Error())
@@ -87,7 +87,7 @@
 	return err
 }
 
-func parseLine(line string) (head, error) {
+func parseRequestLine(line string) (head, error) {
 	method, rest, ok := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !httpguts.ValidHeaderFieldName(method) {
@@ -106,8 +106,8 @@
 	return head{method: method, target: target, minor: minor}, nil
 }
 
-// check reads the headers that frame the request.
-func (h *head) check() error {
+// validate validates the headers and evaluates those that concern the connection.
+func (h *head) validate() error {
 	for k, vs := range h.header {
 		if !httpguts.ValidHeaderFieldName(k) {
 			return malformed("malformed header name")
@@ -126,13 +126,14 @@
 	delete(h.header, "Host")
 	tokens := h.header["Connection"]
 	h.close = httpguts.HeaderValuesContainsToken(tokens, "close") || (h.minor == 0 && !httpguts.HeaderValuesContainsToken(tokens, "keep-alive"))
-	h.expects = strings.EqualFold(h.header.Get("Expect"), "100-continue")
+	h.expectsContinue = strings.EqualFold(h.header.Get("Expect"), "100-continue")
 	delete(h.header, "Expect")
-	return h.frame()
+	return h.parseFraming()
 }
 
-// frame finds where the body ends; a request that says it in two ways could be read differently by the next hop.
-func (h *head) frame() error {
+// parseFraming determines the length of the body. Ambiguous framing is refused, since the next hop could read it
+// differently (request smuggling).
+func (h *head) parseFraming() error {
 	coding, lengths := h.header["Transfer-Encoding"], h.header["Content-Length"]
 	if len(coding) > 0 {
 		if len(lengths) > 0 {
@@ -162,28 +163,28 @@
 	return nil
 }
 
-// readBody reads the whole body.
-func readBody(br *bufio.Reader, h head, most int64) ([]byte, error) {
+// readBody reads the complete body.
+func readBody(br *bufio.Reader, h head, limit int64) ([]byte, error) {
 	tooLarge := &RequestError{Status: http.StatusRequestEntityTooLarge, Detail: "the body is too long"}
 	if !h.chunked {
-		if h.length > most {
+		if h.length > limit {
 			return nil, tooLarge
 		}
 		body := make([]byte, h.length)
 		_, err := io.ReadFull(br, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(br), most+1))
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(br), limit+1))
 	switch {
 	case err != nil && (errors.Is(err, httputil.ErrLineTooLong) || strings.Contains(err.Error(), "chunk")):
 		return nil, malformed("malformed chunk")
 	case err != nil:
 		return nil, err
-	case int64(len(body)) > most:
+	case int64(len(body)) > limit:
 		return nil, tooLarge
 	}
 	if _, err := textproto.NewReader(br).ReadMIMEHeader(); err != nil {
-		return nil, headFault(err)
+		return nil, headError(err)
 	}
 	return body, nil
 }
--- a/ferry/ferryingress/server.go
+++ b/ferry/ferryingress/server.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	readBufferBytes = 4 << 10 // holds the header and body of a usual request
-	// lingerTime is how long bytes of a refused request are read, so that the caller sees the answer before a reset.
+	readBufferBytes = 4 << 10 // fits the head and body of a typical request
+	// lingerTime is how long the input of a refused request is discarded, so that the caller reads the answer before
+	// a reset.
 	lingerTime = 500 * time.Millisecond
-	// lingerBytes bounds how many of them.
+	// lingerBytes is the maximum number of discarded bytes.
 	lingerBytes = 1 << 20
-	// acceptPause follows a failed accept, such as for want of descriptors.
+	// acceptPause is the backoff after a failed accept, for example when file descriptors run out.
 	acceptPause = 20 * time.Millisecond
 )
 
-// ErrCallerLeft ends the context of a call whose caller has closed its connection.
-var ErrCallerLeft = errors.New("the caller closed its connection")
+// ErrCallerDisconnected is the cancellation cause of a call whose caller has closed its connection.
+var ErrCallerDisconnected = errors.New("caller closed its connection")
 
-// Config sets up a Server; Handle must be set.
+// Config configures a Server; Handle is required.
 type Config struct {
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// Handle answers one call; a call that it leaves without a whole answer ends with its connection.
+	// Handle answers one call; if it returns without a complete answer the connection is closed.
 	Handle func(ctx context.Context, c *Call)
-	// Refused answers a request that cannot be accepted, or is nil for a bare status.
+	// Refused answers a request that cannot be accepted; if it is nil the answer has a status only.
 	Refused func(c *Call, e *RequestError)
-	// Limits returns the limits in force.
+	// Limits returns the current limits; nil means the defaults.
 	Limits func() Limits
-	// MaxConns is the most connections served at once; further ones wait to be accepted. Zero stands for no limit.
+	// MaxConns is the maximum number of open connections; further ones wait in the accept queue. Zero means no limit.
 	MaxConns int
 }
 
-// Server serves callers' connections.
+// Server serves the connections of callers.
 type Server struct {
 	cfg      Config
 	stopping atomic.Bool
@@ -54,7 +55,7 @@
 	wg    sync.WaitGroup
 }
 
-// NewServer returns a server that serves nothing yet.
+// NewServer returns a Server; Serve starts it.
 func NewServer(cfg Config) *Server {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
@@ -66,12 +67,12 @@
 	return s
 }
 
-// Open counts the connections and the calls that are open now.
+// Open returns the numbers of open connections and of calls in progress.
 func (s *Server) Open() (conns, calls int64) {
 	return s.open.Load(), s.active.Load()
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed or the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	for {
 		if s.slots != nil {
@@ -83,11 +84,11 @@
 		}
 		nc, err := l.Accept()
 		if err != nil {
-			s.release()
+			s.releaseSlot()
 			if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 				return nil
 			}
-			s.cfg.Log.Warn().Err(err).Msg("accept caller")
+			s.cfg.Log.Warn().Err(err).Msg("accept connection")
 			s.cfg.Clock.Sleep(acceptPause)
 			continue
 		}
@@ -96,7 +97,7 @@
 	}
 }
 
-func (s *Server) release() {
+func (s *Server) releaseSlot() {
 	if s.slots != nil {
 		<-s.slots
 	}
@@ -104,8 +105,8 @@
 
 func (s *Server) add(nc net.Conn) *serverConn {
 	c := &serverConn{server: s, Conn: nc, w: writer{conn: nc}}
-	c.limit = &bounded{r: nc}
-	c.br = bufio.NewReaderSize(c.limit, readBufferBytes)
+	c.limited = &limitedReader{r: nc}
+	c.br = bufio.NewReaderSize(c.limited, readBufferBytes)
 	s.wg.Add(1)
 	s.open.Add(1)
 	s.mu.Lock()
@@ -119,11 +120,12 @@
 	delete(s.conns, c)
 	s.mu.Unlock()
 	s.open.Add(-1)
-	s.release()
+	s.releaseSlot()
 	s.wg.Done()
 }
 
-// Stop lets each connection end after the call that it carries; idle ones end at once, a request that crosses is not read.
+// Stop closes idle connections at once and the others after their current call. A request that arrives on an idle
+// connection meanwhile is not read.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.mu.Lock()
@@ -133,7 +135,7 @@
 	}
 }
 
-// Wait returns when all connections have ended or the context is done.
+// Wait blocks until all connections have ended, or returns the error of the context.
 func (s *Server) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
--- a/ferry/ferryingress/server_test.go
+++ b/ferry/ferryingress/server_test.go
@@ -19,8 +19,8 @@
 	"cactusferry.dev/ferry/ferrynettest"
 )
 
-// start serves in the bubble of the test and returns a way to connect.
-func start(t *testing.T, cfg Config) (*Server, func() net.Conn) {
+// startServer starts a server in the bubble of the test and returns it with a function that connects to it.
+func startServer(t *testing.T, cfg Config) (*Server, func() net.Conn) {
 	t.Helper()
 	cfg.Log = zerolog.Nop()
 	s := NewServer(cfg)
@@ -30,7 +30,7 @@
 		cancel()
 		l.Close()
 		s.Stop()
-		time.Sleep(2 * lingerTime) // the connections' goroutines end meanwhile
+		time.Sleep(2 * lingerTime) // lets the goroutines of the connections end
 	})
 	go func() { _ = s.Serve(ctx, l) }()
 	return s, func() net.Conn {
@@ -41,18 +41,18 @@
 	}
 }
 
-// echoed answers with what was read.
-func echoed(_ context.Context, c *Call) {
+// echoHandler answers with the parts of the request.
+func echoHandler(_ context.Context, c *Call) {
 	_ = c.Answer(http.StatusOK, http.Header{"X-Method": {c.Method}, "X-Target": {c.Target}, "X-Host": {c.Host}}, c.Body)
 }
 
-func say(t *testing.T, c net.Conn, s string) {
+func writeString(t *testing.T, c net.Conn, s string) {
 	t.Helper()
 	_, err := io.WriteString(c, s)
 	assert.NilError(t, err)
 }
 
-func hear(t *testing.T, br *bufio.Reader) (*http.Response, string) {
+func readAnswer(t *testing.T, br *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	w, err := http.ReadResponse(br, nil)
 	assert.NilError(t, err)
@@ -61,27 +61,27 @@
 	return w, string(b)
 }
 
-func TestRequestsAreReadAsTheyWereSent(t *testing.T) {
+func TestRequestDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, dial := start(t, Config{Handle: echoed})
+		_, dial := startServer(t, Config{Handle: echoHandler})
 		c := dial()
 		br := bufio.NewReader(c)
-		say(t, c, "POST /a%2Fb?q=1&q=%20 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /next HTTP/1.1\r\nHost: h2\r\n\r\n")
-		w, body := hear(t, br)
+		writeString(t, c, "POST /a%2Fb?q=1&q=%20 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /next HTTP/1.1\r\nHost: h2\r\n\r\n")
+		w, body := readAnswer(t, br)
 		assert.Equal(t, w.Header.Get("X-Target"), "/a%2Fb?q=1&q=%20")
 		assert.Equal(t, body, "abc")
-		w, body = hear(t, br)
+		w, body = readAnswer(t, br)
 		assert.Equal(t, w.Header.Get("X-Target")+w.Header.Get("X-Host")+body, "/nexth2")
-		say(t, c, "PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n")
-		_, body = hear(t, br)
+		writeString(t, c, "PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n")
+		_, body = readAnswer(t, br)
 		assert.Equal(t, body, "abcde")
-		say(t, c, "GET / HTTP/1.0\r\n\r\n")
-		w, _ = hear(t, br)
-		assert.Assert(t, w.Close, "HTTP/1.0 ends with its connection")
+		writeString(t, c, "GET / HTTP/1.0\r\n\r\n")
+		w, _ = readAnswer(t, br)
+		assert.Assert(t, w.Close, "HTTP/1.0 answer without Connection: close")
 	})
 }
 
-func TestWhatCannotBeReadIsRefusedAndEndsTheConnection(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	long := strings.Repeat("a", 600)
 	for _, tt := range []struct {
 		name, request string
@@ -89,35 +89,35 @@
 	}{
 		{"two framings", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 		{"two lengths", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", 400},
-		{"a bad length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\nabc", 400},
-		{"another coding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		{"invalid length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\nabc", 400},
+		{"unsupported transfer coding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400},
 		{"two hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400},
-		{"a full URL", "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-		{"no request line", "nonsense\r\n\r\n", 400},
+		{"absolute URL as target", "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+		{"invalid request line", "nonsense\r\n\r\n", 400},
 		{"HTTP/2", "GET / HTTP/2.0\r\nHost: h\r\n\r\n", 505},
-		{"a header without a colon", "GET / HTTP/1.1\r\nHost h\r\n\r\n", 400},
-		{"a space before the colon", "GET / HTTP/1.1\r\nHost: h\r\nA : b\r\n\r\n", 400},
-		{"a long header", "GET / HTTP/1.1\r\nHost: h\r\nA: " + long + "\r\n\r\n", 431},
-		{"a long body", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n", 413},
-		{"a long body in chunks", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n" + long[:65] + "\r\n0\r\n\r\n", 413},
-		{"a bad chunk", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-		{"a header that stops", "GET / HTTP/1.1\r\nHos", 408},
-		{"a body that stops", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc", 408},
+		{"header without colon", "GET / HTTP/1.1\r\nHost h\r\n\r\n", 400},
+		{"space before the colon", "GET / HTTP/1.1\r\nHost: h\r\nA : b\r\n\r\n", 400},
+		{"header above the limit", "GET / HTTP/1.1\r\nHost: h\r\nA: " + long + "\r\n\r\n", 431},
+		{"body above the limit", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n", 413},
+		{"chunked body above the limit", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n" + long[:65] + "\r\n0\r\n\r\n", 413},
+		{"invalid chunk", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"incomplete header", "GET / HTTP/1.1\r\nHos", 408},
+		{"incomplete body", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc", 408},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				handled := false
-				_, dial := start(t, Config{
+				_, dial := startServer(t, Config{
 					Handle: func(context.Context, *Call) { handled = true },
 					Limits: func() Limits {
 						return Limits{HeaderBytes: 512, BodyBytes: 64, HeaderTimeout: time.Second, BodyTimeout: time.Second}
 					},
 				})
 				c := dial()
-				say(t, c, tt.request)
+				writeString(t, c, tt.request)
 				br := bufio.NewReader(c)
-				w, _ := hear(t, br)
+				w, _ := readAnswer(t, br)
 				assert.Equal(t, w.StatusCode, tt.want)
 				assert.Assert(t, w.Close)
 				assert.Assert(t, !handled)
@@ -128,9 +128,9 @@
 	}
 }
 
-func TestAnAnswerThatEndsEarlyDoesNotLookWhole(t *testing.T) {
+func TestIncompleteAnswerIsNotTerminated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, dial := start(t, Config{Handle: func(_ context.Context, c *Call) {
+		_, dial := startServer(t, Config{Handle: func(_ context.Context, c *Call) {
 			s, err := c.Stream(http.StatusOK, http.Header{})
 			assert.NilError(t, err)
 			_, err = s.Write([]byte("part"))
@@ -141,7 +141,7 @@
 		}})
 		for _, tt := range []struct{ target, want string }{{"/whole", "part"}, {"/broken", "part unexpected EOF"}} {
 			c := dial()
-			say(t, c, "GET "+tt.target+" HTTP/1.1\r\nHost: h\r\n\r\n")
+			writeString(t, c, "GET "+tt.target+" HTTP/1.1\r\nHost: h\r\n\r\n")
 			w, err := http.ReadResponse(bufio.NewReader(c), nil)
 			assert.NilError(t, err)
 			b, err := io.ReadAll(w.Body)
@@ -154,47 +154,47 @@
 	})
 }
 
-func TestTheCallEndsWithItsCaller(t *testing.T) {
+func TestCallerDisconnectCancelsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		_, dial := start(t, Config{Handle: func(ctx context.Context, _ *Call) {
+		_, dial := startServer(t, Config{Handle: func(ctx context.Context, _ *Call) {
 			<-ctx.Done()
 			ended <- context.Cause(ctx)
 		}})
 		c := dial()
-		say(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		writeString(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		synctest.Wait()
 		c.Close()
-		assert.ErrorIs(t, <-ended, ErrCallerLeft)
+		assert.ErrorIs(t, <-ended, ErrCallerDisconnected)
 	})
 }
 
-func TestAPlannedStopAnswersWhatWasRead(t *testing.T) {
+func TestPlannedStopAnswersReadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, dial := start(t, Config{Handle: func(ctx context.Context, c *Call) {
+		s, dial := startServer(t, Config{Handle: func(ctx context.Context, c *Call) {
 			if c.Target == "/slow" {
 				<-release
 			}
-			echoed(ctx, c)
+			echoHandler(ctx, c)
 		}})
 		idle, busy := dial(), dial()
 		idleReader, busyReader := bufio.NewReader(idle), bufio.NewReader(busy)
-		say(t, idle, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		hear(t, idleReader)
-		say(t, busy, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
+		writeString(t, idle, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		readAnswer(t, idleReader)
+		writeString(t, busy, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
 		synctest.Wait()
 		s.Stop()
 		_, err := idleReader.ReadByte()
-		assert.ErrorIs(t, err, io.EOF, "an idle connection ends at once")
+		assert.ErrorIs(t, err, io.EOF, "idle connection not closed at once")
 		close(release)
-		w, _ := hear(t, busyReader)
+		w, _ := readAnswer(t, busyReader)
 		assert.Equal(t, w.StatusCode, 200)
-		assert.Assert(t, w.Close, "the answer says that the connection ends")
+		assert.Assert(t, w.Close, "answer during the stop without Connection: close")
 		late := dial()
-		say(t, late, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		w, _ = hear(t, bufio.NewReader(late))
-		assert.Assert(t, w.Close, "who comes still is served, once")
+		writeString(t, late, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		w, _ = readAnswer(t, bufio.NewReader(late))
+		assert.Assert(t, w.Close, "connection accepted during the stop is not closed after its first answer")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		late.Close()
@@ -202,19 +202,19 @@
 	})
 }
 
-func TestIdleConnectionsEndByTheLimitInForce(t *testing.T) {
+func TestIdleTimeoutFollowsLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var idle atomic.Int64
 		idle.Store(int64(10 * time.Second))
-		_, dial := start(t, Config{Handle: echoed, Limits: func() Limits { return Limits{IdleTimeout: time.Duration(idle.Load())} }})
+		_, dial := startServer(t, Config{Handle: echoHandler, Limits: func() Limits { return Limits{IdleTimeout: time.Duration(idle.Load())} }})
 		c := dial()
 		br := bufio.NewReader(c)
-		say(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		hear(t, br)
+		writeString(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		readAnswer(t, br)
 		time.Sleep(8 * time.Second)
 		idle.Store(int64(2 * time.Second))
-		say(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		hear(t, br)
+		writeString(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		readAnswer(t, br)
 		began := time.Now()
 		_, err := br.ReadByte()
 		assert.Assert(t, errors.Is(err, io.EOF))
@@ -223,19 +223,19 @@
 	})
 }
 
-func TestExpectationsAreMet(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, dial := start(t, Config{Handle: echoed})
+		_, dial := startServer(t, Config{Handle: echoHandler})
 		c := dial()
 		br := bufio.NewReader(c)
-		say(t, c, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+		writeString(t, c, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 		line, err := br.ReadString('\n')
 		assert.NilError(t, err)
 		assert.Equal(t, line, "HTTP/1.1 100 Continue\r\n")
 		_, err = br.ReadString('\n')
 		assert.NilError(t, err)
-		say(t, c, "ab")
-		_, body := hear(t, br)
+		writeString(t, c, "ab")
+		_, body := readAnswer(t, br)
 		assert.Equal(t, body, "ab")
 	})
 }
--- a/ferry/ferryingress/write.go
+++ b/ferry/ferryingress/write.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// writeTimeout bounds one write to a caller that does not read; callers give up long before.
+// writeTimeout is the timeout of one write to a caller that does not read; callers time out much earlier.
 const writeTimeout = 10 * time.Second
 
-// errAnswered says that the call has an answer already.
-var errAnswered = errors.New("the call is answered already")
+// errAnswered is returned for a second answer to the same call.
+var errAnswered = errors.New("call already has an answer")
 
 // writer writes the answer of one call.
 type writer struct {
-	conn    net.Conn
-	buf     bytes.Buffer
-	head    bool
-	minor   int
-	last    bool
-	begun   bool
-	chunked bool
-	ended   bool
-	err     error
+	conn       net.Conn
+	buf        bytes.Buffer
+	headOnly   bool
+	minor      int
+	closeAfter bool
+	started    bool
+	chunked    bool
+	ended      bool
+	err        error
 }
 
 func (w *writer) reset(h head) {
-	w.head, w.minor, w.last = h.method == http.MethodHead, h.minor, h.close
-	w.begun, w.chunked, w.ended, w.err = false, false, false, nil
+	w.headOnly, w.minor, w.closeAfter = h.method == http.MethodHead, h.minor, h.close
+	w.started, w.chunked, w.ended, w.err = false, false, false, nil
 	w.buf.Reset()
 }
 
-// begin writes the head of the answer into the buffer.
-func (w *writer) begin(status int, h http.Header) error {
-	if w.begun {
+// writeHead writes the head of the answer to the buffer.
+func (w *writer) writeHead(status int, h http.Header) error {
+	if w.started {
 		return errAnswered
 	}
-	w.begun = true
+	w.started = true
 	fmt.Fprintf(&w.buf, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
-	_ = h.WriteSubset(&w.buf, framing)
-	if w.last {
+	_ = h.WriteSubset(&w.buf, writerHeaders)
+	if w.closeAfter {
 		w.buf.WriteString("Connection: close\r\n")
 	} else if w.minor == 0 {
 		w.buf.WriteString("Connection: keep-alive\r\n")
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// framing lists the headers that the writer sets itself.
-var framing = map[string]bool{
+// writerHeaders lists the headers that the writer sets itself or drops.
+var writerHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Content-Length": true, "Trailer": true,
 	"Upgrade": true, "Proxy-Connection": true, "Te": true,
 }
 
 func (w *writer) answer(status int, h http.Header, body []byte) error {
-	if err := w.begin(status, h); err != nil {
+	if err := w.writeHead(status, h); err != nil {
 		return err
 	}
 	if bodyAllowed(status) {
@@ -68,7 +68,7 @@
 		w.buf.WriteString("\r\n")
 	}
 	w.buf.WriteString("\r\n")
-	if !w.head && bodyAllowed(status) {
+	if !w.headOnly && bodyAllowed(status) {
 		w.buf.Write(body)
 	}
 	w.ended = true
@@ -79,11 +79,11 @@
 	return status/100 != 1 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// stream begins an answer in pieces; HTTP/1.0 callers read it to the connection's end.
+// stream starts a streamed answer: chunked for HTTP/1.1, delimited by the end of the connection for HTTP/1.0.
 func (w *writer) stream(status int, h http.Header) (*Stream, error) {
 	w.chunked = w.minor > 0
-	w.last = w.last || !w.chunked
-	if err := w.begin(status, h); err != nil {
+	w.closeAfter = w.closeAfter || !w.chunked
+	if err := w.writeHead(status, h); err != nil {
 		return nil, err
 	}
 	if w.chunked {
@@ -93,9 +93,9 @@
 	return &Stream{w}, nil
 }
 
-// piece writes the head, if it is still waiting, and a piece of the body in one go.
-func (w *writer) piece(p []byte) error {
-	if len(p) == 0 || w.head {
+// writePiece writes a piece of the body, together with the head if that is still buffered.
+func (w *writer) writePiece(p []byte) error {
+	if len(p) == 0 || w.headOnly {
 		return w.flush()
 	}
 	if w.chunked {
@@ -110,7 +110,7 @@
 }
 
 func (w *writer) end() error {
-	if w.chunked && !w.head {
+	if w.chunked && !w.headOnly {
 		w.buf.WriteString("0\r\n\r\n")
 	}
 	w.ended = true
@@ -130,8 +130,9 @@
 	return w.err
 }
 
-// abandon makes sure that an answer without its end is not taken for a whole one.
-func (w *writer) abandon() {
+// resetIncomplete makes closing the connection a TCP reset if the answer is not chunked, since a regular close could
+// be taken for the end of the body.
+func (w *writer) resetIncomplete() {
 	if tc, ok := w.conn.(*net.TCPConn); ok && !w.chunked {
 		_ = tc.SetLinger(0)
 	}
