--- a/ferry/ferrypath/chooser.go
+++ b/ferry/ferrypath/chooser.go
@@ -14,34 +14,34 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// ErrNoPath says that the engines that may be used do not hold all layers.
+// ErrNoPath is returned if the usable engines do not hold all layers between them.
 var ErrNoPath = errors.New("no path of engines holds all layers")
 
-// ErrNoRoom says that every path leads over an engine whose memory is full.
+// ErrNoRoom is returned if every path needs an engine without enough free memory.
 var ErrNoRoom = errors.New("every path leads over an engine without memory to spare")
 
-// Options set up a Chooser.
+// Options configure a Chooser.
 type Options struct {
 	Clock clockwork.Clock
-	// Domain is the failure domain of this entry; a path that begins there costs no bytes between domains.
+	// Domain is the failure domain of this entry. Paths are kept inside of it where possible.
 	Domain ferryid.DomainName
 }
 
-// Chooser chooses paths over the engines of one service; all methods may be called from any goroutine.
+// Chooser selects paths over the engines of one service. All methods are safe for concurrent use.
 type Chooser struct {
 	opts    Options
 	version atomic.Int64
 
-	mu      sync.Mutex
-	model   *ferryconfig.Model
-	engines []*engine
-	names   map[ferryid.UpstreamName]*engine
-	ups     map[ferryid.UpstreamName]*ferrydiscovery.Upstream
-	planner *ferrypipeline.Planner
-	loads   []ferrypipeline.Load
-	// runs are the generations under way.
+	mu        sync.Mutex
+	model     *ferryconfig.Model
+	engines   []*engine
+	byName    map[ferryid.UpstreamName]*engine
+	upstreams map[ferryid.UpstreamName]*ferrydiscovery.Upstream
+	planner   *ferrypipeline.Planner
+	loads     []ferrypipeline.Load
+	// runs are the generations in progress.
 	runs map[*Run]struct{}
-	// entries counts those that take calls in each failure domain.
+	// entries counts the entries that accept calls, by failure domain.
 	entries map[ferryid.DomainName]int
 }
 
@@ -50,18 +50,19 @@
 	if opts.Clock == nil {
 		opts.Clock = clockwork.NewRealClock()
 	}
-	return &Chooser{opts: opts, names: map[ferryid.UpstreamName]*engine{}, runs: map[*Run]struct{}{}}
+	return &Chooser{opts: opts, byName: map[ferryid.UpstreamName]*engine{}, runs: map[*Run]struct{}{}}
 }
 
-// SetEntries says how many entries of each failure domain give work to the engines.
+// SetEntries sets the number of entries that send work to the engines, by failure domain.
 func (c *Chooser) SetEntries(byDomain map[ferryid.DomainName]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.entries = byDomain
 }
 
-// sharers is how many entries probably give work to an engine: those of its failure domain, since paths keep to one where they can.
-func (c *Chooser) sharers(e *engine) int {
+// entriesSharing estimates how many entries send work to an engine: those of its failure domain, since paths are kept
+// inside one domain where possible, and this one.
+func (c *Chooser) entriesSharing(e *engine) int {
 	n := c.entries[e.up.FailureDomain]
 	if e.up.FailureDomain != c.opts.Domain {
 		n++
@@ -69,19 +70,20 @@
 	return max(1, n)
 }
 
-// Version rises whenever the engines change.
+// Version is incremented whenever the engines change.
 func (c *Chooser) Version() int64 { return c.version.Load() }
 
-// Set takes the model and the engines of the service; what is known of an engine that still runs is kept.
+// Set replaces the model and the engines of the service. The state of an engine whose
+// process is the same is kept.
 func (c *Chooser) Set(m *ferryconfig.Model, list []*ferrydiscovery.Upstream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version.Add(1)
-	old := c.names
+	old := c.byName
 	c.model = m
 	c.engines = c.engines[:0]
-	c.names = make(map[ferryid.UpstreamName]*engine, len(list))
-	c.ups = make(map[ferryid.UpstreamName]*ferrydiscovery.Upstream, len(list))
+	c.byName = make(map[ferryid.UpstreamName]*engine, len(list))
+	c.upstreams = make(map[ferryid.UpstreamName]*ferrydiscovery.Upstream, len(list))
 	candidates := ferrypipeline.Candidates{}
 	for _, u := range list {
 		kind, known := m.Accelerator(ferryconfig.AcceleratorName(u.Accelerator))
@@ -91,11 +93,11 @@
 			e = &engine{}
 		}
 		e.up, e.kind = u, kind
-		c.names[name] = e
+		c.byName[name] = e
 		if !known || !u.Ready() || u.Layers.Len() == 0 {
 			continue
 		}
-		c.ups[name] = u
+		c.upstreams[name] = u
 		c.engines = append(c.engines, e)
 		candidates = append(candidates, ferrypipeline.Candidate{Name: name, Address: u.Address, Domain: u.FailureDomain, Layers: u.Layers})
 	}
@@ -107,14 +109,15 @@
 	}
 }
 
-// hopTime is what each further engine costs a token, for its way there and for one more engine that may fail.
+// hopTime is the cost per token of each further engine: the transfer, and the risk of one
+// more engine that may fail.
 const hopTime = 300 * time.Microsecond
 
-// linkWeight is how much a transfer between domains weighs beside its own time: all others wait for the same link meanwhile, and
-// a generation's memory passes over it whole. Paths cross only where their own domain lacks layers or room.
-const linkWeight = 1000
+// domainLinkWeight multiplies the transfer time between domains. All transfers share that link, and a generation's
+// memory may have to cross it whole, so paths cross only if their own domain lacks layers or memory.
+const domainLinkWeight = 1000
 
-// links are the times that a token takes from one engine to the next, by their failure domains.
+// links returns the transfer times per token between two engines, by their failure domains.
 func links(m *ferryconfig.Model) ferrypipeline.LinkCosts {
 	costs := ferrypipeline.LinkCosts{}
 	shared := time.Duration(0)
@@ -124,45 +127,47 @@
 	for _, d := range m.Delays {
 		costs[[2]ferryid.DomainName{d.From, d.From}] = hopTime
 		costs[[2]ferryid.DomainName{d.To, d.To}] = hopTime
-		costs[[2]ferryid.DomainName{d.From, d.To}] = hopTime + d.OneWay + linkWeight*shared
-		costs[[2]ferryid.DomainName{d.To, d.From}] = hopTime + d.OneWay + linkWeight*shared
+		costs[[2]ferryid.DomainName{d.From, d.To}] = hopTime + d.OneWay + domainLinkWeight*shared
+		costs[[2]ferryid.DomainName{d.To, d.From}] = hopTime + d.OneWay + domainLinkWeight*shared
 	}
 	return costs
 }
 
-// Work is one generation to be placed.
+// Work describes a generation that needs a path.
 type Work struct {
 	Prompt, Answer ferryid.Tokens
 	Avoid          []ferryid.UpstreamName
 }
 
-// Run is one generation on its path; it is ended by exactly one of Done, Cancelled, Failed, Unreachable and Refused.
+// Run is one generation on its path. Exactly one of Done, Cancelled, Failed, Unreachable and Refused ends it.
 type Run struct {
 	path    atomic.Pointer[Path]
 	chooser *Chooser
 	work    Work
-	// reportAge is how old the oldest of the engines' reports was by which the path was chosen, or Unreported.
+	// reportAge is the age of the oldest engine report when the path was selected, or Unreported.
 	reportAge time.Duration
-	// progress is when the last event came, by the chooser's clock in nanoseconds.
+	// progress is the time of the last event in Unix nanoseconds, by the chooser's clock.
 	progress atomic.Int64
 }
 
-// Progress notes that an event came, which shows that all engines of the path were working.
+// Progress records an event, which shows that all engines of the path were working.
 func (r *Run) Progress(now time.Time) { r.progress.Store(now.UnixNano()) }
 
-// Path is the path that the generation runs on now.
+// Path returns the current path of the generation.
 func (r *Run) Path() *Path { return r.path.Load() }
 
-// Unreported is the age of a report that was not there.
+// Unreported is the report age if an engine has no recent report.
 const Unreported = time.Duration(-1)
 
-// ReportAge is how old the oldest of the engines' reports was by which the path was chosen, or Unreported if one had none.
+// ReportAge returns the age of the oldest engine report when the path was selected.
+//
+// It is Unreported if one of the engines had no recent report.
 func (r *Run) ReportAge() time.Duration { return r.reportAge }
 
-// Chooser is what the run was picked by.
+// Chooser returns the chooser that started the run.
 func (r *Run) Chooser() *Chooser { return r.chooser }
 
-// Pick chooses a path and counts the generation on it, or returns ErrNoPath or ErrNoRoom.
+// Pick selects a path and counts the generation on it, or returns ErrNoPath or ErrNoRoom.
 func (c *Chooser) Pick(w Work) (*Run, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,60 +176,62 @@
 	}
 	now := c.opts.Clock.Now()
 	plan := ferrypipeline.Plan{}
-	for _, try := range []rule{{within: true, healthy: true, fits: true, roomy: true}, {within: true, healthy: true, fits: true}, {healthy: true, fits: true}, {healthy: true, fits: true, tight: true}, {fits: true, tight: true}} {
-		c.weigh(w, now, try)
+	for _, try := range []constraints{{sameDomain: true, healthy: true, fits: true, reserve: true}, {sameDomain: true, healthy: true, fits: true}, {healthy: true, fits: true}, {healthy: true, fits: true, tight: true}, {fits: true, tight: true}} {
+		c.updateLoads(w, now, try)
 		if err := c.planner.Choose(c.loads, nil, max(1, w.Answer), &plan); err == nil {
 			return c.begin(&plan, w)
 		}
 	}
-	c.weigh(w, now, rule{healthy: true})
+	c.updateLoads(w, now, constraints{healthy: true})
 	if err := c.planner.Choose(c.loads, nil, max(1, w.Answer), &plan); err == nil {
 		return nil, ErrNoRoom
 	}
 	return nil, ErrNoPath
 }
 
-// rule says which engines a choice may use.
-type rule struct {
-	// within allows engines of this entry's failure domain only.
-	within  bool
-	healthy bool
-	// fits asks for memory for the work, and tight leaves out what runs already and will still grow; roomy keeps some free besides.
-	fits  bool
-	tight bool
-	roomy bool
+// constraints restricts which engines may be selected.
+type constraints struct {
+	// sameDomain allows only engines of this entry's failure domain.
+	sameDomain bool
+	healthy    bool
+	// fits requires free memory for the work. Unless tight is set, the expected growth of running generations
+	// counts as used; reserve also keeps some memory free.
+	fits    bool
+	tight   bool
+	reserve bool
 }
 
-// weigh prepares what the planner has to know of each engine.
-func (c *Chooser) weigh(w Work, now time.Time, r rule) {
+// updateLoads updates the planner's load of each engine.
+func (c *Chooser) updateLoads(w Work, now time.Time, r constraints) {
 	for i, e := range c.engines {
-		c.weighOne(&c.loads[i], e, w, now, r)
+		c.updateLoad(&c.loads[i], e, w, now, r)
 	}
 }
 
-func (c *Chooser) weighOne(l *ferrypipeline.Load, e *engine, w Work, now time.Time, r rule) {
+func (c *Chooser) updateLoad(l *ferrypipeline.Load, e *engine, w Work, now time.Time, r constraints) {
 	t := time.Duration(float64(tokenTime(c.model, e.kind, e.up.Layers.Len(), c.running(e, now)+1)) * e.pace(now))
 	l.Rate = ferryid.TokensPerSecond(1 / max(t, minTokenTime).Seconds())
-	l.Avoid = e.down || (r.within && e.up.FailureDomain != c.opts.Domain) ||
-		(r.healthy && (e.pace(now) >= tooSlow || !e.health.Usable(now, true))) ||
-		(r.fits && !c.fits(e, w, now, r)) || avoids(w.Avoid, e)
+	l.Avoid = e.down || (r.sameDomain && e.up.FailureDomain != c.opts.Domain) ||
+		(r.healthy && (e.pace(now) >= slowPace || !e.health.Usable(now, true))) ||
+		(r.fits && !c.fits(e, w, now, r)) || excluded(w.Avoid, e)
 }
 
-// tooSlow is the pace from which an engine gets work only where there is no other.
-const tooSlow = 2
+// slowPace is the slowdown from which an engine is used only if there is no other.
+const slowPace = 2
 
-// running estimates how many generations run on an engine: by its own word and what this entry has begun since, or from this entry's own.
+// running estimates how many generations run on an engine: from the engine's last report and what this entry
+// has started since, or from this entry's own count.
 func (c *Chooser) running(e *engine, now time.Time) int {
-	if !e.known(now) {
-		return e.running * c.sharers(e)
+	if !e.reportFresh(now) {
+		return e.running * c.entriesSharing(e)
 	}
-	return max(e.running, e.reported.Running+(e.running-e.ranThen)*c.sharers(e))
+	return max(e.running, e.reported.Running+(e.running-e.runningAtReport)*c.entriesSharing(e))
 }
 
-// minTokenTime keeps the rate of an engine of an unknown kind finite.
+// minTokenTime keeps the rate of an engine with an unknown accelerator finite.
 const minTokenTime = time.Microsecond
 
-func avoids(avoid []ferryid.UpstreamName, e *engine) bool {
+func excluded(avoid []ferryid.UpstreamName, e *engine) bool {
 	for _, name := range avoid {
 		if string(name) == e.up.Name {
 			return true
@@ -233,49 +240,52 @@
 	return false
 }
 
-// overcommit is how much more than its even part of an engine's memory an entry may use while the engine has said nothing: the
-// others seldom use all of theirs at the same time, answers mostly stay below their limit, and an engine without room says so before it begins.
+// overcommit is the factor by which an entry may exceed its even share of an engine's memory while there is no
+// report. Entries seldom use their shares at the same time, answers mostly stay below their limit, and an
+// engine without memory refuses work before it starts.
 const overcommit = 1.5
 
 const (
-	// growth is how much of its answer a running generation has still to keep in memory on average.
-	growth = 0.5
-	// othersSince is how much all entries have begun on an engine since its last word, as a multiple of what this one has: not all of
-	// them are busy at the same moment, and an engine without room says so before it begins.
-	othersSince = 1.5
+	// expectedGrowth is the mean part of its answer for which a running generation still needs memory.
+	expectedGrowth = 0.5
+	// newWorkFactor estimates what all entries have started on an engine since its last report, as a
+	// multiple of what this one has: entries are not all busy at once, and an engine without memory
+	// refuses work before it starts.
+	newWorkFactor = 1.5
 )
 
-// roomyShare is the part of an engine's memory up to which it gets work before others. The fastest engine of a layer would else be filled
-// by all entries at once, since each hears only a second later what the others have given it.
-const roomyShare = 0.8
+// preferredFill is the fill level of an engine's memory above which other engines are preferred. Entries see each
+// other's work up to a second late and would otherwise all fill the fastest engine of a layer at once.
+const preferredFill = 0.8
 
-// fits reports whether the engine's memory holds the work besides what runs there, and, unless it is tight, what that will grow to.
-func (c *Chooser) fits(e *engine, w Work, now time.Time, r rule) bool {
+// fits reports whether the engine has memory for the work beside its running generations and, unless r.tight is
+// set, for their expected growth.
+func (c *Chooser) fits(e *engine, w Work, now time.Time, r constraints) bool {
 	layers := int64(e.up.Layers.Len())
 	work := int64(w.Prompt+w.Answer) * layers
-	most := 1.0
-	if r.roomy {
-		most = roomyShare
+	fill := 1.0
+	if r.reserve {
+		fill = preferredFill
 	}
-	if !e.known(now) || e.reported.Room == 0 {
-		share := overcommit * float64(room(c.model, e.kind, int(layers))) / float64(c.sharers(e))
-		return e.running == 0 || float64(e.held+work) <= most*share
+	if !e.reportFresh(now) || e.reported.Room == 0 {
+		share := overcommit * float64(requestMemory(c.model, e.kind, int(layers))) / float64(c.entriesSharing(e))
+		return e.running == 0 || float64(e.held+work) <= fill*share
 	}
-	used := e.reported.Used + int64(othersSince*float64(max(0, e.held-e.heldThen)))
+	used := e.reported.Used + int64(newWorkFactor*float64(max(0, e.held-e.heldAtReport)))
 	if !r.tight {
-		used += int64(growth*float64(c.model.UsualAnswer)) * layers * int64(e.reported.Running)
+		used += int64(expectedGrowth*float64(c.model.UsualAnswer)) * layers * int64(e.reported.Running)
 	}
-	return float64(used+work) <= most*float64(e.reported.Room)
+	return float64(used+work) <= fill*float64(e.reported.Room)
 }
 
 func (c *Chooser) begin(plan *ferrypipeline.Plan, w Work) (*Run, error) {
-	path, err := New(plan, c.ups)
+	path, err := New(plan, c.upstreams)
 	if err != nil {
 		return nil, err
 	}
 	now := c.opts.Clock.Now()
 	for _, h := range path.hops {
-		c.names[ferryid.UpstreamName(h.Upstream.Name)].health.Chosen(now)
+		c.byName[ferryid.UpstreamName(h.Upstream.Name)].health.Chosen(now)
 	}
 	c.count(path, w, 1)
 	run := &Run{chooser: c, work: w, reportAge: c.reportAge(path, now)}
@@ -284,53 +294,53 @@
 	return run, nil
 }
 
-// reportAge is the age of the oldest report of a path's engines.
+// reportAge returns the age of the oldest report of the path's engines, or Unreported.
 func (c *Chooser) reportAge(p *Path, now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, h := range p.hops {
-		e := c.names[ferryid.UpstreamName(h.Upstream.Name)]
-		if !e.known(now) {
+		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
+		if !e.reportFresh(now) {
 			return Unreported
 		}
-		oldest = max(oldest, now.Sub(e.at))
+		oldest = max(oldest, now.Sub(e.reportedAt))
 	}
 	return oldest
 }
 
-func need(w Work, h Hop) int64 {
+func memoryNeed(w Work, h Hop) int64 {
 	return int64(w.Prompt+w.Answer) * int64(h.Layers.Len())
 }
 
-// Done ends a generation that came whole.
+// Done ends a generation that was delivered completely.
 func (r *Run) Done() {
 	r.end(func(e *engine, _ time.Time) { e.health.Succeeded() })
 }
 
-// Cancelled ends a generation that the caller or this entry gave up.
+// Cancelled ends a generation that the caller or this entry cancelled.
 func (r *Run) Cancelled() {
 	r.end(func(*engine, time.Time) {})
 }
 
-// Failed ends a generation that the engine at the given index of the path failed, or any of them if it is negative.
+// Failed ends a generation that failed on the engine at the given index of the path; -1 counts against none.
 func (r *Run) Failed(at int) {
-	r.blame(at, func(e *engine, now time.Time) { e.health.Failed(now) })
+	r.endAt(at, func(e *engine, now time.Time) { e.health.Failed(now) })
 }
 
-// Unreachable ends a generation for which the engine at the given index could not be reached.
+// Unreachable ends a generation whose engine at the given index could not be reached.
 func (r *Run) Unreachable(at int) {
-	r.blame(at, func(e *engine, now time.Time) {
+	r.endAt(at, func(e *engine, now time.Time) {
 		if !e.down {
 			e.down, e.downAt = true, now
 		}
 	})
 }
 
-// Refused ends a generation that the engine at the given index had no room for.
+// Refused ends a generation that the engine at the given index refused for lack of memory.
 func (r *Run) Refused(at int) {
-	r.blame(at, func(e *engine, now time.Time) { e.health.Refused(now) })
+	r.endAt(at, func(e *engine, now time.Time) { e.health.Refused(now) })
 }
 
-func (r *Run) blame(at int, f func(*engine, time.Time)) {
+func (r *Run) endAt(at int, f func(*engine, time.Time)) {
 	r.end(func(e *engine, now time.Time) {
 		if at >= 0 && e.up.Name == r.Path().hops[at].Upstream.Name {
 			f(e, now)
@@ -338,16 +348,16 @@
 	})
 }
 
-// Report takes what an engine says of itself; it was asked at the given time.
+// Report stores an engine's report, which was requested at the given time; older reports are ignored.
 func (c *Chooser) Report(name string, cond Condition, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.names[ferryid.UpstreamName(name)]
-	if e == nil || !e.at.Before(at) {
+	e := c.byName[ferryid.UpstreamName(name)]
+	if e == nil || !e.reportedAt.Before(at) {
 		return
 	}
-	e.reported, e.at = cond, at
-	e.heldThen, e.ranThen = e.held, e.running
+	e.reported, e.reportedAt = cond, at
+	e.heldAtReport, e.runningAtReport = e.held, e.running
 }
 
 func (r *Run) end(f func(*engine, time.Time)) {
@@ -358,7 +368,7 @@
 	c.count(r.Path(), r.work, -1)
 	delete(c.runs, r)
 	for _, h := range r.Path().hops {
-		e := c.names[ferryid.UpstreamName(h.Upstream.Name)]
+		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
 		if e != nil && e.up.SameRun(h.Upstream) {
 			f(e, now)
 		}
--- a/ferry/ferrypath/chooser_test.go
+++ b/ferry/ferrypath/chooser_test.go
@@ -23,7 +23,7 @@
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 11, Checks: 200, Steps: 40})
 }
 
-// model has 8 layers; a card of it holds 20,000 tokens times layers beside 4 layers.
+// model has 8 layers. An accelerator that holds 4 of them has memory for 20,000 tokens times layers.
 func model() *ferryconfig.Model {
 	delays := []ferryconfig.Delay{{From: "a", To: "b", OneWay: time.Millisecond}}
 	return &ferryconfig.Model{
@@ -39,7 +39,8 @@
 	}}
 }
 
-// two domains hold the model each, a with two engines for the first layers.
+// twoDomains returns two failure domains that hold the whole model each; a has two
+// engines for the first layers.
 func twoDomains() []*ferrydiscovery.Upstream {
 	return []*ferrydiscovery.Upstream{
 		upstream("a1", "a", 0, 4), upstream("a2", "a", 0, 4), upstream("a3", "a", 4, 8),
@@ -73,34 +74,34 @@
 		want   string
 		err    error
 	}{
-		{"its own failure domain", func(*Chooser, time.Time) {}, small, "a1[0,4) a3[4,8)", nil},
-		{"around one that is down", func(c *Chooser, _ time.Time) { c.Dead("a1") }, small, "a2[0,4) a3[4,8)", nil},
-		{"around one that failed the request", func(*Chooser, time.Time) {}, Work{Prompt: 50, Answer: 10, Avoid: []ferryid.UpstreamName{"a1"}}, "a2[0,4) a3[4,8)", nil},
-		{"whole in another domain where its own lacks a part", func(c *Chooser, _ time.Time) { c.Dead("a3") }, small, "b1[0,4) b2[4,8)", nil},
-		{"around one that is slow", func(c *Chooser, now time.Time) {
+		{"own failure domain preferred", func(*Chooser, time.Time) {}, small, "a1[0,4) a3[4,8)", nil},
+		{"avoids an engine that is down", func(c *Chooser, _ time.Time) { c.Dead("a1") }, small, "a2[0,4) a3[4,8)", nil},
+		{"avoids an engine excluded by the request", func(*Chooser, time.Time) {}, Work{Prompt: 50, Answer: 10, Avoid: []ferryid.UpstreamName{"a1"}}, "a2[0,4) a3[4,8)", nil},
+		{"other domain when its own lacks layers", func(c *Chooser, _ time.Time) { c.Dead("a3") }, small, "b1[0,4) b2[4,8)", nil},
+		{"avoids a slow engine", func(c *Chooser, now time.Time) {
 			c.Report("a3", Condition{Pace: 5, Room: 20000}, now)
 		}, small, "b1[0,4) b2[4,8)", nil},
-		{"around one without memory", func(c *Chooser, now time.Time) {
+		{"avoids an engine without free memory", func(c *Chooser, now time.Time) {
 			c.Report("a3", Condition{Pace: 1, Used: 19900, Room: 20000}, now)
 		}, small, "b1[0,4) b2[4,8)", nil},
-		{"an emptier one before one that is rather full", func(c *Chooser, now time.Time) {
+		{"prefers an engine below the preferred fill level", func(c *Chooser, now time.Time) {
 			c.Report("a1", Condition{Pace: 1, Used: 17000, Room: 20000}, now)
 			c.Report("a2", Condition{Pace: 1.5, Used: 100, Room: 20000}, now)
 		}, small, "a2[0,4) a3[4,8)", nil},
-		{"the faster one where both are rather full", func(c *Chooser, now time.Time) {
+		{"prefers the faster engine when both are above the fill level", func(c *Chooser, now time.Time) {
 			c.Report("a1", Condition{Pace: 1, Used: 17000, Room: 20000}, now)
 			c.Report("a2", Condition{Pace: 1.5, Used: 17000, Room: 20000}, now)
 		}, small, "a1[0,4) a3[4,8)", nil},
-		{"no memory anywhere", func(c *Chooser, now time.Time) {
+		{"no free memory in any domain", func(c *Chooser, now time.Time) {
 			for _, name := range []string{"a3", "b2"} {
 				c.Report(name, Condition{Pace: 1, Used: 19900, Room: 20000}, now)
 			}
 		}, small, "", ErrNoRoom},
-		{"no engine for a part", func(c *Chooser, _ time.Time) {
+		{"layers without an engine", func(c *Chooser, _ time.Time) {
 			c.Dead("a3")
 			c.Dead("b2")
 		}, small, "", ErrNoPath},
-		{"again once it answers", func(c *Chooser, _ time.Time) {
+		{"uses an engine again once it answers", func(c *Chooser, _ time.Time) {
 			c.Dead("a1")
 			c.Alive("a1")
 			c.Dead("a2")
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestWorkIsSpread gives runs that last: both engines of the first layers get as many.
-func TestWorkIsSpread(t *testing.T) {
+// TestRunsAreDistributedEvenly checks that unfinished runs are distributed evenly over engines with the same layers.
+func TestRunsAreDistributedEvenly(t *testing.T) {
 	c, _ := chooser(twoDomains()[:3])
 	first := map[string]int{}
 	for range 10 {
@@ -141,7 +142,7 @@
 	run, err = c.Pick(small)
 	assert.NilError(t, err)
 	assert.Equal(t, run.ReportAge(), 2*time.Second)
-	clock.Advance(conditionAge)
+	clock.Advance(reportTTL)
 	run, err = c.Pick(small)
 	assert.NilError(t, err)
 	assert.Equal(t, run.ReportAge(), Unreported)
@@ -160,38 +161,38 @@
 	assert.NilError(t, err)
 	assert.Equal(t, text(to), "a1[0,4) a4[4,8)")
 	run.Move(to)
-	assert.Equal(t, c.names["a3"].running, 0)
-	assert.Equal(t, c.names["a4"].running, 1)
+	assert.Equal(t, c.byName["a3"].running, 0)
+	assert.Equal(t, c.byName["a4"].running, 1)
 	to, err = run.Detour([]ferryid.UpstreamName{"a3", "a4"})
 	assert.NilError(t, err)
 	assert.Equal(t, text(to), "a1[0,4) b2[4,8)")
 	_, err = run.Detour([]ferryid.UpstreamName{"a3", "a4", "b2"})
 	assert.Assert(t, errors.Is(err, ErrNoPath))
 	run.Done()
-	assert.Equal(t, c.names["a4"].running, 0)
-	assert.Equal(t, c.names["a4"].held, int64(0))
+	assert.Equal(t, c.byName["a4"].running, 0)
+	assert.Equal(t, c.byName["a4"].held, int64(0))
 }
 
-func TestWhatIsKnownOfARunsEngines(t *testing.T) {
+func TestQuietSlowAndLeavingEngines(t *testing.T) {
 	c, clock := chooser(twoDomains()[:3])
 	run, err := c.Pick(small)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, run.Quiet(clock.Now()), []int{0, 1})
 	run.Progress(clock.Now())
 	assert.Equal(t, len(run.Quiet(clock.Now())), 0)
-	c.Report("a3", Condition{Pace: tooSlow, Room: 20000}, clock.Now())
+	c.Report("a3", Condition{Pace: slowPace, Room: 20000}, clock.Now())
 	assert.DeepEqual(t, run.Slow(), []ferryid.UpstreamName{"a3"})
 	assert.Equal(t, len(run.Leaving()), 0)
 	smaller := upstream("a3", "a", 5, 8)
 	c.Set(model(), []*ferrydiscovery.Upstream{twoDomains()[0], smaller})
 	assert.DeepEqual(t, run.Leaving(), []ferryid.UpstreamName{"a3"})
 	c.Set(model(), nil)
-	run.Failed(0) // an engine that is gone takes no blame and no counts
+	run.Failed(0) // must not panic or count for an engine that is no longer listed
 	_, err = c.Pick(small)
 	assert.Assert(t, errors.Is(err, ErrNoPath))
 }
 
-// pathModel plays random histories of engines and runs.
+// pathModel runs random sequences of engine changes and runs against a Chooser.
 type pathModel struct {
 	c     *Chooser
 	clock *clockwork.FakeClock
@@ -200,25 +201,25 @@
 	next  int
 }
 
-// TestHistories checks that each path runs each layer once and in order over engines that hold them, that no engine counts more or less than
-// the runs on it, and that a path is found whenever the usable engines hold all layers.
+// TestHistories checks that each path runs each layer once and in order on engines that hold them, that each
+// engine's count equals the runs on it, and that ErrNoPath means that the usable engines lack layers.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &pathModel{}
 		m.c, m.clock = chooser(nil)
 		rt.Repeat(map[string]func(*rapid.T){
-			"come":  m.come,
-			"go":    m.leave,
+			"come":  m.addEngine,
+			"go":    m.removeEngine,
 			"pick":  m.pick,
 			"end":   m.end,
 			"move":  m.move,
-			"state": m.state,
+			"state": m.setDown,
 			"":      m.check,
 		})
 	})
 }
 
-func (m *pathModel) come(rt *rapid.T) {
+func (m *pathModel) addEngine(rt *rapid.T) {
 	from := rapid.IntRange(0, 7).Draw(rt, "from")
 	to := rapid.IntRange(from+1, 8).Draw(rt, "to")
 	domain := rapid.SampledFrom([]ferryid.DomainName{"a", "b"}).Draw(rt, "domain")
@@ -227,7 +228,7 @@
 	m.c.Set(model(), m.list)
 }
 
-func (m *pathModel) leave(rt *rapid.T) {
+func (m *pathModel) removeEngine(rt *rapid.T) {
 	if len(m.list) == 0 {
 		return
 	}
@@ -236,7 +237,7 @@
 	m.c.Set(model(), m.list)
 }
 
-func (m *pathModel) state(rt *rapid.T) {
+func (m *pathModel) setDown(rt *rapid.T) {
 	if len(m.list) == 0 {
 		return
 	}
@@ -248,7 +249,7 @@
 	m.c.Alive(name)
 }
 
-// covered reports whether the engines that are up hold all layers.
+// covered reports whether the engines that are not down hold all layers.
 func (m *pathModel) covered() bool {
 	var held [8]bool
 	for _, u := range m.list {
@@ -266,12 +267,12 @@
 	run, err := m.c.Pick(small)
 	if err != nil {
 		if errors.Is(err, ErrNoPath) && m.covered() {
-			rt.Fatalf("no path although the engines hold all layers")
+			rt.Fatalf("Pick: no path although the usable engines hold all layers")
 		}
 		return
 	}
 	if !m.covered() {
-		rt.Fatalf("path %s although the engines lack layers", text(run.Path()))
+		rt.Fatalf("Pick: path %s although the usable engines lack layers", text(run.Path()))
 	}
 	m.runs = append(m.runs, run)
 }
@@ -306,10 +307,10 @@
 		return
 	}
 	if to.Hops()[0] != hops[0] {
-		rt.Fatalf("the first part changed from %s to %s", text(run.Path()), text(to))
+		rt.Fatalf("Detour: the first hop changed from %s to %s", text(run.Path()), text(to))
 	}
 	if without != hops[0].Upstream.Name && strings.Contains(text(to)+" ", without+"[") {
-		rt.Fatalf("%s leads over %s", text(to), without)
+		rt.Fatalf("Detour: path %s contains the excluded engine %s", text(to), without)
 	}
 	run.Move(to)
 }
@@ -319,7 +320,7 @@
 	for _, run := range m.runs {
 		next := ferryid.Layer(0)
 		for _, h := range run.Path().Hops() {
-			if h.Layers.From != next || h.Layers.To <= next || !holds(h.Upstream.Layers, h.Layers) {
+			if h.Layers.From != next || h.Layers.To <= next || !containsRange(h.Upstream.Layers, h.Layers) {
 				rt.Fatalf("path %s", text(run.Path()))
 			}
 			next = h.Layers.To
@@ -331,14 +332,14 @@
 	}
 	for _, e := range m.c.engines {
 		if e.running != running[e.up] {
-			rt.Fatalf("%s counts %d runs, has %d", e.up.Name, e.running, running[e.up])
+			rt.Fatalf("engine %s counts %d runs, want %d", e.up.Name, e.running, running[e.up])
 		}
 	}
 }
 
-// TestEntriesTogetherDoNotOverfillAnEngine lets all entries of a large failure domain give work between two reports of an engine that is the
-// fastest of its layers and rather full.
-func TestEntriesTogetherDoNotOverfillAnEngine(t *testing.T) {
+// TestConcurrentEntriesDoNotOverfillAnEngine guards against an engine that runs out of memory because all entries
+// of a domain prefer it between two of its reports: it is the fastest of its layers and already rather full.
+func TestConcurrentEntriesDoNotOverfillAnEngine(t *testing.T) {
 	const entries, each = 25, 3
 	list := append(twoDomains()[:3], upstream("a4", "a", 4, 8))
 	work := Work{Prompt: 100, Answer: 20}
@@ -351,9 +352,9 @@
 		for range each {
 			run, err := c.Pick(work)
 			assert.NilError(t, err)
-			held[run.Path().Hops()[1].Upstream.Name+" later"] += need(work, run.Path().Hops()[1])
+			held[run.Path().Hops()[1].Upstream.Name+" later"] += memoryNeed(work, run.Path().Hops()[1])
 		}
 	}
-	assert.Assert(t, held["a3"]+held["a3 later"] <= 20000, "%d of 20000 on the faster one", held["a3"]+held["a3 later"])
+	assert.Assert(t, held["a3"]+held["a3 later"] <= 20000, "%d of 20000 tokens times layers on the faster engine", held["a3"]+held["a3 later"])
 	assert.Assert(t, held["a4 later"] > 0)
 }
--- a/ferry/ferrypath/doc.go
+++ b/ferry/ferrypath/doc.go
@@ -1,2 +1,4 @@
-// Package ferrypath chooses the engines that run a generation one after another and hand it on by themselves, and keeps count of what each has to do.
+// Package ferrypath selects the series of engines that runs a generation.
+//
+// It also tracks the load and the health of each engine.
 package ferrypath
--- a/ferry/ferrypath/engine.go
+++ b/ferry/ferrypath/engine.go
@@ -8,51 +8,52 @@
 	"cactusferry.dev/ferry/ferryhealth"
 )
 
-// engine is what this entry knows of one engine.
+// engine is the state of one engine as this entry sees it.
 type engine struct {
 	up     *ferrydiscovery.Upstream
 	kind   ferryconfig.Accelerator
 	health ferryhealth.Health
-	// running and held are what this entry's generations have there: their number, and their memory in tokens times layers.
+	// running is the number of this entry's generations on the engine. held is the memory that they
+	// need, in tokens times layers.
 	running int
 	held    int64
-	// down says that the engine answers no more; it is usable again once it does.
+	// down is set while the engine does not answer.
 	down   bool
 	downAt time.Time
-	// reported is what the engine last said of itself, with what this entry had there at that time.
-	reported Condition
-	at       time.Time
-	heldThen int64
-	ranThen  int
+	// reported is the engine's last report; heldAtReport and runningAtReport are held and running at that time.
+	reported        Condition
+	reportedAt      time.Time
+	heldAtReport    int64
+	runningAtReport int
 }
 
-// Condition is what an engine says of itself.
+// Condition is an engine's report of its load.
 type Condition struct {
-	// Pace is above 1 while the engine is slower than its kind.
+	// Pace is the slowdown relative to the nominal speed of the engine's accelerator; 1 is nominal.
 	Pace    float64
 	Running int
-	// Used and Room are memory for requests, in tokens times layers.
+	// Used and Room are the used and the total memory for requests, in tokens times layers.
 	Used, Room int64
 }
 
-// conditionAge is how long an engine's word on itself is believed.
-const conditionAge = 4 * time.Second
+// reportTTL is how long an engine's report is used.
+const reportTTL = 4 * time.Second
 
-// known reports whether the engine has said something of itself of late.
-func (e *engine) known(now time.Time) bool {
-	return !e.at.IsZero() && now.Sub(e.at) < conditionAge
+// reportFresh reports whether the engine's last report is recent enough to be used.
+func (e *engine) reportFresh(now time.Time) bool {
+	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) < reportTTL
 }
 
-// pace is how much slower the engine is than its kind.
+// pace returns the slowdown of the engine, 1 if there is no recent report.
 func (e *engine) pace(now time.Time) float64 {
-	if !e.known(now) {
+	if !e.reportFresh(now) {
 		return 1
 	}
 	return max(1, e.reported.Pace)
 }
 
-// room is the memory beside the layers, in tokens times layers.
-func room(m *ferryconfig.Model, kind ferryconfig.Accelerator, layers int) int64 {
+// requestMemory returns the memory left beside the layers, in tokens times layers.
+func requestMemory(m *ferryconfig.Model, kind ferryconfig.Accelerator, layers int) int64 {
 	free := float64(kind.Memory) - float64(layers)*float64(m.LayerSize)
 	perTokenLayer := float64(m.TokenBytes) / float64(m.Layers)
 	if free <= 0 || perTokenLayer <= 0 {
@@ -63,7 +64,8 @@
 
 const bytesPerMegabyte = 1e6
 
-// tokenTime is how long one token takes through all the layers that an engine holds while it runs so many generations.
+// tokenTime returns the time of one token through the engine's layers with the given
+// number of running generations.
 func tokenTime(m *ferryconfig.Model, kind ferryconfig.Accelerator, layers, running int) time.Duration {
 	share := float64(layers) / float64(m.Layers)
 	context := float64(m.ContextTime) * float64(m.UsualPrompt+m.UsualAnswer/2) / 1000
--- a/ferry/ferrypath/path.go
+++ b/ferry/ferrypath/path.go
@@ -6,13 +6,13 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// Hop is one engine of a path and the layers that it runs.
+// Hop is one engine of a path with the layers that it runs.
 type Hop struct {
 	Upstream *ferrydiscovery.Upstream
 	Layers   ferryid.LayerRange
 }
 
-// Path is a series of engines that runs each layer once and in order; only New makes one.
+// Path is a series of engines that runs each layer once and in order. It is created by New only.
 type Path struct {
 	hops []Hop
 }
@@ -33,10 +33,10 @@
 	return p, nil
 }
 
-// First is the engine that takes the request.
+// First returns the engine that receives the request.
 func (p *Path) First() *ferrydiscovery.Upstream { return p.hops[0].Upstream }
 
-// Hops returns the engines in order; do not write to the list.
+// Hops returns the engines in order. The slice must not be modified.
 func (p *Path) Hops() []Hop { return p.hops }
 
 // At returns the index of the engine at an address, or -1.
@@ -49,7 +49,7 @@
 	return -1
 }
 
-// Crossings is how often the path leads from one failure domain to another.
+// Crossings returns how many hops cross from one failure domain to another.
 func (p *Path) Crossings() int {
 	n := 0
 	for i := 1; i < len(p.hops); i++ {
--- a/ferry/ferrypath/repath.go
+++ b/ferry/ferrypath/repath.go
@@ -8,25 +8,26 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// Detour returns another path for a generation under way: it has the same first part, and none of the engines named.
+// Detour returns an alternative path for a running generation, with the same first hop and
+// without the given engines.
 //
-// The generation counts on both paths until Move or the end of the run.
+// The generation stays counted on its old path until Move.
 func (r *Run) Detour(without []ferryid.UpstreamName) (*Path, error) {
 	c := r.chooser
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := r.Path().hops[0]
-	candidates, engines := c.behind(first, without)
+	candidates, engines := c.detourCandidates(first, without)
 	p, err := ferrypipeline.NewPlanner(ferrypipeline.PlannerConfig{Layers: ferryid.Layer(c.model.Layers), Candidates: candidates, Links: links(c.model)})
 	if err != nil {
 		return nil, err
 	}
 	now := c.opts.Clock.Now()
 	plan := ferrypipeline.Plan{}
-	for _, try := range []rule{{healthy: true, fits: true}, {fits: true}} {
+	for _, try := range []constraints{{healthy: true, fits: true}, {fits: true}} {
 		loads := make([]ferrypipeline.Load, len(engines))
 		for i, e := range engines {
-			c.weighOne(&loads[i], e, r.work, now, try)
+			c.updateLoad(&loads[i], e, r.work, now, try)
 		}
 		loads[0].Avoid = false
 		if err = p.Choose(loads, nil, max(1, r.work.Answer), &plan); err == nil {
@@ -36,17 +37,18 @@
 	if err != nil {
 		return nil, ErrNoPath
 	}
-	return New(&plan, c.ups)
+	return New(&plan, c.upstreams)
 }
 
-// behind returns the first engine with exactly the part that it has, and all others with what they hold of the layers behind it.
-func (c *Chooser) behind(first Hop, without []ferryid.UpstreamName) (ferrypipeline.Candidates, []*engine) {
+// detourCandidates returns the candidates for a detour: the first engine with exactly its current layers, and all
+// others with the layers that they hold after those.
+func (c *Chooser) detourCandidates(first Hop, without []ferryid.UpstreamName) (ferrypipeline.Candidates, []*engine) {
 	up := first.Upstream
-	c.ups[ferryid.UpstreamName(up.Name)] = up
+	c.upstreams[ferryid.UpstreamName(up.Name)] = up
 	candidates := ferrypipeline.Candidates{{Name: ferryid.UpstreamName(up.Name), Address: up.Address, Domain: up.FailureDomain, Layers: first.Layers}}
 	engines := []*engine{c.engineOf(first)}
 	for _, e := range c.engines {
-		if e.up.Name == up.Name || e.up.Layers.To <= first.Layers.To || avoids(without, e) {
+		if e.up.Name == up.Name || e.up.Layers.To <= first.Layers.To || excluded(without, e) {
 			continue
 		}
 		held := e.up.Layers
@@ -59,15 +61,15 @@
 	return candidates, engines
 }
 
-// engineOf returns what is known of a hop's engine, which may have left the platform's list meanwhile.
+// engineOf returns the state of a hop's engine, or an empty state if that process is no longer listed.
 func (c *Chooser) engineOf(h Hop) *engine {
-	if e := c.names[ferryid.UpstreamName(h.Upstream.Name)]; e != nil && e.up.SameRun(h.Upstream) {
+	if e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]; e != nil && e.up.SameRun(h.Upstream) {
 		return e
 	}
 	return &engine{up: h.Upstream}
 }
 
-// Move says that the generation goes on over another path.
+// Move switches the generation to another path.
 func (r *Run) Move(to *Path) {
 	c := r.chooser
 	c.mu.Lock()
@@ -77,24 +79,24 @@
 	r.path.Store(to)
 }
 
-// count adds a generation to the engines of a path, or takes it away.
+// count adds n generations to the engines of a path; n may be negative.
 func (c *Chooser) count(p *Path, w Work, n int) {
 	for _, h := range p.hops {
-		e := c.names[ferryid.UpstreamName(h.Upstream.Name)]
+		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
 		if e == nil || !e.up.SameRun(h.Upstream) {
 			continue
 		}
 		e.running += n
-		e.held += int64(n) * need(w, h)
+		e.held += int64(n) * memoryNeed(w, h)
 	}
 }
 
-// Dead notes that an engine does not answer any more, so that nothing is sent there until it does.
+// Dead marks an engine as down, so that no work is sent to it until Alive.
 func (c *Chooser) Dead(name string) {
 	c.setDown(name, true)
 }
 
-// Alive notes that an engine answers again.
+// Alive marks an engine as up again.
 func (c *Chooser) Alive(name string) {
 	c.setDown(name, false)
 }
@@ -102,27 +104,27 @@
 func (c *Chooser) setDown(name string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.names[ferryid.UpstreamName(name)]
+	e := c.byName[ferryid.UpstreamName(name)]
 	if e == nil || e.down == down {
 		return
 	}
 	e.down, e.downAt = down, c.opts.Clock.Now()
 }
 
-// IsDown reports whether an engine did not answer when it was last tried.
+// IsDown reports whether an engine is marked as down.
 func (c *Chooser) IsDown(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.names[ferryid.UpstreamName(name)]
+	e := c.byName[ferryid.UpstreamName(name)]
 	return e != nil && e.down
 }
 
-// DownFor returns the engines that have not answered for so long.
+// DownFor returns the names of the engines that have been down for at least d.
 func (c *Chooser) DownFor(d time.Duration) map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]bool{}
-	for name, e := range c.names {
+	for name, e := range c.byName {
 		if e.down && c.opts.Clock.Since(e.downAt) >= d {
 			out[string(name)] = true
 		}
@@ -130,7 +132,7 @@
 	return out
 }
 
-// Down returns the engines that did not answer when they were last tried.
+// Down returns the usable engines that are marked as down.
 func (c *Chooser) Down() []*ferrydiscovery.Upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +145,7 @@
 	return out
 }
 
-// Slow returns the engines of the path, but for the first, that are much slower than their kind.
+// Slow returns the engines of the path, except the first, whose slowdown is at least slowPace.
 func (r *Run) Slow() []ferryid.UpstreamName {
 	c := r.chooser
 	c.mu.Lock()
@@ -151,33 +153,35 @@
 	now := c.opts.Clock.Now()
 	var out []ferryid.UpstreamName
 	for _, h := range r.Path().hops[1:] {
-		if e := c.engineOf(h); e.pace(now) >= tooSlow {
+		if e := c.engineOf(h); e.pace(now) >= slowPace {
 			out = append(out, ferryid.UpstreamName(h.Upstream.Name))
 		}
 	}
 	return out
 }
 
-func holds(all, part ferryid.LayerRange) bool {
+func containsRange(all, part ferryid.LayerRange) bool {
 	return all.From <= part.From && part.To <= all.To
 }
 
-// Leaving returns the engines of the path, but for the first, that take no new work any more, have given up their part or are gone from the platform's list.
+// Leaving returns the engines of the path, except the first, that accept no new work, no longer hold their
+// layers or are no longer listed by the platform.
 func (r *Run) Leaving() []ferryid.UpstreamName {
 	c := r.chooser
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []ferryid.UpstreamName
 	for _, h := range r.Path().hops[1:] {
-		e := c.names[ferryid.UpstreamName(h.Upstream.Name)]
-		if e == nil || !e.up.SameRun(h.Upstream) || !e.up.Ready() || !holds(e.up.Layers, h.Layers) {
+		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
+		if e == nil || !e.up.SameRun(h.Upstream) || !e.up.Ready() || !containsRange(e.up.Layers, h.Layers) {
 			out = append(out, ferryid.UpstreamName(h.Upstream.Name))
 		}
 	}
 	return out
 }
 
-// Quiet returns the indices of the path's engines that no generation of this entry has shown to be working since a time.
+// Quiet returns the indices of the path's engines for which no run of this entry has made
+// progress since the given time.
 func (r *Run) Quiet(since time.Time) []int {
 	c := r.chooser
 	c.mu.Lock()
