--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -9,51 +9,53 @@
 )
 
 const (
-	// patience is how long an order that was begun may take to show in the engine's entry, beyond the time to load.
-	patience = 4 * time.Second
-	// settleFor is how long no new engine must have appeared before the first placement, which then knows them all: a little more than
-	// the time between two signs of life. settleMost bounds it.
+	// orderVisibleTimeout is how long, beyond the load time, an order that was begun may take to show in
+	// the engine's platform entry.
+	orderVisibleTimeout = 4 * time.Second
+	// settleFor is how long no new engine must have appeared before the first placement, so that all engines
+	// are known. It is a little more than the heartbeat interval. settleMost bounds the wait.
 	settleFor  = 1400 * time.Millisecond
 	settleMost = 4 * time.Second
-	// retryAfter is the pause after an order that was not answered or did not fit.
+	// retryAfter is the delay after an order that was refused or not answered.
 	retryAfter = 500 * time.Millisecond
 )
 
-// Core decides which orders to send; it belongs to one goroutine.
+// Core decides which orders to send. It is not safe for concurrent use.
 type Core struct {
 	model   *ferryconfig.Model
 	engines map[ferryid.UpstreamName]*engine
-	begun   bool
-	// lacking is since when each failure domain lacks some layer.
+	placed  bool
+	// lacking is the time since which a failure domain has lacked at least one layer.
 	lacking map[ferryid.DomainName]time.Time
-	// first and newest are when the first engine and the newest one appeared.
-	first, newest time.Time
+	// first and newest are the times when the first and the newest engine appeared.
+	firstSeen, newestSeen time.Time
 }
 
-// engine is what the core knows of one engine.
+// engine is the state of one engine.
 type engine struct {
 	up *ferrydiscovery.Upstream
-	// target is what the engine was last ordered to hold, while that is under way.
+	// target is the range of the last order, valid unless state is idle.
 	target ferryid.LayerRange
 	state  orderState
-	// until is when an order under way is doubted, or a pause ends.
+	// until is the deadline of an order in progress, or the end of a delay.
 	until time.Time
-	// since is when the engine appeared.
-	since time.Time
-	// doubt says that an order without an answer may still take effect.
+	// since is the time when the engine appeared.
+	appearedAt time.Time
+	// doubt is set while an order without an answer may still take effect.
 	doubt bool
 }
 
 type orderState int
 
 const (
-	// idle has no order under way.
+	// idle means that no order is in progress.
 	idle orderState = iota
-	// asked waits for the answer to an order.
-	asked
-	// begun waits for the engine's entry to show what was ordered.
+	// sent means that an order was sent and not answered yet.
+	sent
+	// begun means that the engine has begun the order but its platform entry does not show the layers yet.
 	begun
-	// doubtful has had no answer: what was ordered counts as held until the engine says otherwise.
+	// doubtful means that an order had no answer. Its layers count as held until
+	// the engine's state is known.
 	doubtful
 )
 
@@ -62,7 +64,7 @@
 	return &Core{engines: map[ferryid.UpstreamName]*engine{}, lacking: map[ferryid.DomainName]time.Time{}}
 }
 
-// Set takes the model and the engines as the platform describes them now.
+// Set replaces the model and the engines as the platform describes them now.
 func (c *Core) Set(m *ferryconfig.Model, list []*ferrydiscovery.Upstream, now time.Time) {
 	c.model = m
 	old := c.engines
@@ -71,7 +73,7 @@
 		name := ferryid.UpstreamName(u.Name)
 		e := old[name]
 		if e == nil || !e.up.SameRun(u) {
-			e = &engine{since: now}
+			e = &engine{appearedAt: now}
 			c.appeared(now)
 		}
 		e.up = u
@@ -83,15 +85,16 @@
 }
 
 func (c *Core) appeared(now time.Time) {
-	if c.first.IsZero() {
-		c.first = now
+	if c.firstSeen.IsZero() {
+		c.firstSeen = now
 	}
-	c.newest = now
+	c.newestSeen = now
 }
 
-// settled reports whether the engines are known well enough for a placement; where some hold layers already there is no need to wait.
+// settled reports whether enough engines are known for a placement. If some engine already holds layers,
+// there is no need to wait.
 func (c *Core) settled(now time.Time) bool {
-	if c.begun || now.Sub(c.newest) >= settleFor || now.Sub(c.first) >= settleMost {
+	if c.placed || now.Sub(c.newestSeen) >= settleFor || now.Sub(c.firstSeen) >= settleMost {
 		return true
 	}
 	for _, e := range c.engines {
@@ -102,13 +105,14 @@
 	return false
 }
 
-// Send is one order to give now.
+// Send is one order to be sent now.
 type Send struct {
 	Upstream *ferrydiscovery.Upstream
 	Layers   ferryid.LayerRange
 }
 
-// Next returns the orders to give now, never more than may load at once while traffic runs.
+// Next returns the orders to send now. After the first placement, at most
+// Model.LoadsAtOnce engines load at once.
 func (c *Core) Next(now time.Time) []Send {
 	if c.model == nil || c.model.Layers == 0 || !c.settled(now) {
 		return nil
@@ -119,42 +123,43 @@
 		if e.state == begun && !now.Before(e.until) {
 			e.state = idle
 		}
-		if e.state == asked || e.state == begun {
+		if e.state == sent || e.state == begun {
 			loading++
 		}
 		kind, ok := c.model.Accelerator(ferryconfig.AcceleratorName(e.up.Accelerator))
 		if !ok || !e.up.Ready() {
 			continue
 		}
-		engines = append(engines, Engine{Name: name, Domain: e.up.FailureDomain, Accelerator: kind, Held: e.held(), Live: e.up.Layers, Fixed: e.busy(now), Age: now.Sub(e.since)})
+		engines = append(engines, Engine{Name: name, Domain: e.up.FailureDomain, Accelerator: kind, Held: e.held(), Live: e.up.Layers, Fixed: e.busy(now), Age: now.Sub(e.appearedAt)})
 	}
-	sends := c.again(now)
+	sends := c.repeatDoubtful(now)
 	loading += len(sends)
-	for _, o := range Plan(Situation{Model: c.model, Engines: engines, Lacking: c.lacks(engines, now)}) {
-		if c.begun && c.model.LoadsAtOnce > 0 && loading >= c.model.LoadsAtOnce {
+	for _, o := range Plan(Input{Model: c.model, Engines: engines, Lacking: c.updateLacking(engines, now)}) {
+		if c.placed && c.model.LoadsAtOnce > 0 && loading >= c.model.LoadsAtOnce {
 			break
 		}
 		e := c.engines[o.Engine]
-		e.target, e.state = o.Layers, asked
+		e.target, e.state = o.Layers, sent
 		loading++
 		sends = append(sends, Send{Upstream: e.up, Layers: o.Layers})
 	}
 	if len(sends) == 0 && loading == 0 {
-		// Everything that could be placed has been, so what follows happens beside traffic.
-		c.begun = c.begun || len(engines) > 0
+		// The first placement is complete, so further loads compete with traffic.
+		c.placed = c.placed || len(engines) > 0
 	}
 	return sends
 }
 
-// lacks notes which failure domains lack a layer that is neither held nor on its way, and says for how long.
-func (c *Core) lacks(engines []Engine, now time.Time) map[ferryid.DomainName]time.Duration {
+// updateLacking updates which failure domains lack a layer that is neither held nor loading,
+// and returns for how long.
+func (c *Core) updateLacking(engines []Engine, now time.Time) map[ferryid.DomainName]time.Duration {
 	cover := newCoverage(c.model.Layers)
 	for _, e := range engines {
 		cover.add(e.Domain, e.Held, 1)
 	}
 	out := map[ferryid.DomainName]time.Duration{}
 	for d := range cover.domains {
-		if !cover.lacking(d) {
+		if !cover.lacksAny(d) {
 			delete(c.lacking, d)
 			continue
 		}
@@ -166,19 +171,20 @@
 	return out
 }
 
-// again repeats the orders that had no answer: an engine that has begun one says so, and one that is still to come no longer fits.
-func (c *Core) again(now time.Time) []Send {
+// repeatDoubtful repeats the orders without an answer. An engine that has begun one answers so, and an order that is
+// still in transit no longer has the expected number.
+func (c *Core) repeatDoubtful(now time.Time) []Send {
 	var sends []Send
 	for _, e := range c.engines {
 		if e.state == doubtful && !now.Before(e.until) && e.up.Ready() {
-			e.state = asked
+			e.state = sent
 			sends = append(sends, Send{Upstream: e.up, Layers: e.target})
 		}
 	}
 	return sends
 }
 
-// held is what counts as held: the target while an order may take effect.
+// held returns the range that counts as held: the target while an order may take effect.
 func (e *engine) held() ferryid.LayerRange {
 	if e.state == idle {
 		return e.up.Layers
@@ -186,34 +192,34 @@
 	return e.target
 }
 
-// busy reports whether no order may be given to the engine now.
+// busy reports whether the engine must not be sent an order now.
 func (e *engine) busy(now time.Time) bool {
 	return e.state != idle || now.Before(e.until)
 }
 
-// Answer is what came of an order.
-type Answer int
+// OrderOutcome is the outcome of an order.
+type OrderOutcome int
 
-// The answers to an order.
+// The outcomes of an order.
 const (
-	// Begun means that the engine has begun it, or is there already.
-	Begun Answer = iota
-	// Refused means that the engine certainly did not begin it.
+	// Begun means that the engine has begun the order or already holds the layers.
+	Begun OrderOutcome = iota
+	// Refused means that the engine certainly did not begin the order.
 	Refused
-	// Unknown means that it may have begun it, or may yet.
+	// Unknown means that the engine may have begun the order or may still begin it.
 	Unknown
 )
 
-// Answered takes what came of an order.
-func (c *Core) Answered(s Send, a Answer, now time.Time) {
+// Record records the outcome of an order.
+func (c *Core) Record(s Send, a OrderOutcome, now time.Time) {
 	e := c.engines[ferryid.UpstreamName(s.Upstream.Name)]
-	if e == nil || !e.up.SameRun(s.Upstream) || e.state != asked {
+	if e == nil || !e.up.SameRun(s.Upstream) || e.state != sent {
 		return
 	}
 	switch a {
 	case Begun:
 		e.state, e.doubt = begun, false
-		e.until = now.Add(c.loadTime(s.Layers) + patience)
+		e.until = now.Add(c.loadTime(s.Layers) + orderVisibleTimeout)
 		if e.up.Layers == e.target {
 			e.state = idle
 		}
@@ -227,7 +233,7 @@
 	}
 }
 
-// loadTime is how long an engine takes to load a range at the most, with all engines loading at once.
+// loadTime returns the longest time to load a range, with all engines loading at once.
 func (c *Core) loadTime(r ferryid.LayerRange) time.Duration {
 	t := time.Duration(float64(c.model.LoadTime) * float64(r.Len()) / float64(c.model.Layers))
 	if c.model.LoadsAtOnce > 0 {
--- a/ferry/ferryplacement/coverage.go
+++ b/ferry/ferryplacement/coverage.go
@@ -4,7 +4,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// coverage counts how many engines hold each layer, in all and in each failure domain.
+// coverage counts how many engines hold each layer, in total and by failure domain.
 type coverage struct {
 	layers  int
 	all     []int
@@ -24,7 +24,7 @@
 	return counts
 }
 
-// add counts a range in a domain n times, which may be negative.
+// add adds n to the count of each layer of a range; n may be negative.
 func (c *coverage) add(d ferryid.DomainName, r ferryid.LayerRange, n int) {
 	counts := c.of(d)
 	for l := int(r.From); l < int(r.To) && l < c.layers; l++ {
@@ -34,16 +34,18 @@
 }
 
 const (
-	// missingEverywhere is added for a layer that no engine holds at all: without it nothing is served.
+	// missingEverywhere is added for a layer that no engine holds: without it no request can be served.
 	missingEverywhere = 5.0
-	// firstWorth is the worth of one more of them.
-	firstWorth = 20.0
-	// missingHere is the worth of a layer that no engine of the failure domain holds: without it work crosses to another domain and back.
+	// missingFirstLayer is added, divided by one more than the present holders, for the first layer while it
+	// has fewer than firstHolders.
+	missingFirstLayer = 20.0
+	// missingHere is added for a layer that no engine of the failure domain holds: without it paths cross
+	// to another domain and back.
 	missingHere = 10.0
 )
 
-// worth is what one more holder of a layer is worth in a domain; each further copy is worth less.
-func (c *coverage) worth(d ferryid.DomainName, layer int) float64 {
+// value returns the value of one more holder of a layer in a domain. Each further copy has a lower value.
+func (c *coverage) value(d ferryid.DomainName, layer int) float64 {
 	here, all := c.of(d)[layer], c.all[layer]
 	w := 1/float64(1+here) + 1/float64(1+all)
 	if all == 0 {
@@ -53,48 +55,50 @@
 		w += missingHere
 	}
 	if layer == 0 && here < firstHolders {
-		w += firstWorth / float64(1+here)
+		w += missingFirstLayer / float64(1+here)
 	}
 	return w
 }
 
-// best returns the range of at most the given length that is worth most in a domain: the first part, or the highest of equals behind it.
+// best returns the range of at most the given length with the highest value in a domain.
+//
+// It is either the first part or a range behind it; among equals the highest range.
 func (c *coverage) best(d ferryid.DomainName, length, first int) (ferryid.LayerRange, float64) {
 	length = min(length, c.layers)
 	head := ferryid.LayerRange{To: ferryid.Layer(min(first, length))}
-	most, best := c.total(d, head), head
+	most, best := c.rangeValue(d, head), head
 	least := first
 	if length < first {
-		// An engine too small for the first part helps with what lies behind its beginning.
+		// An engine too small for the first part may also hold a range that overlaps it.
 		least = 0
 	}
 	from := c.layers - length
-	sum := c.total(d, ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(c.layers)})
+	sum := c.rangeValue(d, ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(c.layers)})
 	for ; from >= least; from-- {
-		if sum > most+tie {
+		if sum > most+valueTolerance {
 			best, most = ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(from + length)}, sum
 		}
 		if from > 0 {
-			sum += c.worth(d, from-1) - c.worth(d, from+length-1)
+			sum += c.value(d, from-1) - c.value(d, from+length-1)
 		}
 	}
 	return best, most
 }
 
-// tie is the difference below which two sums are taken as equal.
-const tie = 1e-6
+// valueTolerance is the difference below which two values are equal.
+const valueTolerance = 1e-6
 
-// total is what a range is worth in a domain.
-func (c *coverage) total(d ferryid.DomainName, r ferryid.LayerRange) float64 {
+// rangeValue returns the value of a range in a domain.
+func (c *coverage) rangeValue(d ferryid.DomainName, r ferryid.LayerRange) float64 {
 	sum := 0.0
 	for l := int(r.From); l < int(r.To) && l < c.layers; l++ {
-		sum += c.worth(d, l)
+		sum += c.value(d, l)
 	}
 	return sum
 }
 
-// lacking reports whether a domain lacks some layer.
-func (c *coverage) lacking(d ferryid.DomainName) bool {
+// lacksAny reports whether no engine of the domain holds some layer.
+func (c *coverage) lacksAny(d ferryid.DomainName) bool {
 	for _, n := range c.of(d) {
 		if n == 0 {
 			return true
--- a/ferry/ferryplacement/placer.go
+++ b/ferry/ferryplacement/placer.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// stepEvery is how often orders under way are looked at while this entry gives them.
-	stepEvery = 500 * time.Millisecond
-	// orderTimeout bounds one reading of an engine's state and one order.
+	// stepInterval is the interval at which the engines' orders are checked.
+	stepInterval = 500 * time.Millisecond
+	// orderTimeout bounds reading an engine's state and sending one order together.
 	orderTimeout = time.Second
-	resultRing   = 256
+	resultBuffer = 256
 )
 
-// State is what an engine says of itself.
+// State is an engine's report of its state.
 type State struct {
 	Layers ferryid.LayerRange
-	// Orders counts the orders that it has begun since its start.
+	// Orders is the number of orders that the engine has begun since its start.
 	Orders uint64
-	// Busy says that an order is in progress.
+	// Busy is set while an order is in progress.
 	Busy bool
-	// Pace is above 1 while the engine is slower than its kind.
+	// Pace is the slowdown relative to the nominal speed of the engine's accelerator; 1 is nominal.
 	Pace float64
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests.
 	Running, Waiting int
-	// Used and Room are memory for requests, in tokens times layers.
+	// Used and Room are the used and the total memory for requests, in tokens times layers.
 	Used, Room int64
 }
 
-// PlaceOrder asks an engine to hold a range of layers and no others.
+// PlaceOrder orders an engine to hold a range of layers and no others.
 type PlaceOrder struct {
 	Layers ferryid.LayerRange
 	Fence  ferryid.Fence
-	// Expected is how many orders the engine must have begun; with another number the order does not fit.
+	// Expected is the number of orders that the engine must have begun; otherwise it refuses the order.
 	Expected uint64
 }
 
-// RefusedError says that an engine certainly did not begin an order.
+// RefusedError is returned if an engine certainly did not begin an order.
 type RefusedError struct {
 	Engine string
 	Reason string
@@ -54,19 +54,20 @@
 	return "engine " + e.Engine + " refused the order: " + e.Reason
 }
 
-// Engines speaks to engines.
+// Engines is the client of the engines' placement interface.
 type Engines interface {
 	State(ctx context.Context, u *ferrydiscovery.Upstream) (State, error)
-	// Place returns nil once the order has begun or is done, a *RefusedError if it certainly has not, and another error if that is not known.
+	// Place sends an order. It returns nil if the order has begun or is done, a *RefusedError if it
+	// certainly has not, and another error if the outcome is unknown.
 	Place(ctx context.Context, u *ferrydiscovery.Upstream, o PlaceOrder) error
 }
 
-// Tenure says whether this entry may give orders now, and under which fencing number.
+// Tenure reports whether this entry may send orders, under which fencing number and until when.
 type Tenure interface {
 	Check() (ferryid.Fence, time.Time, error)
 }
 
-// Config is what a Placer needs; all must be set.
+// Config configures a Placer. All fields are required.
 type Config struct {
 	Engines Engines
 	Tenure  Tenure
@@ -74,7 +75,8 @@
 	Log     zerolog.Logger
 }
 
-// Placer brings the engines of one service to where the plan wants them, while its entry may give orders.
+// Placer sends the orders that move the engines of one service to the planned placement, while
+// its entry has the tenure.
 type Placer struct {
 	cfg     Config
 	core    *Core
@@ -82,24 +84,24 @@
 	results chan result
 }
 
-// input is the newest model and engines.
+// input is the latest model and engines.
 type input struct {
 	model *ferryconfig.Model
 	list  []*ferrydiscovery.Upstream
 }
 
-// result is what came of one order.
+// result is the outcome of one order.
 type result struct {
 	send   Send
-	answer Answer
+	answer OrderOutcome
 }
 
-// New returns a placer that does nothing until Run.
+// New returns a placer; Run starts it.
 func New(cfg Config) *Placer {
-	return &Placer{cfg: cfg, core: NewCore(), input: make(chan input, 1), results: make(chan result, resultRing)}
+	return &Placer{cfg: cfg, core: NewCore(), input: make(chan input, 1), results: make(chan result, resultBuffer)}
 }
 
-// Set takes the model and the engines as they are now; it never blocks, and an input not yet looked at is replaced.
+// Set replaces the model and the engines. It never blocks; an input that was not processed yet is replaced.
 func (p *Placer) Set(m *ferryconfig.Model, list []*ferrydiscovery.Upstream) {
 	in := input{model: m, list: list}
 	for {
@@ -115,7 +117,7 @@
 	}
 }
 
-// Run gives orders until the context ends.
+// Run sends orders until the context ends.
 func (p *Placer) Run(ctx context.Context) {
 	for {
 		select {
@@ -124,7 +126,7 @@
 		case in := <-p.input:
 			p.core.Set(in.model, in.list, p.cfg.Clock.Now())
 		case r := <-p.results:
-			p.core.Answered(r.send, r.answer, p.cfg.Clock.Now())
+			p.core.Record(r.send, r.answer, p.cfg.Clock.Now())
 			continue
 		case <-p.wait():
 		}
@@ -132,9 +134,9 @@
 	}
 }
 
-// wait ticks only while this entry may give orders.
+// wait returns the timer of the next check.
 func (p *Placer) wait() <-chan time.Time {
-	return p.cfg.Clock.After(stepEvery)
+	return p.cfg.Clock.After(stepInterval)
 }
 
 func (p *Placer) step(ctx context.Context) {
@@ -152,37 +154,37 @@
 	}
 }
 
-// order gives one order, bound to the number of orders that the engine has begun, and says what came of it.
-func (p *Placer) order(ctx context.Context, s Send) Answer {
+// order sends one order with the number of orders that the engine has begun, and returns its outcome.
+func (p *Placer) order(ctx context.Context, s Send) OrderOutcome {
 	ctx, cancel := clockwork.WithTimeout(ctx, p.cfg.Clock, orderTimeout)
 	defer cancel()
 	log := p.cfg.Log.With().Str("Engine", s.Upstream.Name).Stringer("Layers", s.Layers).Logger()
 	state, err := p.cfg.Engines.State(ctx, s.Upstream)
 	switch {
 	case err != nil:
-		log.Info().Err(err).Msg("engine's state not read")
+		log.Info().Err(err).Msg("could not read the engine's state; order not sent")
 		return Refused
 	case state.Layers == s.Layers:
 		return Begun
 	case state.Busy:
-		log.Info().Stringer("Held", state.Layers).Msg("engine is busy with an order")
+		log.Info().Stringer("Held", state.Layers).Msg("another order is in progress on the engine; order not sent")
 		return Refused
 	}
 	fence, _, err := p.cfg.Tenure.Check()
 	if err != nil {
-		log.Info().Err(err).Msg("order not given")
+		log.Info().Err(err).Msg("order not sent: no valid lease")
 		return Refused
 	}
 	err = p.cfg.Engines.Place(ctx, s.Upstream, PlaceOrder{Layers: s.Layers, Fence: fence, Expected: state.Orders})
 	var refused *RefusedError
 	switch {
 	case err == nil:
-		log.Info().Uint64("Fence", uint64(fence)).Uint64("Expected", state.Orders).Stringer("Held", state.Layers).Msg("order begun")
+		log.Info().Uint64("Fence", uint64(fence)).Uint64("Expected", state.Orders).Stringer("Held", state.Layers).Msg("engine has begun the order")
 		return Begun
 	case errors.As(err, &refused):
-		log.Info().Err(err).Msg("order refused")
+		log.Info().Err(err).Msg("engine refused the order")
 		return Refused
 	}
-	log.Warn().Err(err).Uint64("Expected", state.Orders).Msg("order without an answer")
+	log.Warn().Err(err).Uint64("Expected", state.Orders).Msg("no answer to the order; outcome unknown, will repeat it")
 	return Unknown
 }
--- a/ferry/ferryplacement/plan.go
+++ b/ferry/ferryplacement/plan.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// requestShare is the part of an engine's memory that is always kept for requests; with less it would hold up every path that it is on.
+	// requestShare is the part of an engine's memory that is reserved for requests. With less, the engine
+	// becomes the bottleneck of every path that it is on.
 	requestShare = 0.18
-	// tightShare is that part where a domain would otherwise lack a few layers.
-	tightShare = 0.08
-	// firstHolders is how many engines of a failure domain hold the first layers.
+	// minRequestShare is the reserved part if the domain would otherwise lack a few layers.
+	minRequestShare = 0.08
+	// firstHolders is the number of engines of a failure domain that hold the first layers.
 	firstHolders = 3
 )
 
-// Engine is one engine as a plan sees it.
+// Engine is the input of a plan about one engine.
 type Engine struct {
 	Name        ferryid.UpstreamName
 	Domain      ferryid.DomainName
 	Accelerator ferryconfig.Accelerator
-	// Held are the layers that it holds or has been ordered to hold, and Live those that it serves now.
+	// Held are the layers that the engine holds or has been ordered to hold, Live those that it serves now.
 	Held, Live ferryid.LayerRange
-	// Fixed engines keep what they hold, because an order to them is under way.
+	// Fixed is set if the engine cannot be sent an order now, for example because one is in progress.
 	Fixed bool
 	// Age is how long the engine has been known.
 	Age time.Duration
 }
 
-// Situation is what a plan is made from.
-type Situation struct {
+// Input is the input of a plan.
+type Input struct {
 	Model   *ferryconfig.Model
 	Engines []Engine
-	// Lacking is for how long each failure domain has lacked some layer.
+	// Lacking is how long each failure domain has lacked at least one layer.
 	Lacking map[ferryid.DomainName]time.Duration
 }
 
-// Order is one engine's new range.
+// Order is the new range of one engine.
 type Order struct {
 	Engine ferryid.UpstreamName
 	Layers ferryid.LayerRange
 }
 
-// Capacity is the most layers that an engine is given, with memory left for requests.
+// Capacity returns the most layers that an engine is given, with memory reserved for requests.
 func Capacity(m *ferryconfig.Model, a ferryconfig.Accelerator) int {
 	return capacity(m, a, requestShare)
 }
@@ -60,18 +61,19 @@
 
 // Plan returns the orders that improve the placement.
 //
-// Each failure domain that has the memory holds one copy of the model, spread so that all its engines have the same room for
-// requests, since a path carries what its fullest engine does. Several engines hold the same few first layers: the engine that
-// takes a request is the only one of its path that cannot be replaced under way, so its loss should meet few requests.
-// Engines that come later fill what is missing, and what is lost is covered by engines that are missed least.
-func Plan(s Situation) []Order {
+// Each failure domain with enough memory holds one copy of the model, spread so that all its engines have
+// the same memory for requests, since the fullest engine limits a path. Several engines hold the same few
+// first layers: the engine that receives a request is the only one of its path that cannot be replaced
+// during the run, so its loss should affect few requests. Engines that join later fill the gaps. Lost layers
+// are covered by the engines whose own layers are best covered by others.
+func Plan(s Input) []Order {
 	if s.Model.Layers <= 0 {
 		return nil
 	}
 	p := newPlan(s)
 	for _, pool := range p.pools() {
 		if pool.fresh() {
-			p.layOut(pool)
+			p.distribute(pool)
 			continue
 		}
 		p.fillEmpty(pool)
@@ -80,20 +82,20 @@
 	return p.orders
 }
 
-// plan is the working state of one call.
+// plan is the working state of one call of Plan.
 type plan struct {
-	Situation
+	Input
 	model   *ferryconfig.Model
 	engines []*Engine
-	// cover counts what is held or ordered, and live what is served now.
+	// cover counts the layers that are held or ordered, live those that are served now.
 	cover, live *coverage
 	orders      []Order
 	ordered     map[ferryid.UpstreamName]bool
 }
 
-func newPlan(s Situation) *plan {
+func newPlan(s Input) *plan {
 	m := s.Model
-	p := &plan{Situation: s, model: m, cover: newCoverage(m.Layers), live: newCoverage(m.Layers), ordered: map[ferryid.UpstreamName]bool{}}
+	p := &plan{Input: s, model: m, cover: newCoverage(m.Layers), live: newCoverage(m.Layers), ordered: map[ferryid.UpstreamName]bool{}}
 	for i := range s.Engines {
 		e := s.Engines[i]
 		if Capacity(m, e.Accelerator) == 0 {
@@ -107,7 +109,7 @@
 	return p
 }
 
-// byMemory orders engines, those with most memory first.
+// byMemory sorts engines by descending memory.
 func byMemory(a, b *Engine) int {
 	return cmp.Or(
 		cmp.Compare(b.Accelerator.Memory, a.Accelerator.Memory),
@@ -118,7 +120,7 @@
 
 func (p *plan) capacity(e *Engine) int { return Capacity(p.model, e.Accelerator) }
 
-// order gives an engine a new range.
+// order assigns an engine a new range.
 func (p *plan) order(e *Engine, r ferryid.LayerRange) {
 	p.cover.add(e.Domain, e.Held, -1)
 	p.live.add(e.Domain, e.Live, -1)
@@ -129,7 +131,7 @@
 	p.orders = append(p.orders, Order{Engine: e.Name, Layers: r})
 }
 
-// overlap is what two ranges have in common.
+// overlap returns the intersection of two ranges.
 func overlap(a, b ferryid.LayerRange) ferryid.LayerRange {
 	r := ferryid.LayerRange{From: max(a.From, b.From), To: min(a.To, b.To)}
 	if r.From >= r.To {
@@ -138,18 +140,19 @@
 	return r
 }
 
-// free reports whether an order may be given to an engine.
+// free reports whether an engine can be sent an order.
 func (p *plan) free(e *Engine) bool { return !e.Fixed && !p.ordered[e.Name] }
 
-// pool is a set of engines that hold a copy of the model together, the ones with most memory first.
+// pool is a set of engines that hold a copy of the model together, by descending memory.
 type pool []*Engine
 
-// fresh reports whether the pool begins with nothing.
+// fresh reports whether no engine of the pool holds layers or is fixed.
 func (l pool) fresh() bool {
 	return !slices.ContainsFunc(l, func(e *Engine) bool { return e.Held.Len() > 0 || e.Fixed })
 }
 
-// pools returns a pool for each failure domain that can hold the model, and one of all others together.
+// pools returns one pool for each failure domain that can hold the model, and one for
+// the engines of all others.
 func (p *plan) pools() []pool {
 	domains := map[ferryid.DomainName]pool{}
 	var names []ferryid.DomainName
@@ -176,7 +179,7 @@
 	return out
 }
 
-// total is how many layers the engines of a pool can hold.
+// total returns how many layers the engines of a pool can hold.
 func (p *plan) total(l pool) int {
 	n := 0
 	for _, e := range l {
@@ -185,8 +188,8 @@
 	return n
 }
 
-// firstPart is how many first layers are held together in a pool: what most engines that begin at the first layer hold now, or
-// what the smallest engine takes in an even spread.
+// firstPart returns the number of first layers that several engines of a pool hold: the most frequent length
+// among engines that begin at the first layer, or the share of the smallest engine.
 func (p *plan) firstPart(l pool) int {
 	held := map[int]int{}
 	for _, e := range l {
@@ -203,16 +206,16 @@
 	return part
 }
 
-// share is how many layers an engine is given in a pool: as many as leave the memory for requests that the model asks for, or more
-// where the pool would not hold the model so.
+// share returns how many layers an engine of a pool is given: as many as leave the request memory that the
+// model asks for, or more if the pool would not hold the model otherwise.
 func (p *plan) share(l pool, e *Engine) int {
 	return p.length(e, p.tokens(l))
 }
 
-// tokens is for how many tokens each engine of a pool has memory beside its layers.
+// tokens returns the number of tokens for which each engine of a pool has memory beside its layers.
 func (p *plan) tokens(l pool) float64 {
 	tokens := float64(p.model.EngineTokens)
-	for ; tokens > 1; tokens *= lessTokens {
+	for ; tokens > 1; tokens *= tokenReduction {
 		n := 0
 		for _, e := range l {
 			n += p.length(e, tokens)
@@ -225,10 +228,10 @@
 	return 0
 }
 
-// lessTokens is the step by which the memory for requests gives way to layers.
-const lessTokens = 0.95
+// tokenReduction is the factor by which the request memory is reduced until the layers fit.
+const tokenReduction = 0.95
 
-// length is how many layers leave memory for so many tokens.
+// length returns how many layers leave memory for the given number of tokens.
 func (p *plan) length(e *Engine, tokens float64) int {
 	perLayer := float64(p.model.LayerSize) + tokens*float64(p.model.TokenBytes)/float64(p.model.Layers)/bytesPerMegabyte
 	return max(1, min(int(float64(e.Accelerator.Memory)/perLayer), p.capacity(e)))
@@ -236,9 +239,10 @@
 
 const bytesPerMegabyte = 1e6
 
-// layOut spreads the model over a pool that begins with nothing: the smallest engines hold the first layers, the largest the last
-// ones. Where the others can hold the model without the very largest, these come on top of a whole copy: they take longest to load.
-func (p *plan) layOut(l pool) {
+// distribute distributes the model over a fresh pool: the smallest engines hold the first layers, the largest
+// the last ones. If the others can hold the model without the largest engines, those are added to a complete
+// copy, since they take longest to load.
+func (p *plan) distribute(l pool) {
 	first := p.firstPart(l)
 	tokens := p.tokens(l)
 	spare := 0
@@ -267,17 +271,19 @@
 		}
 		n := p.length(e, tokens)
 		from := max(first, to-n)
-		// The last one overlaps what is covered already rather than hold less than it could.
+		// The last range overlaps covered layers, so that the engine is used fully.
 		p.order(e, ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(min(from+n, p.model.Layers))})
 		to = from
 	}
 	p.fillEmpty(l)
 }
 
-// spareTokens is the share of the memory for requests that is enough where a copy is completed without the largest engines.
+// spareTokens is the part of the request memory that suffices if the copy is completed
+// without the largest engines.
 const spareTokens = 0.8
 
-// fits reports whether a pool holds the model, its first layers apart, with memory for so many tokens.
+// fits reports whether a pool holds the model with memory for the given number of tokens. The first layers
+// are counted once for each of their holders.
 func (p *plan) fits(l pool, first int, tokens float64) bool {
 	return len(l) > 1 && p.sum(l[:len(l)-1], tokens) >= p.model.Layers-first+first*(min(firstHolders, len(l)-1)-1)
 }
@@ -290,11 +296,12 @@
 	return n
 }
 
-// newcomerWait is how long a new engine is left empty where nothing is missing: when upstreams are replaced, the new one comes
-// shortly before the old one leaves, and then knows what to hold.
-const newcomerWait = 1800 * time.Millisecond
+// newEngineWait is how long a new engine stays empty if no layer is missing. When an upstream is replaced,
+// the new one starts shortly before the old one leaves and can then take its layers.
+const newEngineWait = 1800 * time.Millisecond
 
-// fillEmpty gives the empty engines of a pool what is worth most there. Where layers are missing it gives no more than those, which load soonest.
+// fillEmpty assigns the empty engines of a pool the ranges with the highest value. If layers are missing, an
+// engine is given only those, since they load soonest.
 func (p *plan) fillEmpty(l pool) {
 	first := p.firstPart(l)
 	for _, e := range l {
@@ -305,7 +312,7 @@
 			p.order(e, p.cut(e, gap))
 			continue
 		}
-		if e.Age < newcomerWait && !l.fresh() {
+		if e.Age < newEngineWait && !l.fresh() {
 			continue
 		}
 		r, _ := p.cover.best(e.Domain, p.share(l, e), first)
@@ -313,7 +320,7 @@
 	}
 }
 
-// widestGap returns the longest run of layers that a domain lacks.
+// widestGap returns the longest range of layers that a domain lacks.
 func (p *plan) widestGap(d ferryid.DomainName) ferryid.LayerRange {
 	var best, run ferryid.LayerRange
 	for l, n := range p.cover.of(d) {
@@ -329,7 +336,7 @@
 	return best
 }
 
-// cut shortens a gap to what an engine holds.
+// cut shortens a gap to the capacity of an engine.
 func (p *plan) cut(e *Engine, gap ferryid.LayerRange) ferryid.LayerRange {
 	if n := p.capacity(e); gap.Len() > n {
 		gap.To = gap.From + ferryid.Layer(n)
--- a/ferry/ferryplacement/plan_test.go
+++ b/ferry/ferryplacement/plan_test.go
@@ -16,8 +16,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// cards are accelerators from very large to small, as users mix them.
-var cards = map[string]ferryconfig.Accelerator{
+// accelerators are accelerators of very different sizes, as in mixed installations.
+var accelerators = map[string]ferryconfig.Accelerator{
 	"huge":  {Name: "huge", Memory: 72000, StepFactor: 1.4, ReadFactor: 1},
 	"large": {Name: "large", Memory: 36000, StepFactor: 3.1, ReadFactor: 3.2},
 	"mid":   {Name: "mid", Memory: 21600, StepFactor: 16, ReadFactor: 8.2},
@@ -28,7 +28,7 @@
 	return &ferryconfig.Model{Layers: 80, LayerSize: 1750, TokenBytes: 590000, EngineTokens: 100000, LoadTime: 14 * time.Second, LoadsAtOnce: 6}
 }
 
-// fleet makes engines from a text such as "a: 2 large 4 mid; b: 1 huge".
+// fleet parses engines from a description such as "a: 2 large 4 mid; b: 1 huge".
 func fleet(text string) []Engine {
 	var out []Engine
 	for _, part := range strings.Split(text, ";") {
@@ -40,7 +40,7 @@
 			for k := range n {
 				out = append(out, Engine{
 					Name:   ferryid.UpstreamName(fmt.Sprintf("%s-%s-%02d", domain, words[i+1], k)),
-					Domain: ferryid.DomainName(domain), Accelerator: cards[words[i+1]], Age: time.Minute,
+					Domain: ferryid.DomainName(domain), Accelerator: accelerators[words[i+1]], Age: time.Minute,
 				})
 			}
 		}
@@ -50,7 +50,7 @@
 
 const mixed = "a: 2 large 4 mid 7 small; b: 1 huge 1 large 5 mid 7 small; c: 1 large 8 mid 3 small"
 
-// apply carries orders out at once.
+// apply executes orders immediately.
 func apply(engines []Engine, orders []Order) {
 	for _, o := range orders {
 		for i := range engines {
@@ -61,16 +61,16 @@
 	}
 }
 
-// settle plans until nothing moves any more and fails if that takes too long.
+// settle plans until there are no more orders, and fails if there still are some after 50 rounds.
 func settle(t rapid.TB, m *ferryconfig.Model, engines []Engine, lacking map[ferryid.DomainName]time.Duration) {
 	for range 50 {
-		orders := Plan(Situation{Model: m, Engines: engines, Lacking: lacking})
+		orders := Plan(Input{Model: m, Engines: engines, Lacking: lacking})
 		if len(orders) == 0 {
 			return
 		}
 		apply(engines, orders)
 	}
-	t.Fatalf("the plan does not settle")
+	t.Fatalf("Plan still returns orders after 50 rounds")
 }
 
 func holders(engines []Engine, d ferryid.DomainName, layers int) []int {
@@ -95,18 +95,19 @@
 	return b.String()
 }
 
-func TestAFreshFleetIsLaidOut(t *testing.T) {
+func TestPlanForEmptyEngines(t *testing.T) {
 	engines := fleet(mixed)
 	settle(t, model(), engines, nil)
 	golden.Assert(t, show(engines), "fresh.golden")
 	for _, d := range []ferryid.DomainName{"a", "b", "c"} {
 		here := holders(engines, d, 80)
-		assert.Assert(t, slices.Min(here) >= 1, "domain %s holds a whole copy: %v", d, here)
+		assert.Assert(t, slices.Min(here) >= 1, "domain %s lacks layers, holders: %v", d, here)
 		assert.Assert(t, here[0] >= firstHolders, "the first layers of domain %s have %d holders", d, here[0])
 	}
 }
 
-// TestEveryPlanKeepsToMemory draws fleets, loses and adds engines, and checks every order.
+// TestEveryPlanKeepsToMemory checks the orders for random fleets that lose and gain engines: at most one for
+// each engine, none for a fixed engine, and no range beyond the engine's capacity.
 func TestEveryPlanKeepsToMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model()
@@ -116,7 +117,7 @@
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
 			return Engine{
 				Name: ferryid.UpstreamName(fmt.Sprintf("e%03d", i)), Domain: ferryid.DomainName(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain")),
-				Accelerator: cards[kind], Age: time.Minute,
+				Accelerator: accelerators[kind], Age: time.Minute,
 			}
 		}
 		var engines []Engine
@@ -125,14 +126,14 @@
 		}
 		lacking := map[ferryid.DomainName]time.Duration{"a": time.Minute, "b": time.Minute, "c": time.Minute}
 		for round := range rapid.IntRange(1, 8).Draw(t, "rounds") {
-			orders := Plan(Situation{Model: m, Engines: engines, Lacking: lacking})
+			orders := Plan(Input{Model: m, Engines: engines, Lacking: lacking})
 			seen := map[ferryid.UpstreamName]bool{}
 			for _, o := range orders {
-				assert.Assert(t, !seen[o.Engine], "two orders to one engine")
+				assert.Assert(t, !seen[o.Engine], "more than one order for an engine")
 				seen[o.Engine] = true
 				i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == o.Engine })
-				most := capacity(m, engines[i].Accelerator, tightShare)
-				assert.Assert(t, o.Layers.Len() >= 1 && o.Layers.Len() <= most, "%s for an engine of %d layers", o.Layers, most)
+				most := capacity(m, engines[i].Accelerator, minRequestShare)
+				assert.Assert(t, o.Layers.Len() >= 1 && o.Layers.Len() <= most, "order of %s for an engine with capacity %d", o.Layers, most)
 				assert.Assert(t, int(o.Layers.To) <= m.Layers)
 				assert.Assert(t, !engines[i].Fixed)
 			}
@@ -145,7 +146,7 @@
 	})
 }
 
-// TestNoOrderMakesAGap checks that an engine gives up only what others of its domain serve.
+// TestNoOrderMakesAGap checks that the orders after losses leave no layer without a holder that had one.
 func TestNoOrderMakesAGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model()
@@ -161,10 +162,10 @@
 				lacking[d] = time.Minute
 			}
 			for range 5 {
-				apply(engines, Plan(Situation{Model: m, Engines: engines, Lacking: lacking}))
+				apply(engines, Plan(Input{Model: m, Engines: engines, Lacking: lacking}))
 				for d, counts := range before {
 					for l, n := range holders(engines, d, m.Layers) {
-						assert.Assert(t, n > 0 || counts[l] == 0, "layer %d of domain %s was given up by all", l, d)
+						assert.Assert(t, n > 0 || counts[l] == 0, "layer %d of domain %s lost its last holder", l, d)
 					}
 				}
 			}
@@ -174,7 +175,7 @@
 
 func TestLossesAreCovered(t *testing.T) {
 	for _, tt := range []struct{ name, lost string }{
-		{"the largest", "b-huge-00"}, {"a large one", "c-large-00"}, {"one in the middle", "c-mid-04"}, {"one of the first", "a-small-06"},
+		{"largest engine", "b-huge-00"}, {"large engine", "c-large-00"}, {"holder of middle layers", "c-mid-04"}, {"holder of first layers", "a-small-06"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := model()
@@ -195,28 +196,28 @@
 	}
 }
 
-func TestANewcomerWaitsForWhatItReplaces(t *testing.T) {
+func TestNewEngineWaitsForTheOneItReplaces(t *testing.T) {
 	m := model()
 	engines := fleet(mixed)
 	settle(t, m, engines, nil)
-	newcomer := Engine{Name: "new", Domain: "c", Accelerator: cards["mid"], Age: time.Second}
+	newcomer := Engine{Name: "new", Domain: "c", Accelerator: accelerators["mid"], Age: time.Second}
 	engines = append(engines, newcomer)
-	assert.Equal(t, len(Plan(Situation{Model: m, Engines: engines})), 0, "nothing is missing yet")
+	assert.Equal(t, len(Plan(Input{Model: m, Engines: engines})), 0, "orders although no layer is missing")
 	i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == "c-mid-04" })
 	gone := engines[i].Held
 	engines = slices.Delete(engines, i, i+1)
-	orders := Plan(Situation{Model: m, Engines: engines})
+	orders := Plan(Input{Model: m, Engines: engines})
 	assert.DeepEqual(t, orders, []Order{{Engine: "new", Layers: gone}})
 }
 
-func TestWhatIsQuickToLoadComesFirst(t *testing.T) {
+func TestMissingLayersAreLoadedAlone(t *testing.T) {
 	m := model()
 	engines := fleet(mixed)
 	settle(t, m, engines, nil)
 	i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == "b-small-03" })
 	gap := engines[i].Held
 	engines = slices.Delete(engines, i, i+1)
-	engines = append(engines, Engine{Name: "new", Domain: "b", Accelerator: cards["huge"], Age: time.Minute})
+	engines = append(engines, Engine{Name: "new", Domain: "b", Accelerator: accelerators["huge"], Age: time.Minute})
 	for _, e := range engines {
 		if e.Name != "new" && e.Domain == "b" {
 			for l := e.Held.From; l < e.Held.To; l++ {
@@ -226,7 +227,7 @@
 			}
 		}
 	}
-	orders := Plan(Situation{Model: m, Engines: engines})
+	orders := Plan(Input{Model: m, Engines: engines})
 	assert.DeepEqual(t, orders[0], Order{Engine: "new", Layers: gap})
 }
 
@@ -234,6 +235,6 @@
 	m := model()
 	engines := fleet("a: 4 large 11 mid 18 small; b: 1 huge 2 large 13 mid 17 small; c: 1 huge 2 large 20 mid 9 small")
 	for b.Loop() {
-		Plan(Situation{Model: m, Engines: engines})
+		Plan(Input{Model: m, Engines: engines})
 	}
 }
