--- a/ferry/ferryconfig/configuration.go
+++ b/ferry/ferryconfig/configuration.go
@@ -9,19 +9,19 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Version numbers accepted configurations; it rises, not always by one.
+// Version is the number of an accepted configuration. Versions increase, but not always by one.
 type Version uint64
 
-// RouteName names one route within a configuration.
+// RouteName is the name of a route, unique within a configuration.
 type RouteName string
 
-// Key is the secret by which a caller proves its customer.
+// Key is the secret that authenticates a caller as a customer.
 type Key string
 
-// Priority ranks requests; 0 is the most urgent.
+// Priority is the priority of a request; 0 is the most urgent.
 type Priority int
 
-// Configuration is all that the operators have decided, as one whole.
+// Configuration is one complete version of what the operators have configured.
 type Configuration struct {
 	Version   Version
 	Routes    []Route
@@ -30,15 +30,15 @@
 	Limits    Limits
 }
 
-// Customer is one customer and the keys that stand for it.
+// Customer is one customer with its API keys.
 type Customer struct {
 	Name ferryid.CustomerName
 	Keys []Key
-	// Priority goes before the route's where it is set.
+	// Priority overrides the route's priority if it is set.
 	Priority *Priority
 }
 
-// Limits bound what a caller may send and how long it may take; zero stands for no limit.
+// Limits are the limits on callers' requests; zero means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -46,7 +46,7 @@
 	IdleTimeout   time.Duration
 }
 
-// FaultsError lists everything that is wrong with a configuration.
+// FaultsError lists all faults of a configuration.
 type FaultsError struct {
 	Version Version
 	Faults  []string
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("configuration %d: %s", e.Version, strings.Join(e.Faults, "; "))
 }
 
-// Check returns a *FaultsError with every fault, or nil.
+// Check returns a *FaultsError with all faults, or nil.
 func (c *Configuration) Check() error {
 	f := faults{}
 	f.add(c.Version > 0, "the version must be above 0")
@@ -82,20 +82,20 @@
 
 func checkCustomers(customers []Customer) error {
 	f := faults{}
-	holders := map[Key]ferryid.CustomerName{}
+	owners := map[Key]ferryid.CustomerName{}
 	for _, c := range customers {
 		f.add(c.Name != "", "a customer has no name")
 		for _, k := range c.Keys {
-			other, taken := holders[k]
+			other, taken := owners[k]
 			f.add(k != "", "customer %q has an empty key", c.Name)
 			f.add(!taken || other == c.Name, "customers %q and %q share a key", other, c.Name)
-			holders[k] = c.Name
+			owners[k] = c.Name
 		}
 	}
 	return f.err()
 }
 
-// faults collects what is wrong.
+// faults collects the faults that are found.
 type faults []string
 
 func (f *faults) add(ok bool, format string, args ...any) {
--- a/ferry/ferryconfig/doc.go
+++ b/ferry/ferryconfig/doc.go
@@ -1,2 +1,5 @@
-// Package ferryconfig holds the configuration of routed services: one versioned whole of routes, services, customers and limits, which comes into force at once and never steps back.
+// Package ferryconfig contains the configuration of the routed services: routes,
+// services, customers and limits.
+//
+// A configuration has one version and is replaced as a whole, only by a configuration with a higher version.
 package ferryconfig
--- a/ferry/ferryconfig/holder.go
+++ b/ferry/ferryconfig/holder.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Verdict says what became of an offered configuration.
+// Verdict is the result of offering a configuration to a Holder.
 type Verdict int
 
-// The verdicts on an offered configuration.
+// The results of offering a configuration.
 const (
-	// Taken means that it is in force now.
+	// Taken means that the offered configuration was accepted and is now in force.
 	Taken Verdict = iota
-	// Known means that it was in force already.
+	// Known means that the offered version was already in force.
 	Known
-	// Older means that a later one is in force.
+	// Older means that a later version is in force.
 	Older
 )
 
@@ -31,10 +31,12 @@
 	return "Unknown"
 }
 
-// InForce reports whether the offered configuration was in force already.
+// InForce reports whether the offered version was already in force.
 func (v Verdict) InForce() bool { return v == Known }
 
-// Holder holds the configuration in force, which only moves to higher versions, and the time at which it was last proved current.
+// Holder holds the configuration in force and the time at which it was last known to be current.
+//
+// The version never decreases.
 type Holder struct {
 	current atomic.Pointer[Snapshot]
 	proved  atomic.Pointer[time.Time]
@@ -48,14 +50,14 @@
 	return h.current.Load()
 }
 
-// OnChange adds a function that is called after each change, in order, and must not block.
+// OnChange registers a function that is called after each change, in order. It must not block.
 func (h *Holder) OnChange(f func(*Snapshot)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.changed = append(h.changed, f)
 }
 
-// Offer brings a snapshot into force if its version is above the one in force.
+// Offer puts a snapshot in force if its version is higher than the current one.
 func (h *Holder) Offer(s *Snapshot) Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,7 +76,8 @@
 	return Taken
 }
 
-// Prove notes that a read begun at the given time showed no version later than the one in force now.
+// Prove records that a read that began at the given time returned v as the latest version. It has no effect
+// unless the configuration in force is at least as new.
 func (h *Holder) Prove(v Version, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +89,7 @@
 	}
 }
 
-// Age is how long ago the configuration in force was last proved current, and false if it never was.
+// Age returns the time since the configuration in force was last known to be current; false means never.
 func (h *Holder) Age(now time.Time) (time.Duration, bool) {
 	at := h.proved.Load()
 	if at == nil {
--- a/ferry/ferryconfig/holder_test.go
+++ b/ferry/ferryconfig/holder_test.go
@@ -14,11 +14,11 @@
 	return s
 }
 
-func TestHolderNeverStepsBack(t *testing.T) {
+func TestHolderVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &Holder{}
-		var told []Version
-		h.OnChange(func(s *Snapshot) { told = append(told, s.Version) })
+		var seen []Version
+		h.OnChange(func(s *Snapshot) { seen = append(seen, s.Version) })
 		highest := Version(0)
 		for range rapid.IntRange(1, 30).Draw(t, "offers") {
 			v := Version(rapid.IntRange(1, 12).Draw(t, "version"))
@@ -34,29 +34,29 @@
 			highest = max(highest, v)
 			assert.Equal(t, h.Current().Version, highest)
 		}
-		for i := 1; i < len(told); i++ {
-			assert.Assert(t, told[i] > told[i-1])
+		for i := 1; i < len(seen); i++ {
+			assert.Assert(t, seen[i] > seen[i-1])
 		}
 	})
 }
 
-func TestProofCountsFromTheStartOfTheReading(t *testing.T) {
+func TestAgeCountsFromTheStartOfTheRead(t *testing.T) {
 	start := time.Unix(1000, 0)
 	h := &Holder{}
 	_, proved := h.Age(start)
-	assert.Assert(t, !proved, "nothing was proved yet")
+	assert.Assert(t, !proved, "Age before the first Prove")
 	h.Prove(1, start)
 	_, proved = h.Age(start)
-	assert.Assert(t, !proved, "a proof of a version that is not in force says nothing")
+	assert.Assert(t, !proved, "Age after Prove of a version that is not in force")
 
 	h.Offer(snapshot(t, 4))
 	h.Prove(4, start.Add(2*time.Second))
-	h.Prove(4, start.Add(time.Second)) // an answer that was overtaken
+	h.Prove(4, start.Add(time.Second)) // an earlier read that finished later
 	age, proved := h.Age(start.Add(5 * time.Second))
 	assert.Assert(t, proved)
 	assert.Equal(t, age, 3*time.Second)
 
-	h.Prove(5, start.Add(4*time.Second)) // a later version exists, but is not in force here
+	h.Prove(5, start.Add(4*time.Second)) // the latest version is not in force here
 	age, _ = h.Age(start.Add(5 * time.Second))
 	assert.Equal(t, age, 3*time.Second)
 }
--- a/ferry/ferryconfig/route.go
+++ b/ferry/ferryconfig/route.go
@@ -7,16 +7,16 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Repeat says whether a request that may have run may be sent again.
+// Repeat is the retry policy for requests that may already have run.
 type Repeat int
 
-// The three kinds of requests by what may be repeated.
+// The retry policies.
 const (
-	// RepeatNever is for requests that may run once at most.
+	// RepeatNever is for requests that must run at most once.
 	RepeatNever Repeat = iota
-	// RepeatAlways is for requests that do the same however often they run.
+	// RepeatAlways is for idempotent requests.
 	RepeatAlways
-	// RepeatFromEvent is for streams that another upstream can continue after the last event that was delivered.
+	// RepeatFromEvent is for streams that another upstream can resume after the last delivered event.
 	RepeatFromEvent
 )
 
@@ -31,7 +31,7 @@
 	return "RepeatNever"
 }
 
-// Route sends the requests of one host below one path to a service.
+// Route maps the requests of a host below a path prefix to services.
 type Route struct {
 	Name RouteName
 	Host string
@@ -39,24 +39,25 @@
 	Prefix  string
 	Targets []Target
 	Repeat  Repeat
-	// Streaming says that answers are series of events.
+	// Streaming is set if answers are event streams.
 	Streaming bool
-	// Generation says that requests tell the model, the number of tokens and the shared parts of their prompt.
+	// Generation is set if requests carry the model, the number of tokens and the
+	// shared parts of their prompt.
 	Generation bool
-	// Public routes need no key.
+	// Public is set if requests need no API key.
 	Public bool
-	// MaxAttempts is the most upstreams that may run one request.
+	// MaxAttempts is the maximum number of upstreams that may run one request.
 	MaxAttempts int
-	// Timeout is the longest that a caller is kept waiting for the end of the answer; zero stands for no limit.
+	// Timeout is the maximum time to the end of the answer; zero means no limit.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is on time.
+	// Objective is the latency objective of an answer or its first event.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events that is still on time.
+	// GapObjective is the objective for the time between two events.
 	GapObjective time.Duration
 	Priority     Priority
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service with its weight among a route's targets.
 type Target struct {
 	Service ferryid.ServiceName
 	Weight  int
@@ -76,7 +77,7 @@
 	return f.err()
 }
 
-// Target returns the service for a request by a number that is spread evenly over all requests.
+// Target selects the service of a request by weight; draw must be uniformly distributed.
 func (r *Route) Target(draw uint64) ferryid.ServiceName {
 	sum := 0
 	for _, t := range r.Targets {
--- a/ferry/ferryconfig/service.go
+++ b/ferry/ferryconfig/service.go
@@ -6,69 +6,71 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// AcceleratorName names a kind of accelerator.
+// AcceleratorName is the name of an accelerator type.
 type AcceleratorName string
 
-// Megabytes counts millions of bytes.
+// Megabytes is a size in millions of bytes.
 type Megabytes float64
 
-// Service is one set of upstreams that do the same.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name ferryid.ServiceName
-	// HealthPath is where an upstream says whether it is healthy.
+	// HealthPath is the path of the upstreams' health check.
 	HealthPath string
-	// MaxConnections is the most connections that one upstream accepts from all callers together; zero stands for no limit.
+	// MaxConnections is the maximum number of connections that one upstream accepts from all
+	// callers; zero means no limit.
 	MaxConnections int
-	// Model is set for services of engines that hold layers of a model.
+	// Model is set for services whose upstreams are engines that hold layers of a model.
 	Model *Model
 }
 
-// Model describes a model and the engines that run it.
+// Model describes a model and the performance of the engines that run it.
 type Model struct {
 	Name        string
 	Layers      int
 	LayerSize   Megabytes
 	LoadTime    time.Duration
 	LoadsAtOnce int
-	// TokenBytes is the memory of one token in all layers.
+	// TokenBytes is the memory of one token in all layers, in bytes.
 	TokenBytes int
-	// EngineTokens is for how many tokens of requests an engine is meant to have memory.
+	// EngineTokens is the number of tokens for which an engine should have request memory.
 	EngineTokens int
-	// Slots is the most requests that an engine runs at once as the first of a path.
+	// Slots is the maximum number of requests that an engine runs at once as the first of a path.
 	Slots int
-	// StepTime is one token's step through all layers on an accelerator of pace 1.
+	// StepTime is the time of one step through all layers on an accelerator with step factor 1.
 	StepTime time.Duration
-	// RequestTime is what each request that is writing adds to a step.
+	// RequestTime is the time that each request in its decode phase adds to a step.
 	RequestTime time.Duration
-	// ContextTime is what 1,000 tokens of context of a request that is writing add to a step.
+	// ContextTime is the time that each 1,000 context tokens of a request in its decode phase add to a step.
 	ContextTime time.Duration
-	// ReadRate is in prompt tokens a second, through all layers on an accelerator of read factor 1.
+	// ReadRate is the prefill rate in prompt tokens per second, through all layers with read factor 1.
 	ReadRate float64
-	// PairTime is what a million pairs of a token and an earlier one add to reading.
+	// PairTime is the prefill time added by each million pairs of a prompt token and an earlier token.
 	PairTime time.Duration
-	// StepsInPass is the number of steps in each pass that includes requests that are writing.
+	// StepsInPass is the number of steps per pass when a pass contains requests in their decode phase.
 	StepsInPass int
-	// ReadInStep is the most prompt tokens that one step reads.
+	// ReadInStep is the maximum number of prompt tokens that one step reads.
 	ReadInStep int
-	// ReportLag is how old an engine's report of its load is.
+	// ReportLag is the age of an engine's load report on arrival.
 	ReportLag time.Duration
-	// UsualPrompt and UsualAnswer are mean token counts.
+	// UsualPrompt and UsualAnswer are the mean numbers of tokens of prompts and answers.
 	UsualPrompt, UsualAnswer int
-	// HandoverBytes is what one engine hands to the next for one token.
+	// HandoverBytes is the number of bytes that one engine sends to the next for each token.
 	HandoverBytes int
-	// LinkRate and DomainLinkRate are in megabits a second: of one engine's link, and of what all engines of two failure domains share.
+	// LinkRate and DomainLinkRate are in megabits per second: the rate of one engine's link, and the rate
+	// shared by all engines between two failure domains.
 	LinkRate, DomainLinkRate float64
 	Delays                   []Delay
 	Accelerators             []Accelerator
 }
 
-// Delay is the time one way between two failure domains.
+// Delay is the one-way network delay between two failure domains.
 type Delay struct {
 	From, To ferryid.DomainName
 	OneWay   time.Duration
 }
 
-// Accelerator is one kind of accelerator; its factors multiply the model's times.
+// Accelerator is an accelerator type; its factors multiply the model's times.
 type Accelerator struct {
 	Name       AcceleratorName
 	Memory     Megabytes
@@ -76,7 +78,7 @@
 	ReadFactor float64
 }
 
-// Accelerator returns the kind of that name.
+// Accelerator returns the accelerator type of that name.
 func (m *Model) Accelerator(name AcceleratorName) (Accelerator, bool) {
 	for _, a := range m.Accelerators {
 		if a.Name == name {
--- a/ferry/ferryconfig/snapshot.go
+++ b/ferry/ferryconfig/snapshot.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Snapshot is a configuration made ready for look-ups; it never changes.
+// Snapshot is an immutable, indexed configuration.
 type Snapshot struct {
 	*Configuration
 	hosts    map[string][]*Route
@@ -16,7 +16,7 @@
 	keys     map[Key]*Customer
 }
 
-// NewSnapshot checks a configuration and indexes it; the configuration must not be changed afterwards.
+// NewSnapshot checks and indexes a configuration, which must not be modified afterwards.
 func NewSnapshot(c *Configuration) (*Snapshot, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -46,7 +46,8 @@
 	return s, nil
 }
 
-// Route returns the route with the longest prefix for a host and a path, or nil; a port in the host is ignored.
+// Route returns the route with the longest matching prefix for a host and a path, or nil. A
+// port in the host is ignored.
 func (s *Snapshot) Route(host, path string) *Route {
 	for _, r := range s.hosts[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -68,12 +69,12 @@
 	return s.services[name]
 }
 
-// Customer returns the customer that holds a key, or nil.
+// Customer returns the customer with the given API key, or nil.
 func (s *Snapshot) Customer(k Key) *Customer {
 	return s.keys[k]
 }
 
-// Keyed reports whether requests on routes that are not public need a key.
+// Keyed reports whether requests on routes that are not public need an API key.
 func (s *Snapshot) Keyed() bool {
 	return len(s.Customers) > 0
 }
--- a/ferry/ferryconfig/snapshot_test.go
+++ b/ferry/ferryconfig/snapshot_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteSelectsLongestPrefix(t *testing.T) {
 	s, err := NewSnapshot(sample(1))
 	assert.NilError(t, err)
 	for _, tt := range []struct {
@@ -50,7 +50,7 @@
 	assert.Assert(t, s.Keyed())
 }
 
-func TestFaultsAreListedAtOnce(t *testing.T) {
+func TestCheckListsAllFaults(t *testing.T) {
 	c := &Configuration{
 		Services: []Service{{Name: "herd"}, {Name: "herd"}, {Name: "llm", Model: &Model{Layers: 8}}},
 		Routes: []Route{
@@ -65,7 +65,7 @@
 	golden.Assert(t, strings.Join(faults.Faults, "\n")+"\n", "faults.golden")
 }
 
-func TestWeightsDivideRequests(t *testing.T) {
+func TestTargetFollowsWeights(t *testing.T) {
 	r := Route{Targets: []Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	got := map[ferryid.ServiceName]int{}
 	for draw := range uint64(1000) {
