--- a/ferry/ferrydiscovery/doc.go
+++ b/ferry/ferrydiscovery/doc.go
@@ -1,2 +1,5 @@
-// Package ferrydiscovery keeps the upstreams that the platform knows of, through lapses of the platform and late word of those that have left.
+// Package ferrydiscovery maintains the table of upstreams that the platform lists.
+//
+// Upstreams are kept during outages of the platform, and updates that arrive late or
+// out of order have no effect.
 package ferrydiscovery
--- a/ferry/ferrydiscovery/table.go
+++ b/ferry/ferrydiscovery/table.go
@@ -14,57 +14,59 @@
 )
 
 const (
-	// lapseGrace is how long after the platform's return a missing upstream that lives may take to be back.
-	lapseGrace = 2 * time.Second
-	// tombstoneFor is how long the version of a removal is remembered against older word of the same upstream.
-	tombstoneFor = 5 * time.Minute
+	// expiryGrace is how long after the end of an outage an expired upstream that is still running
+	// may take to register again.
+	expiryGrace = 2 * time.Second
+	// tombstoneRetention is how long the version of a removal is kept, so that older updates of
+	// the upstream are ignored.
+	tombstoneRetention = 5 * time.Minute
 )
 
-// Upstream is one upstream as the platform last described it.
+// Upstream is one upstream as last described by the platform.
 type Upstream struct {
 	ferryplatform.Instance
 	Version ferryplatform.Version
 }
 
-// Ready reports whether it takes new work.
+// Ready reports whether the upstream accepts new work.
 func (u *Upstream) Ready() bool {
 	return u.State == ferryplatform.StateLive
 }
 
-// SameRun reports whether both describe one run of the upstream's process.
+// SameRun reports whether both describe the same process of an upstream.
 func (u *Upstream) SameRun(o *Upstream) bool {
 	return u.Name == o.Name && u.Address == o.Address && u.Started.Equal(o.Started)
 }
 
-// View is an immutable snapshot of all upstreams by service, each list ordered by name.
+// View is an immutable snapshot of all upstreams. The list of each service is sorted by name.
 type View struct {
 	services map[ferryid.ServiceName][]*Upstream
 	byName   map[string]*Upstream
 }
 
-// Of returns the upstreams of a service; do not write to the list.
+// Of returns the upstreams of a service. The slice must not be modified.
 func (v *View) Of(s ferryid.ServiceName) []*Upstream { return v.services[s] }
 
 // Get returns the upstream of that name, or nil.
 func (v *View) Get(name string) *Upstream { return v.byName[name] }
 
-// Len is the number of upstreams.
+// Len returns the number of upstreams.
 func (v *View) Len() int { return len(v.byName) }
 
-// Table takes what the platform says; views of it may be read from any goroutine.
+// Table is the table of upstreams. All methods are safe for concurrent use.
 type Table struct {
 	clock clockwork.Clock
 	view  atomic.Pointer[View]
 
-	mu      sync.Mutex
-	rows    map[string]*Upstream
-	gone    map[string]tombstone
-	lapsed  map[string]time.Time
-	away    bool
-	changed []func(*View)
+	mu         sync.Mutex
+	rows       map[string]*Upstream
+	tombstones map[string]tombstone
+	graceUntil map[string]time.Time
+	outage     bool
+	changed    []func(*View)
 }
 
-// tombstone remembers that an upstream left.
+// tombstone is the record of a removed upstream.
 type tombstone struct {
 	version ferryplatform.Version
 	at      time.Time
@@ -72,7 +74,7 @@
 
 // NewTable returns an empty table.
 func NewTable(clock clockwork.Clock) *Table {
-	t := &Table{clock: clock, rows: map[string]*Upstream{}, gone: map[string]tombstone{}, lapsed: map[string]time.Time{}}
+	t := &Table{clock: clock, rows: map[string]*Upstream{}, tombstones: map[string]tombstone{}, graceUntil: map[string]time.Time{}}
 	t.view.Store(&View{})
 	return t
 }
@@ -80,31 +82,32 @@
 // View returns the current snapshot.
 func (t *Table) View() *View { return t.view.Load() }
 
-// OnChange adds a function that is called with each new view, in order, and must not block.
+// OnChange registers a function that is called with each new view, in order. It must not block.
 func (t *Table) OnChange(f func(*View)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.changed = append(t.changed, f)
 }
 
-// Change is one thing that the platform said: an upstream as it is now, or the name of one that is not there any more.
+// Change is one change reported by the platform: the new state of an upstream, or the name of a removed one.
 type Change struct {
 	Upstream Upstream
 	Removed  bool
 }
 
-// Lost says that the platform is out of reach: upstreams whose entries run out meanwhile may still live.
+// Lost marks the platform as unreachable. Upstreams whose entries expire during the
+// outage may still be running.
 func (t *Table) Lost() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.away = true
+	t.outage = true
 }
 
-// Apply takes changes in the order in which they happened.
+// Apply applies changes in the order in which they happened.
 func (t *Table) Apply(changes []Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	moved := t.back()
+	moved := t.endOutage()
 	for _, c := range changes {
 		if c.Removed {
 			moved = t.remove(c.Upstream.Name, c.Upstream.Version) || moved
@@ -112,15 +115,15 @@
 		}
 		moved = t.put(c.Upstream) || moved
 	}
-	t.away = false
+	t.outage = false
 	t.publish(moved)
 }
 
-// Replace takes the whole list at a version; what it lacks has been removed.
+// Replace applies the complete list at a version. Upstreams that it lacks have been removed.
 func (t *Table) Replace(list []Upstream, at ferryplatform.Version) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	moved := t.back()
+	moved := t.endOutage()
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
 		listed[u.Name] = true
@@ -131,19 +134,20 @@
 			moved = t.remove(name, at) || moved
 		}
 	}
-	t.away = false
+	t.outage = false
 	t.publish(moved)
 }
 
-// Expire takes out lapsed upstreams that have not come back in time, and says when to call it again.
+// Expire removes expired upstreams that have not registered again in time, and returns
+// when it must be called next.
 func (t *Table) Expire() (next time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	moved := false
-	for name, until := range t.lapsed {
+	for name, until := range t.graceUntil {
 		if !now.Before(until) {
-			delete(t.lapsed, name)
+			delete(t.graceUntil, name)
 			delete(t.rows, name)
 			moved = true
 			continue
@@ -152,22 +156,22 @@
 			next = until
 		}
 	}
-	for name, g := range t.gone {
-		if now.Sub(g.at) > tombstoneFor {
-			delete(t.gone, name)
+	for name, g := range t.tombstones {
+		if now.Sub(g.at) > tombstoneRetention {
+			delete(t.tombstones, name)
 		}
 	}
 	t.publish(moved)
 	return next
 }
 
-// back gives upstreams that lapsed while the platform was away their time from its return on.
-func (t *Table) back() bool {
-	if !t.away {
+// endOutage starts the grace period of upstreams that expired during an outage, if the platform was unreachable.
+func (t *Table) endOutage() bool {
+	if !t.outage {
 		return false
 	}
-	for name := range t.lapsed {
-		t.lapsed[name] = t.clock.Now().Add(lapseGrace)
+	for name := range t.graceUntil {
+		t.graceUntil[name] = t.clock.Now().Add(expiryGrace)
 	}
 	return false
 }
@@ -177,35 +181,35 @@
 	if old != nil && old.Version >= u.Version {
 		return false
 	}
-	if g, ok := t.gone[u.Name]; ok && g.version >= u.Version {
+	if g, ok := t.tombstones[u.Name]; ok && g.version >= u.Version {
 		return false
 	}
-	delete(t.gone, u.Name)
-	delete(t.lapsed, u.Name)
+	delete(t.tombstones, u.Name)
+	delete(t.graceUntil, u.Name)
 	t.rows[u.Name] = &u
 	return old == nil || old.Instance != u.Instance
 }
 
-// remove takes an upstream out, or lets it stand for a while if its entry may have run out for want of the platform.
+// remove removes an upstream, or starts its grace period if its entry may have expired because of an outage.
 func (t *Table) remove(name string, v ferryplatform.Version) bool {
 	old := t.rows[name]
 	if old != nil && old.Version > v {
 		return false
 	}
-	if g := t.gone[name]; g.version < v {
-		t.gone[name] = tombstone{version: v, at: t.clock.Now()}
+	if g := t.tombstones[name]; g.version < v {
+		t.tombstones[name] = tombstone{version: v, at: t.clock.Now()}
 	}
 	if old == nil {
 		return false
 	}
-	if t.away && old.Ready() {
-		if _, ok := t.lapsed[name]; !ok {
-			t.lapsed[name] = t.clock.Now().Add(lapseGrace)
+	if t.outage && old.Ready() {
+		if _, ok := t.graceUntil[name]; !ok {
+			t.graceUntil[name] = t.clock.Now().Add(expiryGrace)
 		}
 		return false
 	}
 	delete(t.rows, name)
-	delete(t.lapsed, name)
+	delete(t.graceUntil, name)
 	return true
 }
 
--- a/ferry/ferrydiscovery/table_test.go
+++ b/ferry/ferrydiscovery/table_test.go
@@ -23,7 +23,7 @@
 	return Change{Upstream: live(name, v), Removed: true}
 }
 
-// list names the upstreams of the service, those that leave with a dash.
+// list returns the names of the service's upstreams, those that are leaving with a leading dash.
 func list(t *Table) string {
 	var names []string
 	for _, u := range t.View().Of("s") {
@@ -36,7 +36,7 @@
 	return strings.Join(names, " ")
 }
 
-func TestChangesInOrder(t *testing.T) {
+func TestApplyAndReplace(t *testing.T) {
 	tb := NewTable(clockwork.NewFakeClock())
 	views := 0
 	tb.OnChange(func(*View) { views++ })
@@ -49,41 +49,41 @@
 	assert.Equal(t, views, 3)
 	tb.Apply(nil)
 	tb.Apply([]Change{{Upstream: live("b", 6)}})
-	assert.Equal(t, views, 3, "a sign of life changes nothing")
+	assert.Equal(t, views, 3, "a heartbeat must not publish a view")
 }
 
-func TestOlderWordChangesNothing(t *testing.T) {
+func TestOlderUpdatesAreIgnored(t *testing.T) {
 	tb := NewTable(clockwork.NewFakeClock())
 	tb.Apply([]Change{{Upstream: live("a", 5)}, removed("b", 6)})
 	tb.Apply([]Change{{Upstream: up("a", 4, ferryplatform.StateLeaving)}, {Upstream: live("b", 3)}, removed("a", 4)})
 	assert.Equal(t, list(tb), "a")
 	tb.Replace([]Upstream{live("b", 3)}, 4)
-	assert.Equal(t, list(tb), "a", "a list from before a newer change does not undo it")
+	assert.Equal(t, list(tb), "a", "a list older than a change must not undo it")
 	tb.Apply([]Change{{Upstream: live("b", 7)}})
-	assert.Equal(t, list(tb), "a b", "an upstream may come back under its name")
+	assert.Equal(t, list(tb), "a b", "an upstream may register again under its name")
 }
 
-func TestWhatLapsedWhileThePlatformWasAwayHasTimeToComeBack(t *testing.T) {
+func TestUpstreamsExpiredInAnOutageHaveAGracePeriod(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	tb := NewTable(clock)
 	tb.Replace([]Upstream{live("a", 1), live("b", 2), up("c", 3, ferryplatform.StateLeaving)}, 3)
 	tb.Lost()
 	clock.Advance(time.Minute)
-	assert.Equal(t, list(tb), "a b -c", "nobody is gone while the platform is away")
+	assert.Equal(t, list(tb), "a b -c", "no upstream is removed during an outage")
 	tb.Replace([]Upstream{}, 9)
-	assert.Equal(t, list(tb), "a b", "one that was leaving is gone")
+	assert.Equal(t, list(tb), "a b", "an upstream that was leaving is removed at once")
 	tb.Apply([]Change{{Upstream: live("a", 10)}})
-	clock.Advance(lapseGrace - 1)
+	clock.Advance(expiryGrace - 1)
 	assert.Assert(t, !tb.Expire().IsZero())
 	assert.Equal(t, list(tb), "a b")
 	clock.Advance(1)
 	assert.Assert(t, tb.Expire().IsZero())
-	assert.Equal(t, list(tb), "a", "one that has not come back in time is gone")
+	assert.Equal(t, list(tb), "a", "an upstream that did not register within the grace period is removed")
 	tb.Apply([]Change{removed("a", 11)})
-	assert.Equal(t, list(tb), "", "with the platform back, a removal counts at once")
+	assert.Equal(t, list(tb), "", "after the outage, a removal takes effect at once")
 }
 
-func TestARestartedUpstreamIsAnotherRun(t *testing.T) {
+func TestSameRun(t *testing.T) {
 	a := live("a", 1)
 	a.Started = time.Unix(100, 0)
 	b := a
