--- a/ferry/ferrylease/core.go
+++ b/ferry/ferrylease/core.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	renewals   = 3 // tries in one TTL
+	renewals   = 3 // per TTL
 	minBackoff = 100 * time.Millisecond
 )
 
-// action is one call to the object API; a core has at most one under way.
+// action is one call to the object API. A core has at most one in flight.
 type action interface{ isAction() }
 
 type get struct{}
@@ -26,60 +26,60 @@
 func (get) isAction() {}
 func (put) isAction() {}
 
-// answer is what came of an action.
+// answer is the result of an action.
 type answer struct {
 	object  ferryplatform.Object
 	version ferryplatform.Version
 	err     error
 }
 
-// flight is a write whose outcome is not known yet.
-type flight struct {
+// pendingWrite is a write whose outcome is not known yet.
+type pendingWrite struct {
 	put
 	started    time.Time
 	unresolved bool
 }
 
-// core decides what one entry does about one lease, on its own clock only.
+// core is the state machine of one entry and one lease. It depends on the entry's own clock only.
 type core struct {
-	self   ferryid.Incarnation
-	ttl    time.Duration
-	margin time.Duration
-	gone   func(ferryid.Incarnation) bool
-	wanted bool
-	follow bool
-	floor  ferryid.Fence
+	self        ferryid.Incarnation
+	ttl         time.Duration
+	margin      time.Duration
+	holderEnded func(ferryid.Incarnation) bool
+	wanted      bool
+	follow      bool
+	minFence    ferryid.Fence
 
-	read    bool
-	version ferryplatform.Version
-	record  Record
-	seen    time.Time // when this version was first seen here
-	checked time.Time // when it was last read
+	read        bool
+	version     ferryplatform.Version
+	record      Record
+	versionSeen time.Time // when this version was first read
+	lastRead    time.Time // when the object was last read
 
-	held       bool
-	owes       bool // the platform may name this entry as holder
-	validUntil time.Time
-	started    time.Time // of the write that the lease counts from
+	held         bool
+	mayBeHolder  bool // the object may name this entry as holder, so it must be released
+	validUntil   time.Time
+	writeStarted time.Time // start of the write that the lease term counts from
 
-	flight    *flight
-	lost      *flight // a write that may have landed before the version moved on
-	notBefore time.Time
-	backoff   time.Duration
+	inFlight        *pendingWrite
+	conflictedWrite *pendingWrite // a write with unknown outcome that then met a conflict
+	notBefore       time.Time
+	backoff         time.Duration
 }
 
 func newCore(self ferryid.Incarnation, ttl, margin time.Duration, gone func(ferryid.Incarnation) bool) *core {
 	if gone == nil {
 		gone = func(ferryid.Incarnation) bool { return false }
 	}
-	return &core{self: self, ttl: ttl, margin: margin, gone: gone}
+	return &core{self: self, ttl: ttl, margin: margin, holderEnded: gone}
 }
 
-// valid reports whether the lease is held now, by the monotonic and by the wall clock.
+// valid reports whether the lease is valid by both the monotonic and the wall clock.
 func (c *core) valid(now time.Time) bool {
 	return c.held && before(now, c.validUntil)
 }
 
-// before compares both clocks, since one of them may stand still while an instance is frozen.
+// before compares both clocks, since one of them may stop while the instance is suspended.
 func before(now, until time.Time) bool {
 	return now.Before(until) && now.Round(0).Before(until.Round(0))
 }
@@ -89,8 +89,8 @@
 	if now.Before(c.notBefore) {
 		return nil
 	}
-	if c.flight != nil {
-		return c.flight.put
+	if c.inFlight != nil {
+		return c.inFlight.put
 	}
 	if c.held && !c.valid(now) {
 		c.held = false
@@ -99,94 +99,96 @@
 	switch {
 	case !c.wanted:
 		return c.release(now)
-	case c.held && !now.Before(c.started.Add(c.ttl/renewals)):
-		return c.launch(now, c.renewed())
+	case c.held && !now.Before(c.writeStarted.Add(c.ttl/renewals)):
+		return c.write(now, c.renewed())
 	case c.held:
 		return nil
-	case !c.read || !now.Before(c.checked.Add(c.ttl/renewals)):
+	case !c.read || !now.Before(c.lastRead.Add(c.ttl/renewals)):
 		return get{}
-	case c.free(now):
-		return c.launch(now, c.acquired())
+	case c.available(now):
+		return c.write(now, c.acquired())
 	}
 	return nil
 }
 
-// want says whether this entry should hold the lease; what was read while it only followed is read again first.
-func (c *core) want(on bool) {
+// setWanted sets whether this entry should hold the lease. The object is read again before the lease is acquired.
+func (c *core) setWanted(on bool) {
 	if on && !c.wanted {
-		c.checked = time.Time{}
+		c.lastRead = time.Time{}
 	}
 	c.wanted = on
 }
 
-// release returns the calls that leave no lease of this entry behind, and those that follow the lease of another.
+// release returns the next call to release this entry's lease or, with follow set, to
+// read the lease of another.
 func (c *core) release(now time.Time) action {
 	c.held = false
 	switch {
-	case !c.owes && !c.follow:
+	case !c.mayBeHolder && !c.follow:
 		return nil
-	case !c.owes && c.read && now.Before(c.checked.Add(c.ttl/renewals)):
+	case !c.mayBeHolder && c.read && now.Before(c.lastRead.Add(c.ttl/renewals)):
 		return nil
-	case !c.owes || !c.read:
+	case !c.mayBeHolder || !c.read:
 		return get{}
 	case c.record.Holder != c.self:
-		c.owes = false
+		c.mayBeHolder = false
 		return nil
 	}
-	return c.launch(now, Record{Fence: c.record.Fence, TTLMS: c.ttl.Milliseconds()})
+	return c.write(now, Record{Fence: c.record.Fence, TTLMS: c.ttl.Milliseconds()})
 }
 
-// free reports whether the lease may be taken: a holder's lease counts from before its write, ours from after it was seen.
-func (c *core) free(now time.Time) bool {
-	if c.version == ferryplatform.NoVersion || c.record.Holder == "" || c.record.Holder == c.self || c.gone(c.record.Holder) {
+// available reports whether the lease may be acquired. The holder's term counts from before its write, and the
+// wait from after the write was seen, so that the two cannot overlap.
+func (c *core) available(now time.Time) bool {
+	if c.version == ferryplatform.NoVersion || c.record.Holder == "" || c.record.Holder == c.self || c.holderEnded(c.record.Holder) {
 		return true
 	}
-	return !before(now, c.seen.Add(c.record.ttl()+c.margin))
+	return !before(now, c.versionSeen.Add(c.record.ttl()+c.margin))
 }
 
 func (c *core) acquired() Record {
-	return Record{Holder: c.self, Fence: max(c.record.Fence+1, c.floor), TTLMS: c.ttl.Milliseconds()}
+	return Record{Holder: c.self, Fence: max(c.record.Fence+1, c.minFence), TTLMS: c.ttl.Milliseconds()}
 }
 
 func (c *core) renewed() Record {
 	r := c.record
 	r.Renewal++
-	r.Fence = max(r.Fence, c.floor)
+	r.Fence = max(r.Fence, c.minFence)
 	return r
 }
 
-func (c *core) launch(now time.Time, r Record) action {
-	c.owes = true
-	c.flight = &flight{put: put{c.version, r}, started: now}
-	return c.flight.put
+func (c *core) write(now time.Time, r Record) action {
+	c.mayBeHolder = true
+	c.inFlight = &pendingWrite{put: put{c.version, r}, started: now}
+	return c.inFlight.put
 }
 
-// wake is when next may have something to do.
-func (c *core) wake(now time.Time) time.Time {
+// nextWake returns the time at which next may return an action.
+func (c *core) nextWake(now time.Time) time.Time {
 	at := now.Add(c.ttl / renewals)
 	if c.held {
-		at = c.started.Add(c.ttl / renewals)
+		at = c.writeStarted.Add(c.ttl / renewals)
 	}
-	if free := c.seen.Add(c.record.ttl() + c.margin); !c.held && free.After(now) && free.Before(at) {
+	if free := c.versionSeen.Add(c.record.ttl() + c.margin); !c.held && free.After(now) && free.Before(at) {
 		at = free
 	}
-	if c.flight != nil || c.notBefore.After(now) {
+	if c.inFlight != nil || c.notBefore.After(now) {
 		at = c.notBefore
 	}
 	return at
 }
 
-// done takes the answer to an action.
-func (c *core) done(now time.Time, a action, ans answer) {
+// handle processes the answer to an action.
+func (c *core) handle(now time.Time, a action, ans answer) {
 	switch a.(type) {
 	case get:
-		c.gotten(now, ans)
+		c.handleGet(now, ans)
 	case put:
-		c.written(now, ans)
+		c.handlePut(now, ans)
 	}
 }
 
-func (c *core) gotten(now time.Time, ans answer) {
+func (c *core) handleGet(now time.Time, ans answer) {
 	var missing *ferryplatform.NotFoundError
 	if errors.As(ans.err, &missing) {
 		ans = answer{}
@@ -196,61 +198,61 @@
 		r, ans.err = DecodeRecord(ans.object.Value)
 	}
 	if ans.err != nil {
-		c.delay(now)
+		c.backOff(now)
 		return
 	}
 	c.backoff = 0
 	if !c.read || ans.object.Version != c.version {
-		if ans.object.Version != c.version || c.seen.IsZero() {
-			c.seen = now
+		if ans.object.Version != c.version || c.versionSeen.IsZero() {
+			c.versionSeen = now
 		}
 		c.version, c.record = ans.object.Version, r
 	}
-	c.read, c.checked = true, now
-	c.owes = r.Holder == c.self
-	if l := c.lost; l != nil && r == l.record && r.Holder == c.self {
+	c.read, c.lastRead = true, now
+	c.mayBeHolder = r.Holder == c.self
+	if l := c.conflictedWrite; l != nil && r == l.record && r.Holder == c.self {
 		c.hold(l)
 	}
-	c.lost = nil
+	c.conflictedWrite = nil
 }
 
-func (c *core) hold(f *flight) {
+func (c *core) hold(f *pendingWrite) {
 	c.held = f.record.Holder == c.self
-	c.owes = c.held
-	c.started = f.started
+	c.mayBeHolder = c.held
+	c.writeStarted = f.started
 	c.validUntil = f.started.Add(c.ttl - c.margin)
 }
 
-func (c *core) written(now time.Time, ans answer) {
-	f := c.flight
+func (c *core) handlePut(now time.Time, ans answer) {
+	f := c.inFlight
 	var conflict *ferryplatform.ConflictError
 	switch {
 	case ans.err == nil:
-		c.flight, c.backoff = nil, 0
+		c.inFlight, c.backoff = nil, 0
 		c.version, c.record = ans.version, f.record
-		c.seen, c.checked = now, now
+		c.versionSeen, c.lastRead = now, now
 		c.hold(f)
 	case errors.As(ans.err, &conflict):
-		c.flight, c.held, c.read = nil, false, false
+		c.inFlight, c.held, c.read = nil, false, false
 		if f.unresolved {
-			c.lost = f
+			c.conflictedWrite = f
 		}
-	case certainlyNot(ans.err) && !f.unresolved:
-		c.flight = nil
-		c.delay(now)
+	case hasNoEffect(ans.err) && !f.unresolved:
+		c.inFlight = nil
+		c.backOff(now)
 	default:
-		f.unresolved = f.unresolved || !certainlyNot(ans.err)
-		c.delay(now)
+		f.unresolved = f.unresolved || !hasNoEffect(ans.err)
+		c.backOff(now)
 	}
 }
 
-func (c *core) delay(now time.Time) {
+func (c *core) backOff(now time.Time) {
 	c.backoff = min(max(2*c.backoff, minBackoff), c.ttl/(2*renewals))
 	c.notBefore = now.Add(c.backoff)
 }
 
-// certainlyNot reports whether a failed write had no effect and will have none.
-func certainlyNot(err error) bool {
+// hasNoEffect reports whether a failed write certainly has no effect, now or later.
+func hasNoEffect(err error) bool {
 	var down *ferryplatform.UnavailableError
 	var budget *ferryplatform.BudgetError
 	return errors.As(err, &down) || errors.As(err, &budget)
--- a/ferry/ferrylease/core_rapid_test.go
+++ b/ferry/ferrylease/core_rapid_test.go
@@ -14,7 +14,7 @@
 
 var errLost = errors.New("answer lost")
 
-// object is the one lease object, with the faults of the brief.
+// object simulates the lease object with unavailability, lost answers and late writes.
 type object struct {
 	version ferryplatform.Version
 	value   []byte
@@ -51,12 +51,12 @@
 	return answer{err: &ferryplatform.UnknownOutcomeError{Op: "x", Err: errLost}}
 }
 
-// holder is one entry with its own clock, which may be a little fast or slow.
+// holder is one entry whose clock may run fast or slow by 1 %.
 type holder struct {
-	c     *core
-	rate  float64
-	under action
-	ans   answer
+	c       *core
+	rate    float64
+	pending action
+	ans     answer
 }
 
 var epoch = time.Unix(1_800_000_000, 0)
@@ -65,17 +65,17 @@
 	return epoch.Add(time.Duration(float64(elapsed) * h.rate))
 }
 
-// step makes or answers one call; a paused holder is one that makes no steps.
+// step starts a call or delivers its answer. A paused holder makes no steps.
 func (h *holder) step(o *object, elapsed time.Duration, fault int) {
-	if h.under == nil {
-		if h.under = h.c.next(h.now(elapsed)); h.under != nil {
-			h.ans = o.do(h.under, fault)
+	if h.pending == nil {
+		if h.pending = h.c.next(h.now(elapsed)); h.pending != nil {
+			h.ans = o.do(h.pending, fault)
 		}
 		return
 	}
-	a := h.under
-	h.under = nil
-	h.c.done(h.now(elapsed), a, h.ans)
+	a := h.pending
+	h.pending = nil
+	h.c.handle(h.now(elapsed), a, h.ans)
 }
 
 func leaseHistory(rt *rapid.T) {
@@ -98,12 +98,12 @@
 			}
 			n++
 			if h.c.record.Fence < highest {
-				rt.Fatalf("%s holds fence %d after %d", h.c.self, h.c.record.Fence, highest)
+				rt.Fatalf("%s holds the lease with fencing number %d after %d", h.c.self, h.c.record.Fence, highest)
 			}
 			highest = h.c.record.Fence
 		}
 		if n > 1 {
-			rt.Fatalf("%d holders at once", n)
+			rt.Fatalf("%d valid holders at the same time", n)
 		}
 	}
 	step := func(rt *rapid.T, h *holder) {
@@ -122,9 +122,9 @@
 				step(rt, h)
 			}
 		},
-		"want":     func(rt *rapid.T) { pick(rt).c.want(rapid.IntRange(0, 3).Draw(rt, "want") > 0) },
+		"want":     func(rt *rapid.T) { pick(rt).c.setWanted(rapid.IntRange(0, 3).Draw(rt, "want") > 0) },
 		"platform": func(rt *rapid.T) { down = rapid.IntRange(0, 3).Draw(rt, "down") == 0 },
-		"land": func(*rapid.T) {
+		"late writes": func(*rapid.T) {
 			for _, p := range o.late {
 				_, _ = o.apply(p)
 			}
@@ -139,18 +139,18 @@
 	for i := range 400 {
 		elapsed += 100 * time.Millisecond
 		for _, h := range hs {
-			h.c.want(i < 200)
+			h.c.setWanted(i < 200)
 			h.step(o, elapsed, 0)
 			h.step(o, elapsed, 0)
 			check(rt)
 		}
 		if i == 199 && !anyValid(hs, elapsed) {
-			rt.Fatalf("nobody holds the lease after 20 s without faults")
+			rt.Fatalf("no valid holder after 20 s without faults")
 		}
 	}
 	for _, h := range hs {
-		if h.c.owes || h.c.record.Holder == h.c.self {
-			rt.Fatalf("%s did not release", h.c.self)
+		if h.c.mayBeHolder || h.c.record.Holder == h.c.self {
+			rt.Fatalf("%s did not release the lease", h.c.self)
 		}
 	}
 }
--- a/ferry/ferrylease/doc.go
+++ b/ferry/ferrylease/doc.go
@@ -1,2 +1,4 @@
-// Package ferrylease holds leases in the object API by conditional update, each acquisition with a higher fencing number.
+// Package ferrylease implements leases on the platform's object API by conditional updates.
+//
+// Each acquisition has a higher fencing number than the one before.
 package ferrylease
--- a/ferry/ferrylease/lease.go
+++ b/ferry/ferrylease/lease.go
@@ -17,39 +17,40 @@
 	defaultMargin = time.Second
 )
 
-// Config is what a Lease needs; Name, Self and Store must be set.
+// Config configures a Lease. Name, Self and Store are required.
 type Config struct {
 	Name  string
 	Self  ferryid.Incarnation
 	Store ferryplatform.Store
 	Clock clockwork.Clock
-	// TTL is how long the lease holds after the start of a write, 10 s if 0.
+	// TTL is the lease term, from the start of each write; 0 means 10 s.
 	TTL time.Duration
-	// Gone, if set, reports whether a holder's process has certainly ended, so that its lease need not be waited out.
+	// Gone, if set, reports whether a holder's process has certainly ended, so that
+	// its lease is free at once.
 	Gone func(ferryid.Incarnation) bool
-	// Margin is taken from the holder's time and added to the successor's wait, 1 s if 0.
+	// Margin is subtracted from the holder's term and added to the successor's wait; 0 means 1 s.
 	Margin time.Duration
 }
 
-// Lease is one entry's part in one lease.
+// Lease is one entry's view of one lease.
 type Lease struct {
-	cfg    Config
-	core   *core
-	wanted atomic.Bool
-	follow atomic.Bool
-	floor  atomic.Uint64
-	held   atomic.Pointer[tenure]
-	poke   chan struct{}
-	idle   atomic.Bool
+	cfg      Config
+	core     *core
+	wanted   atomic.Bool
+	follow   atomic.Bool
+	minFence atomic.Uint64
+	held     atomic.Pointer[tenure]
+	wake     chan struct{}
+	released atomic.Bool
 }
 
-// tenure is what the holder may believe until it ends.
+// tenure is the fencing number of a held lease and the time until which it is valid.
 type tenure struct {
 	fence ferryid.Fence
 	until time.Time
 }
 
-// NotHeldError says that this entry does not hold the lease now.
+// NotHeldError is returned if this entry does not hold the lease.
 type NotHeldError struct {
 	Name string
 }
@@ -58,7 +59,7 @@
 	return fmt.Sprintf("lease %s is not held", e.Name)
 }
 
-// New returns a lease that is not wanted yet; Run carries it.
+// New returns a lease that is not wanted yet. Run must be called to maintain it.
 func New(cfg Config) *Lease {
 	if cfg.TTL == 0 {
 		cfg.TTL = defaultTTL
@@ -69,10 +70,10 @@
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
 	}
-	return &Lease{cfg: cfg, core: newCore(cfg.Self, cfg.TTL, cfg.Margin, cfg.Gone), poke: make(chan struct{}, 1)}
+	return &Lease{cfg: cfg, core: newCore(cfg.Self, cfg.TTL, cfg.Margin, cfg.Gone), wake: make(chan struct{}, 1)}
 }
 
-// Want says whether this entry should hold the lease; a held one that is no longer wanted is released.
+// Want sets whether this entry should hold the lease. A held lease that is no longer wanted is released.
 func (l *Lease) Want(on bool) {
 	if !on {
 		l.held.Store(nil)
@@ -81,18 +82,21 @@
 	l.wakeUp()
 }
 
-// Follow says whether to read the lease while it is not wanted, each third of its TTL, so that it can be had when its holder's last renewal has run out.
+// Follow sets whether to read the lease every third of its TTL while it is not wanted.
+//
+// A follower has seen the holder's last renewal and can acquire the lease as soon as it expires.
 func (l *Lease) Follow(on bool) {
 	if l.follow.Swap(on) != on {
 		l.wakeUp()
 	}
 }
 
-// AtLeast makes the next write carry a fencing number of at least the one given, for engines that have seen a higher one.
+// AtLeast sets a lower bound for the fencing number of the next write, for engines
+// that have seen a higher one.
 func (l *Lease) AtLeast(f ferryid.Fence) {
 	for {
-		old := l.floor.Load()
-		if uint64(f) <= old || l.floor.CompareAndSwap(old, uint64(f)) {
+		old := l.minFence.Load()
+		if uint64(f) <= old || l.minFence.CompareAndSwap(old, uint64(f)) {
 			break
 		}
 	}
@@ -101,12 +105,14 @@
 
 func (l *Lease) wakeUp() {
 	select {
-	case l.poke <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Check returns the fencing number and the time until which it may be used, or a *NotHeldError; call it just before each use.
+// Check returns the fencing number and the time until which it may be used, or a *NotHeldError.
+//
+// Call it just before each use.
 func (l *Lease) Check() (ferryid.Fence, time.Time, error) {
 	t := l.held.Load()
 	if t == nil || !before(l.cfg.Clock.Now(), t.until) {
@@ -115,28 +121,28 @@
 	return t.fence, t.until, nil
 }
 
-// Released reports whether the platform is known to hold no lease of this entry, after Want(false).
+// Released reports whether, after Want(false), the platform certainly holds no lease of this entry.
 func (l *Lease) Released() bool {
-	return l.idle.Load()
+	return l.released.Load()
 }
 
-// Run takes, renews and releases the lease until the context is done.
+// Run acquires, renews and releases the lease until the context ends.
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		l.core.want(l.wanted.Load())
+		l.core.setWanted(l.wanted.Load())
 		l.core.follow = l.follow.Load()
-		l.core.floor = ferryid.Fence(l.floor.Load())
+		l.core.minFence = ferryid.Fence(l.minFence.Load())
 		now := l.cfg.Clock.Now()
 		if a := l.core.next(now); a != nil {
-			l.core.done(l.cfg.Clock.Now(), a, l.do(ctx, a))
+			l.core.handle(l.cfg.Clock.Now(), a, l.do(ctx, a))
 			l.publish()
 			continue
 		}
 		l.publish()
 		select {
 		case <-ctx.Done():
-		case <-l.poke:
-		case <-l.cfg.Clock.After(max(l.core.wake(now).Sub(now), time.Millisecond)):
+		case <-l.wake:
+		case <-l.cfg.Clock.After(max(l.core.nextWake(now).Sub(now), time.Millisecond)):
 		}
 	}
 	return ctx.Err()
@@ -144,7 +150,7 @@
 
 func (l *Lease) publish() {
 	c := l.core
-	l.idle.Store(!c.wanted && !c.owes && c.flight == nil)
+	l.released.Store(!c.wanted && !c.mayBeHolder && c.inFlight == nil)
 	if !c.held || !l.wanted.Load() {
 		l.held.Store(nil)
 		return
--- a/ferry/ferrylease/lease_test.go
+++ b/ferry/ferrylease/lease_test.go
@@ -14,7 +14,7 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// clock reads the bubble's time.
+// clock reads the time of the synctest bubble.
 var clock = clockwork.NewRealClock()
 
 func start(t *testing.T, store *ferryplatformtest.Fake, id ferryid.Incarnation) *Lease {
@@ -30,7 +30,7 @@
 	return l
 }
 
-// until lets the bubble's time pass until the condition holds.
+// until advances the bubble's time until the condition is true.
 func until(t *testing.T, cond func() bool) {
 	t.Helper()
 	for range 200_000 {
@@ -40,7 +40,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("not within 200 s")
+	t.Fatal("condition not true within 200 s")
 }
 
 func holds(l *Lease) func() bool {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestReleaseLetsTheNextHolderIn(t *testing.T) {
+func TestReleasedLeaseIsAcquiredByTheNextHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := ferryplatformtest.New(clock)
 		a, b := start(t, store, "a"), start(t, store, "b")
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestOutageLongerThanTheLeaseEndsIt(t *testing.T) {
+func TestLeaseExpiresInALongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := ferryplatformtest.New(clock)
 		a := start(t, store, "a")
@@ -78,7 +78,7 @@
 		first, _, _ := a.Check()
 		store.SetFaults(ferryplatformtest.Faults{Outage: true})
 		until(t, func() bool { return !holds(a)() })
-		time.Sleep(2 * time.Second) // in which the lapse is noticed
+		time.Sleep(2 * time.Second) // the holder notices the expiry within this time
 		store.SetFaults(ferryplatformtest.Faults{})
 		until(t, holds(a))
 		second, _, _ := a.Check()
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestFenceFollowsTheEngines(t *testing.T) {
+func TestAtLeastRaisesTheFencingNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := start(t, ferryplatformtest.New(clock), "a")
 		a.Want(true)
--- a/ferry/ferrylease/record.go
+++ b/ferry/ferrylease/record.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// ObjectKind is the kind under which leases are kept in the object API.
+// ObjectKind is the object kind of leases.
 const ObjectKind = "leases"
 
 const (
@@ -17,14 +17,14 @@
 	maxTTL         = time.Hour
 )
 
-// Record is the value of a lease's object.
+// Record is the value of a lease object.
 type Record struct {
-	// Holder is empty after the lease was released.
+	// Holder is empty if the lease was released.
 	Holder ferryid.Incarnation `json:"Holder"`
 	Fence  ferryid.Fence       `json:"Fence"`
-	// Renewal counts the writes of one holder, so that each write differs.
+	// Renewal is incremented by each write of a holder, so that all writes differ.
 	Renewal uint64 `json:"Renewal"`
-	// TTLMS is how long the lease holds from the start of the write, in milliseconds.
+	// TTLMS is the lease term from the start of the write, in milliseconds.
 	TTLMS int64 `json:"TTLMS"`
 }
 
@@ -32,7 +32,7 @@
 	return time.Duration(r.TTLMS) * time.Millisecond
 }
 
-// Check returns an error unless the record is sound.
+// Check returns an error unless the record is valid.
 func (r Record) Check() error {
 	if r.Fence == 0 {
 		return merry.New("lease has no fencing number")
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// DecodeRecord reads a lease's object and checks it.
+// DecodeRecord decodes and checks the value of a lease object.
 func DecodeRecord(b []byte) (Record, error) {
 	if len(b) > maxRecordBytes {
 		return Record{}, merry.Errorf("lease of %d bytes is too long", len(b))
