--- a/ferry/ferryrelay/doc.go
+++ b/ferry/ferryrelay/doc.go
@@ -1,4 +1,6 @@
-// Package ferryrelay lets one entry of many read the platform's objects, and the others read them from it, so that the platform is asked by a few.
+// Package ferryrelay reads the platform's objects through another entry, so that only a few
+// entries call the platform.
 //
-// An entry without such a reader, or whose reader has lost the platform or does not answer, asks the platform by itself.
+// An entry calls the platform directly if it has no reader, or if its reader does not answer
+// or has lost the platform.
 package ferryrelay
--- a/ferry/ferryrelay/message.go
+++ b/ferry/ferryrelay/message.go
@@ -14,7 +14,7 @@
 	maxAge       = time.Hour
 )
 
-// operation is what one entry asks another to read.
+// operation is the read that one entry requests from another.
 type operation uint8
 
 const (
@@ -23,16 +23,17 @@
 	opProve
 )
 
-// verdict is how the other entry judges a question.
+// verdict is the status of an answer.
 type verdict uint8
 
 const (
 	verdictOK verdict = iota + 1
-	// verdictLost says that the reader has lost the platform.
+	// verdictLost means that the reader has lost the platform.
 	verdictLost
-	// verdictGone says that the changes after the version are not kept.
+	// verdictGone means that the changes after the requested version are no longer kept.
 	verdictGone
-	// verdictNotRead says that the entry does not read the platform, or not yet; nothing is known to be wrong with it.
+	// verdictNotRead means that the entry does not read the kind from the platform, or not
+	// yet. It is not a failure.
 	verdictNotRead
 )
 
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("verdict %d", uint8(v))
 }
 
-// question asks a reader for objects.
+// question is the request for objects to a reader.
 type question struct {
 	Op    operation             `cbor:"1,keyasint"`
 	Kind  string                `cbor:"2,keyasint"`
@@ -59,16 +60,16 @@
 	Wait  time.Duration         `cbor:"5,keyasint,omitempty"`
 }
 
-// answer holds what a reader knows.
+// answer is the reader's reply.
 type answer struct {
 	Verdict verdict               `cbor:"1,keyasint"`
 	Version ferryplatform.Version `cbor:"2,keyasint,omitempty"`
 	Objects []object              `cbor:"3,keyasint,omitempty"`
-	// Age is how long before the answer the reader's own reading began.
+	// Age is the time from the start of the reader's own read to its answer.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// object is one object of the question's kind.
+// object is one object of the requested kind.
 type object struct {
 	Name    string                `cbor:"1,keyasint"`
 	Version ferryplatform.Version `cbor:"2,keyasint"`
@@ -97,14 +98,14 @@
 		return a, fmt.Errorf("decode answer: %w", err)
 	}
 	if a.Verdict < verdictOK || a.Verdict > verdictNotRead {
-		return a, fmt.Errorf("decode answer: %s", a.Verdict)
+		return a, fmt.Errorf("decode answer: invalid %s", a.Verdict)
 	}
 	if a.Age < 0 || a.Age > maxAge {
-		return a, fmt.Errorf("decode answer: age %s", a.Age)
+		return a, fmt.Errorf("decode answer: age %s is not between 0 and 1 h", a.Age)
 	}
 	for _, o := range a.Objects {
 		if o.Name == "" || len(o.Name) > maxNameBytes {
-			return a, fmt.Errorf("decode answer: object with a name of %d bytes", len(o.Name))
+			return a, fmt.Errorf("decode answer: object name of %d bytes, expected 1 to 1024", len(o.Name))
 		}
 	}
 	return a, nil
--- a/ferry/ferryrelay/mirror.go
+++ b/ferry/ferryrelay/mirror.go
@@ -12,36 +12,38 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// maxBatches is how many of the platform's answers a mirror keeps; whoever is further behind reads the whole list.
+// maxBatches is the number of watch answers that a mirror keeps. Readers that are
+// further behind list all objects.
 const maxBatches = 256
 
-// batch is what one answer of the platform changed: all that happened after one version and up to another.
+// batch holds the changes of one watch answer: all changes after one version, up to another.
 type batch struct {
 	after, upTo ferryplatform.Version
 	objects     []ferryplatform.Object
 }
 
-// mirror holds one kind of objects as this entry has read them from the platform by itself.
+// mirror holds the objects of one kind as this entry has read them from the platform directly.
 type mirror struct {
 	kind  string
 	clock clockwork.Clock
 
 	mu sync.Mutex
-	// filled says that the objects are those of a list and all that happened since, and current that the platform has answered since.
-	filled  bool
-	current bool
-	at      ferryplatform.Version
-	objects map[string]ferryplatform.Object
-	batches []batch
-	moved   chan struct{}
+	// complete is set if the objects are those of a list and all later changes. current is set if the platform
+	// has answered since its last failure.
+	complete bool
+	current  bool
+	version  ferryplatform.Version
+	objects  map[string]ferryplatform.Object
+	batches  []batch
+	notified chan struct{}
 }
 
 func newMirror(kind string, clock clockwork.Clock) *mirror {
-	return &mirror{kind: kind, clock: clock, objects: map[string]ferryplatform.Object{}, moved: make(chan struct{})}
+	return &mirror{kind: kind, clock: clock, objects: map[string]ferryplatform.Object{}, notified: make(chan struct{})}
 }
 
-// listed takes the whole list.
-func (m *mirror) listed(c ferryplatform.Changes) {
+// replace replaces the objects by those of a complete list.
+func (m *mirror) replace(c ferryplatform.Changes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.objects)
@@ -50,48 +52,49 @@
 			m.objects[o.Name] = o
 		}
 	}
-	m.batches, m.at, m.filled, m.current = nil, c.Version, true, true
-	m.wake()
+	m.batches, m.version, m.complete, m.current = nil, c.Version, true, true
+	m.notify()
 }
 
-// isFilled reports whether the kind has been read from the platform.
-func (m *mirror) isFilled() bool {
+// isComplete reports whether the kind has been listed from the platform.
+func (m *mirror) isComplete() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.filled
+	return m.complete
 }
 
-// follows reports whether the answer to a watch after a version can be added to what is held.
-func (m *mirror) follows(after ferryplatform.Version) bool {
+// appliesAfter reports whether the answer to a watch after a version can be applied to the objects.
+func (m *mirror) appliesAfter(after ferryplatform.Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.filled && after <= m.at
+	return m.complete && after <= m.version
 }
 
-// changed takes the answer to a watch after a version.
-func (m *mirror) changed(after ferryplatform.Version, c ferryplatform.Changes) {
+// apply applies the answer to a watch after a version.
+func (m *mirror) apply(after ferryplatform.Version, c ferryplatform.Changes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.filled || after > m.at {
-		m.leave()
+	if !m.complete || after > m.version {
+		m.discard()
 		return
 	}
 	m.current = true
-	if c.Version > m.at {
-		m.add(batch{after: m.at, upTo: c.Version, objects: c.Objects})
+	if c.Version > m.version {
+		m.add(batch{after: m.version, upTo: c.Version, objects: c.Objects})
 	}
 }
 
-// found takes an object that was read by itself and is the only one of its kind that matters; a watch whose connection fell silent would have told of it later.
-func (m *mirror) found(o ferryplatform.Object) {
+// applyObject applies an object that was read alone and is the only relevant one of its kind. If the connection of
+// the watch hangs, the watch returns the change only later.
+func (m *mirror) applyObject(o ferryplatform.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.filled && o.Version > m.at {
-		m.add(batch{after: m.at, upTo: o.Version, objects: []ferryplatform.Object{o}})
+	if m.complete && o.Version > m.version {
+		m.add(batch{after: m.version, upTo: o.Version, objects: []ferryplatform.Object{o}})
 	}
 }
 
-// add applies a batch; the caller holds the lock.
+// add applies a batch. The caller must hold the lock.
 func (m *mirror) add(b batch) {
 	for _, o := range b.objects {
 		if o.Deleted {
@@ -104,55 +107,55 @@
 	if len(m.batches) > maxBatches {
 		m.batches = slices.Delete(m.batches, 0, len(m.batches)-maxBatches)
 	}
-	m.at = b.upTo
-	m.wake()
+	m.version = b.upTo
+	m.notify()
 }
 
-// lost says that the platform could not be read.
-func (m *mirror) lost() {
+// markStale marks the mirror as possibly out of date, since the platform could not be read.
+func (m *mirror) markStale() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.current = false
-	m.wake()
+	m.notify()
 }
 
-// left says that this entry does not read the kind by itself any more.
-func (m *mirror) left() {
+// reset clears the mirror, since this entry no longer reads the kind from the platform directly.
+func (m *mirror) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.filled {
-		m.leave()
+	if m.complete {
+		m.discard()
 	}
 }
 
-// leave forgets what is held; the caller holds the lock.
-func (m *mirror) leave() {
-	m.filled, m.current, m.batches = false, false, nil
+// discard clears the mirror. The caller must hold the lock.
+func (m *mirror) discard() {
+	m.complete, m.current, m.batches = false, false, nil
 	clear(m.objects)
-	m.wake()
+	m.notify()
 }
 
-// wake lets those who wait look again; the caller holds the lock.
-func (m *mirror) wake() {
-	close(m.moved)
-	m.moved = make(chan struct{})
+// notify wakes all waiting watches. The caller must hold the lock.
+func (m *mirror) notify() {
+	close(m.notified)
+	m.notified = make(chan struct{})
 }
 
-// list returns all objects; false means that the mirror may be out of date.
+// list returns all objects; false means that they may be out of date.
 func (m *mirror) list() (ferryplatform.Changes, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.current {
 		return ferryplatform.Changes{}, false
 	}
-	c := ferryplatform.Changes{Version: m.at}
+	c := ferryplatform.Changes{Version: m.version}
 	for _, name := range slices.Sorted(maps.Keys(m.objects)) {
 		c.Objects = append(c.Objects, m.objects[name])
 	}
 	return c, true
 }
 
-// watch waits until something has changed after a version; its verdict says whether the changes can be relied on.
+// watch waits until an object changes after a version. The changes are valid only with verdictOK.
 func (m *mirror) watch(ctx context.Context, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, verdict) {
 	timer := m.clock.NewTimer(wait)
 	defer timer.Stop()
@@ -171,24 +174,25 @@
 	}
 }
 
-// since returns what happened after a version, and what is closed when there is more.
+// since returns the changes after a version, and a channel that is closed when there are more.
 func (m *mirror) since(after ferryplatform.Version) (ferryplatform.Changes, verdict, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := ferryplatform.Changes{Version: max(after, m.at)}
+	c := ferryplatform.Changes{Version: max(after, m.version)}
 	switch {
 	case !m.current:
-		return c, verdictLost, m.moved
-	case after >= m.at:
-		return c, verdictOK, m.moved
+		return c, verdictLost, m.notified
+	case after >= m.version:
+		return c, verdictOK, m.notified
 	}
 	first := slices.IndexFunc(m.batches, func(b batch) bool { return b.after == after })
 	if first < 0 {
-		// Whoever followed another reader may be in the midst of a batch, and would take a removal for later than what came after it.
-		return c, verdictGone, m.moved
+		// A caller that followed another reader may be within a batch, and would apply an old
+		// removal over a later change.
+		return c, verdictGone, m.notified
 	}
 	for _, b := range m.batches[first:] {
 		c.Objects = append(c.Objects, b.objects...)
 	}
-	return c, verdictOK, m.moved
+	return c, verdictOK, m.notified
 }
--- a/ferry/ferryrelay/relay.go
+++ b/ferry/ferryrelay/relay.go
@@ -17,51 +17,56 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// AskKind is the overlay's kind of question that a Relay asks and answers.
+// AskKind is the overlay's request kind of relay reads.
 const AskKind ferrypeer.AskKind = 6
 
 const (
-	// relayWait is how long a reader may hold one watch: a configuration must be in force 3 s after it was accepted, also past a reader that fell silent.
+	// relayWait is the longest wait of a relayed watch. A configuration must be in force 3 s after it was
+	// accepted, even if a reader stops answering meanwhile.
 	relayWait = time.Second
-	// askGrace is how much later than its wait a question is answered; links within a failure domain take less than a millisecond.
+	// askGrace is the time allowed for an answer beyond the wait of its request. Links within a failure
+	// domain take less than a millisecond.
 	askGrace = 400 * time.Millisecond
-	// shunFor is how long a reader that did not answer is not asked again; the membership takes about as long to notice a death.
-	shunFor = time.Second
-	// retestEvery is how often an entry tries the platform by itself after it failed, while a reader says or shows how the platform is.
-	retestEvery = 5 * time.Second
-	// retestTimeout bounds such a try; the platform answers in milliseconds when it does.
-	retestTimeout = 400 * time.Millisecond
-	// proofKept is for how long a reader passes its own proof on.
-	proofKept = 2500 * time.Millisecond
+	// excludeFor is how long a reader that did not answer is not asked. The membership protocol takes about as
+	// long to detect its failure.
+	excludeFor = time.Second
+	// directRetryInterval is the interval of direct calls to the platform after one failed,
+	// while a reader can be asked.
+	directRetryInterval = 5 * time.Second
+	// directRetryTimeout bounds such a direct call. A reachable platform answers within milliseconds.
+	directRetryTimeout = 400 * time.Millisecond
+	// proofMaxAge is the age up to which a reader passes on its own proof.
+	proofMaxAge = 2500 * time.Millisecond
 )
 
-// Reader names the entry to read from.
+// Reader identifies the entry to read from.
 type Reader struct {
 	Name        ferryid.EntryName
 	Incarnation ferryid.Incarnation
 }
 
-// Source is what of the platform a Relay reads.
+// Source is the part of the platform's interface that a Relay uses.
 type Source interface {
 	Get(ctx context.Context, kind, name string) (ferryplatform.Object, error)
 	List(ctx context.Context, kind string) (ferryplatform.Changes, error)
 	Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error)
 }
 
-// Config is what a Relay is made from; all but Log and Scope must be set.
+// Config configures a Relay. All fields but Log and Scope are required.
 type Config struct {
 	Platform Source
-	// Clock also counts the time for which the instance is suspended.
+	// Clock must include the time for which the instance is suspended.
 	Clock clockwork.Clock
 	Log   zerolog.Logger
 	Scope tally.Scope
-	// Reader returns whom to read from; false means that this entry reads the platform by itself.
+	// Reader returns the entry to read from; false means that this entry reads from the platform directly.
 	Reader func() (Reader, bool)
-	// Ask is the overlay's.
+	// Ask sends a request over the overlay.
 	Ask func(ctx context.Context, name ferryid.EntryName, inc ferryid.Incarnation, kind ferrypeer.AskKind, body []byte) ([]byte, error)
 }
 
-// Relay reads objects from another entry or, failing that, from the platform, and answers other entries that do so.
+// Relay reads objects from another entry or, if that fails, from the platform, and answers
+// such reads of other entries.
 type Relay struct {
 	cfg    Config
 	counts counts
@@ -69,25 +74,27 @@
 	mu      sync.Mutex
 	mirrors map[string]*mirror
 	proofs  map[string]proof
-	// failed is since when the platform has not answered this entry, and tried when it was last tried.
-	failed, tried time.Time
-	shunned       Reader
-	shunUntil     time.Time
-	through       string
+	// failingSince is the time since which direct calls have failed, zero if they succeed; lastDirect is
+	// the time of the last one.
+	failingSince, lastDirect time.Time
+	excluded                 Reader
+	excludedUntil            time.Time
+	source                   string
 }
 
-// counts are the readings by where they came from.
+// counts are the numbers of reads by their source.
 type counts struct {
 	relayed, direct, refused tally.Counter
 }
 
-// proof is an object as the platform gave it, and when the call for it began; an object without a name is not there.
+// proof is an object as read from the platform and the start of that read. An object
+// without a name does not exist.
 type proof struct {
 	object ferryplatform.Object
 	at     time.Time
 }
 
-// LostError says that neither the reader nor, lately, this entry reached the platform.
+// LostError is returned if the reader has lost the platform and a direct call has failed lately as well.
 type LostError struct {
 	// Reader is the entry that was asked.
 	Reader ferryid.EntryName
@@ -111,20 +118,20 @@
 	}
 }
 
-// Reached reports whether the platform answered this entry's own last call, or has not been asked.
+// Reached reports whether the last direct call to the platform was answered; also true before the first.
 func (r *Relay) Reached() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.failed.IsZero()
+	return r.failingSince.IsZero()
 }
 
-// Reads reports whether this entry reads the platform by itself.
+// Reads reports whether this entry reads from the platform directly.
 func (r *Relay) Reads() bool {
 	_, relayed := r.reader()
 	return !relayed
 }
 
-// reader returns whom to ask, unless it did not answer a moment ago.
+// reader returns the entry to read from, unless it did not answer lately.
 func (r *Relay) reader() (Reader, bool) {
 	to, ok := r.cfg.Reader()
 	if !ok {
@@ -132,7 +139,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if to == r.shunned && r.cfg.Clock.Now().Before(r.shunUntil) {
+	if to == r.excluded && r.cfg.Clock.Now().Before(r.excludedUntil) {
 		return Reader{}, false
 	}
 	return to, true
@@ -143,58 +150,60 @@
 	m := r.mirror(kind)
 	a, err := r.ask(ctx, question{Op: opList, Kind: kind})
 	if err == nil {
-		m.left()
+		m.reset()
 		return a.changes(kind), nil
 	}
-	if lost := r.rest(err); lost != nil {
+	if lost := r.lostUntilRetry(err); lost != nil {
 		return ferryplatform.Changes{}, lost
 	}
 	c, err := r.cfg.Platform.List(ctx, kind)
-	r.note(ctx, err)
+	r.recordDirect(ctx, err)
 	if err != nil {
-		m.lost()
+		m.markStale()
 		return c, err
 	}
-	m.listed(c)
+	m.replace(c)
 	return c, nil
 }
 
-// Watch waits until objects of a kind change after a version, or until the wait is over; an answer of another entry comes after a shorter wait.
+// Watch waits until objects of a kind change after a version, or until the wait is over.
+//
+// A watch through another entry returns after relayWait at the latest.
 func (r *Relay) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
 	m := r.mirror(kind)
 	began := r.cfg.Clock.Now()
 	a, err := r.ask(ctx, question{Op: opWatch, Kind: kind, After: after, Wait: min(wait, relayWait)})
 	if err == nil {
-		m.left()
+		m.reset()
 		if a.Verdict == verdictGone {
 			return ferryplatform.Changes{}, &ferryplatform.HistoryGoneError{Kind: kind, After: after}
 		}
 		return a.changes(kind), nil
 	}
-	if lost := r.rest(err); lost != nil {
+	if lost := r.lostUntilRetry(err); lost != nil {
 		return ferryplatform.Changes{}, lost
 	}
-	if _, relayed := r.cfg.Reader(); !relayed && !m.follows(after) {
-		// Others are about to read from this entry, which has only a part of the list.
+	if _, relayed := r.cfg.Reader(); !relayed && !m.appliesAfter(after) {
+		// Other entries will read from this one, which holds only a part of the list.
 		return ferryplatform.Changes{}, &ferryplatform.HistoryGoneError{Kind: kind, After: after}
 	}
 	c, err := r.cfg.Platform.Watch(ctx, kind, after, max(wait-r.cfg.Clock.Since(began), 0))
-	r.note(ctx, err)
+	r.recordDirect(ctx, err)
 	if err != nil {
-		m.lost()
+		m.markStale()
 		return c, err
 	}
-	m.changed(after, c)
+	m.apply(after, c)
 	return c, nil
 }
 
-// Prove returns the only object of its kind that matters, and a time on the clock at which it was certainly the platform's newest.
+// Prove returns an object, the only relevant one of its kind, and a time at which it was certainly current.
 func (r *Relay) Prove(ctx context.Context, kind, name string) (ferryplatform.Object, time.Time, error) {
-	if r.retest() {
-		trying, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, retestTimeout)
+	if r.retryDue() {
+		trying, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, directRetryTimeout)
 		o, at, err := r.prove(trying, kind, name)
 		cancel()
-		if err == nil || known(err) {
+		if err == nil || isAnswer(err) {
 			return o, at, err
 		}
 	}
@@ -206,22 +215,22 @@
 	case err == nil:
 		return ferryplatform.Object{}, asked.Add(-a.Age), &ferryplatform.NotFoundError{Kind: kind, Name: name}
 	}
-	if lost := r.rest(err); lost != nil {
+	if lost := r.lostUntilRetry(err); lost != nil {
 		return ferryplatform.Object{}, time.Time{}, lost
 	}
 	return r.prove(ctx, kind, name)
 }
 
-// prove reads an object from the platform and keeps it for those who ask.
+// prove reads an object from the platform directly and keeps the proof for other entries.
 func (r *Relay) prove(ctx context.Context, kind, name string) (ferryplatform.Object, time.Time, error) {
 	at := r.cfg.Clock.Now()
 	o, err := r.cfg.Platform.Get(ctx, kind, name)
-	r.note(ctx, err)
-	if err != nil && !known(err) {
+	r.recordDirect(ctx, err)
+	if err != nil && !isAnswer(err) {
 		return o, at, err
 	}
 	if err == nil {
-		r.mirror(kind).found(o)
+		r.mirror(kind).applyObject(o)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,32 +238,33 @@
 	return o, at, err
 }
 
-// ask asks the reader; the error is errNoReader if there is none or it does not answer, or a *LostError.
+// ask sends a question to the reader. The error is errNoReader if there is none or it does
+// not answer, or a *LostError.
 func (r *Relay) ask(ctx context.Context, q question) (answer, error) {
 	to, ok := r.reader()
 	if !ok {
-		r.route("platform")
+		r.logSource("platform")
 		return answer{}, errNoReader
 	}
-	a, err := r.put(ctx, to, q)
+	a, err := r.send(ctx, to, q)
 	switch {
 	case err != nil:
-		r.shun(to, err)
+		r.exclude(to, err)
 		return a, errNoReader
 	case a.Verdict == verdictLost:
 		return a, &LostError{Reader: to.Name}
 	case a.Verdict == verdictNotRead:
 		return a, errNoReader
 	}
-	r.route(string(to.Name))
+	r.logSource(string(to.Name))
 	r.counts.relayed.Inc(1)
 	return a, nil
 }
 
-// errNoReader says that no other entry answers.
-var errNoReader = errors.New("no reader answers")
+// errNoReader is returned if no other entry can be read from.
+var errNoReader = errors.New("no relay reader available")
 
-func (r *Relay) put(ctx context.Context, to Reader, q question) (answer, error) {
+func (r *Relay) send(ctx context.Context, to Reader, q question) (answer, error) {
 	ctx, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, q.Wait+askGrace)
 	defer cancel()
 	body, err := cbor.Marshal(q)
@@ -268,69 +278,70 @@
 	return decodeAnswer(reply)
 }
 
-// shun leaves a reader that did not answer alone for a while.
-func (r *Relay) shun(to Reader, err error) {
+// exclude excludes a reader that did not answer for excludeFor.
+func (r *Relay) exclude(to Reader, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.shunned, r.shunUntil = to, r.cfg.Clock.Now().Add(shunFor)
-	r.cfg.Log.Info().Err(err).Str("Reader", string(to.Name)).Msg("reader does not answer")
+	r.excluded, r.excludedUntil = to, r.cfg.Clock.Now().Add(excludeFor)
+	r.cfg.Log.Info().Err(err).Str("Reader", string(to.Name)).Msg("relay reader did not answer; not asking it for a while")
 }
 
-// route logs a change of where objects are read from.
-func (r *Relay) route(through string) {
+// logSource logs a change of the source that objects are read from.
+func (r *Relay) logSource(through string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.through != through {
-		r.through = through
-		r.cfg.Log.Info().Str("Through", through).Msg("platform is read")
+	if r.source != through {
+		r.source = through
+		r.cfg.Log.Info().Str("Through", through).Msg("source of platform reads changed")
 	}
 }
 
-// rest returns an error where the reader has lost the platform and this entry's own last try is too recent to be repeated.
-func (r *Relay) rest(err error) error {
+// lostUntilRetry returns the error if the reader has lost the platform and the last direct call failed
+// too recently to be retried.
+func (r *Relay) lostUntilRetry(err error) error {
 	var lost *LostError
 	if !errors.As(err, &lost) {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.failed.IsZero() || r.cfg.Clock.Since(r.tried) >= retestEvery {
+	if r.failingSince.IsZero() || r.cfg.Clock.Since(r.lastDirect) >= directRetryInterval {
 		return nil
 	}
 	r.counts.refused.Inc(1)
 	return lost
 }
 
-// retest reports whether this entry, which failed to reach the platform, should try again although a reader answers.
-func (r *Relay) retest() bool {
+// retryDue reports whether a direct call is due after a failed one, although a reader may answer.
+func (r *Relay) retryDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.failed.IsZero() && r.cfg.Clock.Since(r.tried) >= retestEvery
+	return !r.failingSince.IsZero() && r.cfg.Clock.Since(r.lastDirect) >= directRetryInterval
 }
 
-// note takes the outcome of a call of this entry's own.
-func (r *Relay) note(ctx context.Context, err error) {
+// recordDirect records the outcome of a direct call.
+func (r *Relay) recordDirect(ctx context.Context, err error) {
 	r.counts.direct.Inc(1)
-	if err != nil && !known(err) && errors.Is(context.Cause(ctx), context.Canceled) {
+	if err != nil && !isAnswer(err) && errors.Is(context.Cause(ctx), context.Canceled) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tried = r.cfg.Clock.Now()
-	was := r.failed.IsZero()
+	r.lastDirect = r.cfg.Clock.Now()
+	was := r.failingSince.IsZero()
 	switch {
-	case err == nil || known(err):
-		r.failed = time.Time{}
+	case err == nil || isAnswer(err):
+		r.failingSince = time.Time{}
 	case was:
-		r.failed = r.tried
+		r.failingSince = r.lastDirect
 	}
-	if now := r.failed.IsZero(); now != was {
-		r.cfg.Log.Info().Bool("Reached", now).AnErr("Cause", err).Msg("own calls to the platform")
+	if now := r.failingSince.IsZero(); now != was {
+		r.cfg.Log.Info().Bool("Reached", now).AnErr("Cause", err).Msg("reachability of the platform by direct calls changed")
 	}
 }
 
-// known reports whether an error is an answer of the platform.
-func known(err error) bool {
+// isAnswer reports whether an error is an answer of the platform rather than a failure.
+func isAnswer(err error) bool {
 	var missing *ferryplatform.NotFoundError
 	var gone *ferryplatform.HistoryGoneError
 	return errors.As(err, &missing) || errors.As(err, &gone)
--- a/ferry/ferryrelay/relay_test.go
+++ b/ferry/ferryrelay/relay_test.go
@@ -19,25 +19,25 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// fleet is a few relays that share one platform; the first entry of order that is none itself is read from.
+// fleet is a set of relays that share one platform.
 type fleet struct {
 	platform *ferryplatformtest.Fake
 	relays   map[ferryid.EntryName]*Relay
-	links    map[ferryid.EntryName]*gate
-	// reader is the entry that all others read from, or empty.
+	links    map[ferryid.EntryName]*platformLink
+	// reader is the entry that all others read from; empty means none.
 	reader ferryid.EntryName
 	// silent entries do not answer questions.
-	silent map[ferryid.EntryName]bool
+	unresponsive map[ferryid.EntryName]bool
 }
 
-// gate is one entry's way to the platform.
-type gate struct {
+// platformLink is one entry's connection to the platform; it counts calls and can be shut.
+type platformLink struct {
 	ferryplatform.Store
 	shut  bool
 	calls int
 }
 
-func (g *gate) pass() error {
+func (g *platformLink) pass() error {
 	g.calls++
 	if g.shut {
 		return &ferryplatform.UnavailableError{Op: "call", Err: errors.New("no route")}
@@ -45,21 +45,21 @@
 	return nil
 }
 
-func (g *gate) Get(ctx context.Context, kind, name string) (ferryplatform.Object, error) {
+func (g *platformLink) Get(ctx context.Context, kind, name string) (ferryplatform.Object, error) {
 	if err := g.pass(); err != nil {
 		return ferryplatform.Object{}, err
 	}
 	return g.Store.Get(ctx, kind, name)
 }
 
-func (g *gate) List(ctx context.Context, kind string) (ferryplatform.Changes, error) {
+func (g *platformLink) List(ctx context.Context, kind string) (ferryplatform.Changes, error) {
 	if err := g.pass(); err != nil {
 		return ferryplatform.Changes{}, err
 	}
 	return g.Store.List(ctx, kind)
 }
 
-func (g *gate) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
+func (g *platformLink) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
 	if err := g.pass(); err != nil {
 		return ferryplatform.Changes{}, err
 	}
@@ -69,16 +69,16 @@
 func newFleet(names ...ferryid.EntryName) *fleet {
 	clock := clockwork.NewRealClock()
 	f := &fleet{
-		platform: ferryplatformtest.New(clock), relays: map[ferryid.EntryName]*Relay{}, links: map[ferryid.EntryName]*gate{},
-		silent: map[ferryid.EntryName]bool{},
+		platform: ferryplatformtest.New(clock), relays: map[ferryid.EntryName]*Relay{}, links: map[ferryid.EntryName]*platformLink{},
+		unresponsive: map[ferryid.EntryName]bool{},
 	}
 	for _, name := range names {
-		f.links[name] = &gate{Store: f.platform}
+		f.links[name] = &platformLink{Store: f.platform}
 		f.relays[name] = New(Config{
 			Platform: f.links[name], Clock: clock, Log: zerolog.Nop(),
 			Reader: func() (Reader, bool) { return Reader{Name: f.reader}, f.reader != "" && f.reader != name },
 			Ask: func(ctx context.Context, to ferryid.EntryName, _ ferryid.Incarnation, _ ferrypeer.AskKind, body []byte) ([]byte, error) {
-				if f.silent[to] {
+				if f.unresponsive[to] {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -99,7 +99,7 @@
 	assert.NilError(t, err)
 }
 
-// calls returns how often an entry has called the platform since it was last asked.
+// calls returns the number of an entry's calls to the platform since the last use of calls.
 func (f *fleet) calls(name ferryid.EntryName) int {
 	n := f.links[name].calls
 	f.links[name].calls = 0
@@ -118,7 +118,7 @@
 	return strings.Join(out, " ")
 }
 
-// list reads all objects through an entry.
+// list lists all objects through an entry.
 func (f *fleet) list(t *testing.T, name ferryid.EntryName) ferryplatform.Changes {
 	t.Helper()
 	c, err := f.relays[name].List(t.Context(), "k")
@@ -131,7 +131,7 @@
 	return f.relays[name].Watch(t.Context(), "k", after, 3*time.Second)
 }
 
-func TestOneEntryReadsForTheOthers(t *testing.T) {
+func TestEntriesReadThroughAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.reader = "a"
@@ -141,7 +141,7 @@
 		got := f.list(t, "b")
 		assert.Equal(t, text(got), "x=1 y=1")
 
-		// The reader's watch brings what b waits for.
+		// The reader's watch delivers the change that b waits for.
 		done := make(chan string)
 		go func() {
 			c, err := f.watch(t, "b", got.Version)
@@ -153,7 +153,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, <-done, "x=2 3 <nil>")
 
-		// Without changes b's watch ends early, and what it follows stays.
+		// Without changes, b's watch ends after relayWait with the same version.
 		began := time.Now()
 		c, err := f.watch(t, "b", 3)
 		assert.NilError(t, err)
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestProofsOfAnotherEntryAreNeverYoungerThanTheyAre(t *testing.T) {
+func TestProofAgeIncludesTheReadersDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.reader = "a"
@@ -180,8 +180,8 @@
 		assert.Assert(t, !at.After(read), "proved at %s, read at %s", at, read)
 		assert.Equal(t, f.calls("b"), 0)
 
-		// A proof that grew old is not passed on; b reads by itself.
-		time.Sleep(proofKept)
+		// An old proof is not passed on, so that b calls the platform directly.
+		time.Sleep(proofMaxAge)
 		_, at, err = f.relays["b"].Prove(t.Context(), "k", "x")
 		assert.NilError(t, err)
 		assert.Equal(t, at, time.Now())
@@ -189,7 +189,7 @@
 	})
 }
 
-func TestThatAnObjectIsMissingIsPassedOn(t *testing.T) {
+func TestMissingObjectIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.reader = "a"
@@ -199,18 +199,18 @@
 			assert.Assert(t, errors.As(err, &missing))
 		}
 		assert.Equal(t, f.calls("b"), 0)
-		assert.Assert(t, f.relays["a"].Reached(), "that it is missing is an answer")
+		assert.Assert(t, f.relays["a"].Reached(), "a missing object is an answer of the platform")
 	})
 }
 
-func TestASilentReaderIsLeftOut(t *testing.T) {
+func TestReaderThatDoesNotAnswerIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.reader = "a"
 		f.put(t, "x", "1")
 		f.list(t, "a")
 		got := f.list(t, "b")
-		f.silent["a"] = true
+		f.unresponsive["a"] = true
 		began := time.Now()
 		f.put(t, "x", "2")
 		c, err := f.watch(t, "b", got.Version)
@@ -218,7 +218,7 @@
 		assert.Equal(t, text(c), "x=2")
 		assert.Equal(t, time.Since(began), relayWait+askGrace)
 
-		// For a while the reader is not asked at all.
+		// Until excludeFor is over, the reader is not asked.
 		began = time.Now()
 		f.put(t, "x", "3")
 		c, err = f.watch(t, "b", c.Version)
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestEntriesWaitWhileTheReaderHasLostThePlatform(t *testing.T) {
+func TestFewDirectCallsWhileTheReaderHasLostThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.reader = "a"
@@ -240,7 +240,7 @@
 		assert.ErrorContains(t, err, "no route")
 		assert.Assert(t, !f.relays["a"].Reached())
 
-		// The first try is b's own, the next ones are not.
+		// Only the first watch calls the platform directly.
 		for range 20 {
 			_, err = f.watch(t, "b", at)
 			assert.Assert(t, err != nil)
@@ -251,9 +251,9 @@
 		assert.Equal(t, lost.Reader, ferryid.EntryName("a"))
 		assert.Equal(t, f.calls("b"), 1)
 
-		// Where the platform only turned the reader away, b finds out by itself.
+		// If the platform is only unreachable for the reader, b detects it by a direct call.
 		f.links["b"].shut = false
-		time.Sleep(retestEvery)
+		time.Sleep(directRetryInterval)
 		f.put(t, "x", "2")
 		c, err := f.watch(t, "b", at)
 		assert.NilError(t, err)
@@ -262,9 +262,9 @@
 	})
 }
 
-// TestANewReaderBeginsWithAList lets the duty move to an entry that has only followed another so far.
-// TestAnEntryThatHasJustBecomeTheReader asks one that has read nothing yet, by an entry whose own calls had failed before.
-func TestAnEntryThatHasJustBecomeTheReader(t *testing.T) {
+// TestNewReaderThatHasNotReadYet guards against a reader that reports the platform as lost although
+// it only has not read anything yet, to an entry whose own calls had failed before.
+func TestNewReaderThatHasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		f.put(t, "x", "1")
@@ -281,7 +281,8 @@
 	})
 }
 
-func TestANewReaderBeginsWithAList(t *testing.T) {
+// TestNewReaderStartsWithAList checks the change of the reader to an entry that has only read from another so far.
+func TestNewReaderStartsWithAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
 		f.reader = "a"
@@ -291,7 +292,7 @@
 		f.list(t, "c")
 		f.reader = "b"
 		_, err := f.watch(t, "c", at)
-		assert.NilError(t, err, "c asks the platform while b has no list")
+		assert.NilError(t, err, "c must call the platform directly while b has no list")
 		var gone *ferryplatform.HistoryGoneError
 		_, err = f.watch(t, "b", at)
 		assert.Assert(t, errors.As(err, &gone))
@@ -300,17 +301,18 @@
 		assert.Equal(t, text(f.list(t, "c")), "x=1")
 		assert.Equal(t, f.calls("c"), 0)
 
-		// a follows b now, and does not answer with what it held.
+		// a reads from b now, and must not answer from its old objects.
 		f.list(t, "a")
 		assert.Equal(t, f.relays["a"].answer(t.Context(), question{Op: opList, Kind: "k"}).Verdict, verdictNotRead)
 	})
 }
 
-// TestChangesAreServedFromWholeAnswersOnly keeps a follower of another reader from taking an old removal for a new one.
-func TestChangesAreServedFromWholeAnswersOnly(t *testing.T) {
+// TestWatchStartsAtBatchBoundariesOnly guards against a version within a batch, where a reader that
+// followed another one would apply an old removal over a later change.
+func TestWatchStartsAtBatchBoundariesOnly(t *testing.T) {
 	m := newMirror("k", clockwork.NewFakeClock())
-	m.listed(ferryplatform.Changes{Version: 5, Objects: []ferryplatform.Object{{Name: "x", Version: 4}}})
-	m.changed(5, ferryplatform.Changes{Version: 8, Objects: []ferryplatform.Object{
+	m.replace(ferryplatform.Changes{Version: 5, Objects: []ferryplatform.Object{{Name: "x", Version: 4}}})
+	m.apply(5, ferryplatform.Changes{Version: 8, Objects: []ferryplatform.Object{
 		{Name: "x", Version: 4, Deleted: true}, {Name: "x", Version: 7, Value: []byte("new")}, {Name: "y", Version: 8},
 	}})
 	for _, tc := range []struct {
@@ -334,20 +336,20 @@
 	assert.Equal(t, text(list), "x=new y=")
 }
 
-func TestFoundObjectsArePassedOnBeforeTheWatchTellsOfThem(t *testing.T) {
+func TestProvedObjectIsServedBeforeTheWatchReturnsIt(t *testing.T) {
 	m := newMirror("k", clockwork.NewFakeClock())
-	m.listed(ferryplatform.Changes{Version: 5})
-	m.found(ferryplatform.Object{Name: "x", Version: 9, Value: []byte("new")})
+	m.replace(ferryplatform.Changes{Version: 5})
+	m.applyObject(ferryplatform.Object{Name: "x", Version: 9, Value: []byte("new")})
 	c, v, _ := m.since(5)
 	assert.Equal(t, v, verdictOK)
 	assert.Equal(t, text(c), "x=new")
-	m.changed(5, ferryplatform.Changes{Version: 9, Objects: []ferryplatform.Object{{Name: "x", Version: 9, Value: []byte("new")}}})
+	m.apply(5, ferryplatform.Changes{Version: 9, Objects: []ferryplatform.Object{{Name: "x", Version: 9, Value: []byte("new")}}})
 	c, v, _ = m.since(9)
 	assert.Equal(t, v, verdictOK)
 	assert.Equal(t, len(c.Objects), 0)
 }
 
-func TestMessagesAreChecked(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	for _, b := range []string{"", "\xa0", "\xa1\x01\x09", "\xa2\x01\x01\x02\x60", "\x9b\xff\xff\xff\xff\xff\xff\xff\xff"} {
 		_, err := decodeQuestion([]byte(b))
 		assert.ErrorContains(t, err, "decode question", "%x", b)
--- a/ferry/ferryrelay/serve.go
+++ b/ferry/ferryrelay/serve.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// Answer answers another entry; it is the overlay's Handler for AskKind.
+// Answer answers another entry's question. It is the overlay's Handler for AskKind.
 func (r *Relay) Answer(ctx context.Context, _ ferrypeer.Member, body []byte) ([]byte, error) {
 	q, err := decodeQuestion(body)
 	if err != nil {
@@ -22,13 +22,13 @@
 	case opList:
 		c, ok := r.mirror(q.Kind).list()
 		if !ok {
-			return answer{Verdict: r.unread(q.Kind)}
+			return answer{Verdict: r.unreadVerdict(q.Kind)}
 		}
 		return answerOf(c)
 	case opWatch:
 		c, v := r.mirror(q.Kind).watch(ctx, q.After, q.Wait)
 		if v == verdictLost {
-			v = r.unread(q.Kind)
+			v = r.unreadVerdict(q.Kind)
 		}
 		a := answerOf(c)
 		a.Verdict = v
@@ -37,24 +37,24 @@
 	return r.answerProof(q)
 }
 
-// unread says why a kind cannot be read from this entry: it may just have become the reader.
-func (r *Relay) unread(kind string) verdict {
-	if r.Reached() && !r.mirror(kind).isFilled() {
+// unreadVerdict returns why a kind cannot be read from this entry, which may just have become the reader.
+func (r *Relay) unreadVerdict(kind string) verdict {
+	if r.Reached() && !r.mirror(kind).isComplete() {
 		return verdictNotRead
 	}
 	return verdictLost
 }
 
-// answerProof passes this entry's own newest proof on.
+// answerProof answers with this entry's last proof.
 func (r *Relay) answerProof(q question) answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.proofs[q.Kind+"/"+q.Name]
 	age := r.cfg.Clock.Since(p.at)
 	switch {
-	case !ok && r.failed.IsZero():
+	case !ok && r.failingSince.IsZero():
 		return answer{Verdict: verdictNotRead}
-	case !ok || age > proofKept:
+	case !ok || age > proofMaxAge:
 		return answer{Verdict: verdictLost}
 	}
 	out := answer{Verdict: verdictOK, Age: age}
