--- a/ferry/ferrydrain/doc.go
+++ b/ferry/ferrydrain/doc.go
@@ -1,2 +1,3 @@
-// Package ferrydrain keeps new work away from upstreams that are leaving, and stops an entry without cutting off a request.
+// Package ferrydrain excludes leaving upstreams from new work and stops an entry
+// without aborting open requests.
 package ferrydrain
--- a/ferry/ferrydrain/mark.go
+++ b/ferry/ferrydrain/mark.go
@@ -11,7 +11,7 @@
 
 const maxMarkBytes = 512
 
-// Source says who marked an upstream.
+// Source is the origin of a mark.
 type Source uint8
 
 // The sources of marks.
@@ -21,19 +21,20 @@
 	SourceOperator Source = 3
 )
 
-// Mark says that an upstream is leaving, or that an operator took such a mark back.
+// Mark is the statement that an upstream is leaving, or that an operator's mark was cleared.
 type Mark struct {
 	Service  ferryid.ServiceName  `cbor:"1,keyasint" json:"Service"`
 	Upstream ferryid.UpstreamName `cbor:"2,keyasint" json:"Upstream"`
-	// Incarnation is the run of the upstream that leaves; it is empty for an operator's mark, and where it is not known.
+	// Incarnation is the process of the upstream that leaves. It is empty if it is unknown,
+	// and in an operator's mark.
 	Incarnation ferryid.Incarnation `cbor:"3,keyasint,omitempty" json:"Incarnation,omitempty"`
 	Source      Source              `cbor:"4,keyasint" json:"Source"`
 	Leaving     bool                `cbor:"5,keyasint" json:"Leaving"`
-	// At is when it was marked, in Unix microseconds.
+	// At is the time of the mark in Unix microseconds.
 	At int64 `cbor:"6,keyasint" json:"At"`
 }
 
-// key is what a mark is about; of two marks with one key, one replaces the other.
+// key identifies the subject of a mark. Of two marks with the same key, one replaces the other.
 type key struct {
 	service     ferryid.ServiceName
 	upstream    ferryid.UpstreamName
@@ -45,7 +46,7 @@
 	return key{m.Service, m.Upstream, m.Incarnation, m.Source == SourceOperator}
 }
 
-// Check returns an error unless the mark is sound.
+// Check returns an error unless the mark is valid.
 func (m Mark) Check() error {
 	if err := ferryid.CheckName(string(m.Service)); err != nil {
 		return merry.Prepend(err, "mark: service")
@@ -57,17 +58,18 @@
 	case m.Source < SourceList || m.Source > SourceOperator:
 		return merry.Errorf("mark has unknown source %d", m.Source)
 	case m.Source == SourceOperator && m.Incarnation != "":
-		return merry.New("an operator's mark names no incarnation")
+		return merry.New("an operator's mark must not name an incarnation")
 	case m.Incarnation != "" && !m.Leaving:
-		return merry.New("an incarnation that leaves never comes back")
+		return merry.New("the mark of an incarnation cannot be cleared")
 	}
 	return nil
 }
 
-// over reports whether m replaces n of the same key: the later one does, and of two at one time the one that keeps work away.
-func (m Mark) over(n Mark) bool {
+// replaces reports whether m replaces n of the same key: the later mark, or of two at the same
+// time the one that is leaving.
+func (m Mark) replaces(n Mark) bool {
 	if m.Incarnation != "" {
-		// Nothing ends the leaving of an incarnation, so the earliest mark is kept.
+		// An incarnation that leaves does so for good, so the earliest mark is kept.
 		return cmp.Or(cmp.Compare(n.At, m.At), cmp.Compare(n.Source, m.Source)) > 0
 	}
 	return cmp.Or(cmp.Compare(m.At, n.At), compareBool(m.Leaving, n.Leaving), cmp.Compare(m.Source, n.Source)) > 0
@@ -91,7 +93,7 @@
 	return b
 }
 
-// DecodeMark reads a mark from a peer and checks it.
+// DecodeMark decodes and checks a mark from a peer.
 func DecodeMark(b []byte) (Mark, error) {
 	if len(b) > maxMarkBytes {
 		return Mark{}, merry.Errorf("mark of %d bytes is too long", len(b))
--- a/ferry/ferrydrain/marks.go
+++ b/ferry/ferrydrain/marks.go
@@ -17,32 +17,33 @@
 
 const (
 	maxMarks = 8192
-	// markMemory is how long the mark of an incarnation is kept after its instance can't come back.
-	markMemory = 24 * time.Hour
-	// maxAhead is how far a peer's clock may be ahead before its marks are refused.
+	// markRetention is how long the mark of an incarnation is kept at least. Its instance cannot come back after that.
+	markRetention = 24 * time.Hour
+	// maxAhead is how far the time of a peer's mark may be ahead of this entry's clock.
 	maxAhead = time.Minute
 )
 
-// Marks is one entry's view of which upstreams are leaving; merging views in any order gives the same.
+// Marks is one entry's set of marks. Sets merge to the same result in any order.
 type Marks struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
 	fresh []Mark
 	seen  map[key]ferryid.Incarnation
-	// now is replaced as a whole, so that the choice of an upstream never waits.
-	now atomic.Pointer[map[key]Mark]
+	// current is replaced as a whole, so that the selection of an upstream never blocks.
+	current atomic.Pointer[map[key]Mark]
 }
 
-// NewMarks returns a view without marks.
+// NewMarks returns an empty set of marks.
 func NewMarks(clock clockwork.Clock) *Marks {
 	ms := &Marks{clock: clock, seen: map[key]ferryid.Incarnation{}}
-	ms.now.Store(&map[key]Mark{})
+	ms.current.Store(&map[key]Mark{})
 	return ms
 }
 
-// Leaving reports whether an upstream's incarnation may get no new work; the incarnation may be empty if it is not known.
+// Leaving reports whether an upstream's incarnation must get no new work; an empty id
+// means that it is unknown.
 func (ms *Marks) Leaving(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation) bool {
-	all := *ms.now.Load()
+	all := *ms.current.Load()
 	if len(all) == 0 {
 		return false
 	}
@@ -52,7 +53,7 @@
 	return id != "" && all[key{s, u, id, false}].Leaving
 }
 
-// Mark notes that an upstream leaves, at once and for the peers; an empty incarnation stands for the one seen last.
+// Mark marks an upstream as leaving. An empty incarnation means the one seen last.
 func (ms *Marks) Mark(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation, from Source) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -62,42 +63,42 @@
 		id = ms.seen[key{service: s, upstream: u}]
 	}
 	m := Mark{Service: s, Upstream: u, Incarnation: id, Source: from, Leaving: true}
-	if old, ok := (*ms.now.Load())[m.key()]; !ok || !old.Leaving {
+	if old, ok := (*ms.current.Load())[m.key()]; !ok || !old.Leaving {
 		ms.write(m)
 	}
 }
 
-// Clear takes an operator's mark back.
+// Clear clears an operator's mark.
 func (ms *Marks) Clear(s ferryid.ServiceName, u ferryid.UpstreamName) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.write(Mark{Service: s, Upstream: u, Source: SourceOperator})
 }
 
-// Seen notes which incarnation an upstream says it is; a new one ends a mark that named none.
+// Seen records the incarnation that an upstream reports. A new one clears a mark without an incarnation.
 func (ms *Marks) Seen(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	k := key{service: s, upstream: u}
 	old := ms.seen[k]
 	ms.seen[k] = id
-	if old != "" && old != id && (*ms.now.Load())[k].Leaving {
+	if old != "" && old != id && (*ms.current.Load())[k].Leaving {
 		ms.write(Mark{Service: s, Upstream: u, Source: SourceList})
 	}
 }
 
-// write makes a mark of this entry later than the one it replaces, whatever the clocks say.
+// write stores a mark of this entry with a later time than the one it replaces, even if the clock is behind.
 func (ms *Marks) write(m Mark) {
 	m.At = ms.clock.Now().UnixMicro()
-	if old, ok := (*ms.now.Load())[m.key()]; ok && m.Incarnation == "" {
+	if old, ok := (*ms.current.Load())[m.key()]; ok && m.Incarnation == "" {
 		m.At = max(m.At, old.At+1)
 	}
 	ms.merge(m)
 }
 
 func (ms *Marks) merge(m Mark) bool {
-	all := *ms.now.Load()
-	if old, ok := all[m.key()]; ok && !m.over(old) {
+	all := *ms.current.Load()
+	if old, ok := all[m.key()]; ok && !m.replaces(old) {
 		return false
 	}
 	next := maps.Clone(all)
@@ -105,14 +106,14 @@
 	if len(next) > maxMarks {
 		ms.purge(next)
 	}
-	ms.now.Store(&next)
+	ms.current.Store(&next)
 	ms.fresh = append(ms.fresh, m)
 	return true
 }
 
-// purge forgets incarnations that left long ago, and marks that were taken back long ago.
+// purge deletes the marks of incarnations and the cleared marks that are older than markRetention.
 func (ms *Marks) purge(all map[key]Mark) {
-	old := ms.clock.Now().Add(-markMemory).UnixMicro()
+	old := ms.clock.Now().Add(-markRetention).UnixMicro()
 	for k, m := range all {
 		if m.At < old && (k.incarnation != "" || !m.Leaving) {
 			delete(all, k)
@@ -120,71 +121,72 @@
 	}
 }
 
-// All returns the marks in a stable order.
+// All returns all marks in a stable order.
 func (ms *Marks) All() []Mark {
-	all := slices.Collect(maps.Values(*ms.now.Load()))
+	all := slices.Collect(maps.Values(*ms.current.Load()))
 	slices.SortFunc(all, func(a, b Mark) int { return slices.Compare(a.encode(), b.encode()) })
 	return all
 }
 
-const pairBytes = 16
+const digestBytes = 16
 
-// pair is the digest of one mark: its key and what replaces what.
-func (m Mark) pair() [pairBytes]byte {
+// digest is the digest of one mark: a hash of its key and one of the whole mark.
+func (m Mark) digest() [digestBytes]byte {
 	k := m
 	k.At, k.Leaving = 0, false
 	if m.Source != SourceOperator {
 		k.Source = SourceList
 	}
-	var p [pairBytes]byte
+	var p [digestBytes]byte
 	binary.BigEndian.PutUint64(p[:8], xxhash.Sum64(k.encode()))
 	binary.BigEndian.PutUint64(p[8:], xxhash.Sum64(m.encode()))
 	return p
 }
 
-// Digest describes the marks held, 16 bytes each.
+// Digest returns the digest of all marks, 16 bytes each.
 func (ms *Marks) Digest() []byte {
 	var out []byte
 	for _, m := range ms.All() {
-		p := m.pair()
+		p := m.digest()
 		out = append(out, p[:]...)
 	}
 	return out
 }
 
-// Missing returns the marks that a peer with the digest lacks or has otherwise, encoded.
+// Missing returns the encoded marks that the peer with the given digest lacks or has in another version.
 func (ms *Marks) Missing(digest []byte) [][]byte {
-	has := map[[pairBytes]byte]bool{}
-	for ; len(digest) >= pairBytes; digest = digest[pairBytes:] {
-		has[[pairBytes]byte(digest[:pairBytes])] = true
+	has := map[[digestBytes]byte]bool{}
+	for ; len(digest) >= digestBytes; digest = digest[digestBytes:] {
+		has[[digestBytes]byte(digest[:digestBytes])] = true
 	}
 	var out [][]byte
 	for _, m := range ms.All() {
-		if !has[m.pair()] {
+		if !has[m.digest()] {
 			out = append(out, m.encode())
 		}
 	}
 	return out
 }
 
-// Apply takes an encoded mark from a peer and reports whether it changed anything; an error means that the peer is at fault.
+// Apply merges an encoded mark from a peer and reports whether it changed anything; an
+// error means an invalid mark.
 func (ms *Marks) Apply(b []byte) (bool, error) {
 	m, err := DecodeMark(b)
 	if err != nil {
 		return false, err
 	}
 	if m.At > ms.clock.Now().Add(maxAhead).UnixMicro() {
-		return false, merry.Errorf("mark of %s is ahead of our clock by more than %s", m.Upstream, maxAhead)
+		return false, merry.Errorf("mark of %s is ahead of this entry's clock by more than %s", m.Upstream, maxAhead)
 	}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	if len(*ms.now.Load()) >= 2*maxMarks {
-		return false, merry.New("too many marks")
+	if len(*ms.current.Load()) >= 2*maxMarks {
+		return false, merry.New("too many marks stored; mark not accepted")
 	}
 	return ms.merge(m), nil
 }
 
-// Fresh removes and returns the marks that changed here since the last call, encoded, to be pushed to peers.
+// Fresh removes and returns the encoded marks that changed since the last call, to be pushed to peers.
 func (ms *Marks) Fresh() [][]byte {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
--- a/ferry/ferrydrain/marks_test.go
+++ b/ferry/ferrydrain/marks_test.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// exchange does what two linked peers do with digests.
+// exchange synchronizes two sets in both directions, as linked peers do.
 func exchange(tb rapid.TB, a, b *Marks) {
 	for _, p := range [][2]*Marks{{a, b}, {b, a}} {
 		for _, m := range p[0].Missing(p[1].Digest()) {
@@ -26,12 +26,12 @@
 func TestMarksMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		var ns []*Marks
+		var views []*Marks
 		for range 3 {
-			ns = append(ns, NewMarks(clock))
+			views = append(views, NewMarks(clock))
 		}
 		marked := map[ferryid.Incarnation]bool{}
-		pick := func(rt *rapid.T) *Marks { return ns[rapid.IntRange(0, 2).Draw(rt, "entry")] }
+		pick := func(rt *rapid.T) *Marks { return views[rapid.IntRange(0, 2).Draw(rt, "entry")] }
 		id := func(rt *rapid.T) ferryid.Incarnation {
 			return ferryid.Incarnation(fmt.Sprint("u", rapid.IntRange(1, 3).Draw(rt, "incarnation")))
 		}
@@ -51,10 +51,10 @@
 			"time":     func(*rapid.T) { clock.Advance(time.Second) },
 		})
 		for _, p := range [][2]int{{0, 1}, {1, 2}, {0, 1}} {
-			exchange(rt, ns[p[0]], ns[p[1]])
+			exchange(rt, views[p[0]], views[p[1]])
 		}
-		for _, n := range ns {
-			assert.DeepEqual(rt, n.All(), ns[0].All())
+		for _, n := range views {
+			assert.DeepEqual(rt, n.All(), views[0].All())
 			for i := range marked {
 				assert.Assert(rt, n.Leaving("s", "e", i))
 			}
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestOperatorClearsOnEntryWithSlowClock(t *testing.T) {
+func TestClearOnEntryWithSlowClock(t *testing.T) {
 	fast, slow := clockwork.NewFakeClock(), clockwork.NewFakeClock()
 	fast.Advance(30 * time.Second)
 	a, b := NewMarks(fast), NewMarks(slow)
@@ -83,32 +83,33 @@
 	assert.Assert(t, ms.Leaving("s", "e", "u1"))
 }
 
-// TestMarkReachesARingInTime takes the worst overlay of nine entries, a ring, with pushes lost and digests each second.
-func TestMarkReachesARingInTime(t *testing.T) {
+// TestMarkSpreadsOverARingIn5Seconds checks that digests once per second spread a mark within 5 s over nine entries
+// in a ring, the longest overlay, if all pushes are lost.
+func TestMarkSpreadsOverARingIn5Seconds(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	var ns []*Marks
+	var views []*Marks
 	for range 9 {
-		ns = append(ns, NewMarks(clock))
+		views = append(views, NewMarks(clock))
 	}
-	ns[0].Mark("s", "e", "u1", SourceUpstream)
+	views[0].Mark("s", "e", "u1", SourceUpstream)
 	for range 5 {
 		clock.Advance(time.Second)
-		before := make([][]byte, len(ns))
-		for i, n := range ns {
+		before := make([][]byte, len(views))
+		for i, n := range views {
 			before[i] = n.Digest()
 		}
-		for i, n := range ns {
+		for i, n := range views {
 			for _, k := range []int{(i + 1) % 9, (i + 8) % 9} {
 				for _, m := range n.Missing(before[k]) {
 					if len(before[i]) > 0 {
-						_, err := ns[k].Apply(m)
+						_, err := views[k].Apply(m)
 						assert.NilError(t, err)
 					}
 				}
 			}
 		}
 	}
-	for _, n := range ns {
+	for _, n := range views {
 		assert.Assert(t, n.Leaving("s", "e", "u1"))
 	}
 }
@@ -133,8 +134,9 @@
 	}
 }
 
-// TestOneOfTwoMarksWins shows that what two entries hold does not depend on the order in which marks came.
-func TestOneOfTwoMarksWins(t *testing.T) {
+// TestMarksHaveATotalOrder checks that the order of marks is total, so that the result does
+// not depend on their arrival.
+func TestMarksHaveATotalOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(name string) Mark {
 			m := Mark{Service: "s", Upstream: "e", Source: Source(rapid.IntRange(1, 2).Draw(rt, name))}
@@ -145,7 +147,7 @@
 		}
 		a, b := draw("a"), draw("b")
 		if a.key() == b.key() && a != b {
-			assert.Assert(rt, a.over(b) != b.over(a))
+			assert.Assert(rt, a.replaces(b) != b.replaces(a))
 		}
 	})
 }
--- a/ferry/ferrydrain/stop.go
+++ b/ferry/ferrydrain/stop.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Stage is how far a planned stop has come.
+// Stage is the stage of a planned stop.
 type Stage uint8
 
 // The stages of a planned stop, in order.
 const (
-	// StageServing takes all work.
+	// StageServing accepts all work.
 	StageServing Stage = iota
-	// StageGrace is out of new steering answers but takes work from callers with older ones.
+	// StageGrace is absent from new steering answers but accepts work from callers with older ones.
 	StageGrace
-	// StageDraining refuses new work as NotRun and waits for what is open.
+	// StageDraining refuses new work as NotRun and waits for open work.
 	StageDraining
-	// StageClosing hands over and releases what the platform and the peers hold for this entry.
+	// StageClosing hands over or releases what the platform and the peers hold for this entry.
 	StageClosing
-	// StageStopped is the end.
+	// StageStopped is the final stage.
 	StageStopped
 )
 
@@ -27,14 +27,14 @@
 	return [...]string{"Serving", "Grace", "Draining", "Closing", "Stopped"}[s]
 }
 
-// Task is one thing to hand over or release at the end; it may need the platform or a peer.
+// Task is a closing task of a planned stop. It may need the platform or a peer.
 type Task string
 
 // The tasks of a planned stop, in order.
 const (
 	// TaskFlush writes recorded outcomes to the platform.
 	TaskFlush Task = "Flush"
-	// TaskHandOver gives the tickets to an heir.
+	// TaskHandOver transfers the tickets to another entry.
 	TaskHandOver Task = "HandOver"
 	// TaskLeases releases the leases.
 	TaskLeases Task = "Leases"
@@ -43,26 +43,26 @@
 var closingTasks = []Task{TaskFlush, TaskHandOver, TaskLeases}
 
 const (
-	taskAttempts = 3
-	taskTimeout  = 5 * time.Second
-	taskPause    = time.Second
+	taskAttempts   = 3
+	taskTimeout    = 5 * time.Second
+	taskRetryDelay = time.Second
 )
 
-// StopConfig bounds a planned stop.
+// StopConfig configures a planned stop.
 type StopConfig struct {
-	// Grace is how long callers may use an older steering answer.
+	// Grace is how long callers may still use older steering answers.
 	Grace time.Duration
-	// Limit ends the wait for open work, 0 for never.
+	// Limit is the maximum time from the signal until open work is abandoned; 0 means no limit.
 	Limit time.Duration
 }
 
-// Open counts the work that is still open.
+// Open is the amount of open work.
 type Open struct {
 	Calls   int
 	Streams int
 }
 
-// Left says what a stop could not bring to its end.
+// Left is what a stop could not finish.
 type Left struct {
 	Open  Open
 	Tasks map[Task]string
@@ -78,25 +78,25 @@
 	return out
 }
 
-// StopAction is what the entry has to do next in a planned stop.
+// StopAction is an action that the entry must perform in a planned stop.
 type StopAction interface{ isStopAction() }
 
-// LeaveSteering takes the entry out of steering answers, here and at the peers.
+// LeaveSteering removes the entry from steering answers, its own and those of its peers.
 type LeaveSteering struct{}
 
-// RefuseNew makes the entry refuse new work as NotRun, naming other entries.
+// RefuseNew makes the entry refuse new work as NotRun and refer callers to other entries.
 type RefuseNew struct{}
 
-// RunTask does a task with the timeout.
+// RunTask runs a task with a timeout.
 type RunTask struct {
 	Task    Task
 	Timeout time.Duration
 }
 
-// ReportOpen tells the operator what is still open.
+// ReportOpen reports the open work to the operator.
 type ReportOpen struct{ Open Open }
 
-// Exit ends the process and says what was left.
+// Exit ends the process and reports what was left.
 type Exit struct{ Left Left }
 
 func (LeaveSteering) isStopAction() {}
@@ -105,46 +105,46 @@
 func (ReportOpen) isStopAction()    {}
 func (Exit) isStopAction()          {}
 
-// Stop is the pure core of one planned stop.
+// Stop is the state machine of one planned stop.
 type Stop struct {
-	cfg      StopConfig
-	stage    Stage
-	began    time.Time
-	tasks    []Task
-	running  bool
-	attempts int
-	retryAt  time.Time
-	left     Left
+	cfg       StopConfig
+	stage     Stage
+	startedAt time.Time
+	tasks     []Task
+	running   bool
+	attempts  int
+	retryAt   time.Time
+	left      Left
 }
 
-// NewStop returns the core of an entry that serves.
+// NewStop returns the state machine of an entry that serves.
 func NewStop(cfg StopConfig) *Stop {
 	return &Stop{cfg: cfg, tasks: slices.Clone(closingTasks), left: Left{Tasks: map[Task]string{}}}
 }
 
-// Stage returns how far the stop has come.
+// Stage returns the current stage.
 func (s *Stop) Stage() Stage {
 	return s.stage
 }
 
-// Signal takes a stop signal: the first begins the stop, each other one reports what is open.
+// Signal handles a stop signal: the first starts the stop, each later one reports the open work.
 func (s *Stop) Signal(now time.Time, open Open) []StopAction {
 	if s.stage != StageServing {
 		return []StopAction{ReportOpen{open}}
 	}
 	s.stage = StageGrace
-	s.began = now
+	s.startedAt = now
 	return []StopAction{LeaveSteering{}}
 }
 
-// Next moves the stop on and returns what to do now.
+// Next advances the stop and returns the actions to perform now.
 func (s *Stop) Next(now time.Time, open Open) []StopAction {
-	if s.stage == StageGrace && !now.Before(s.began.Add(s.cfg.Grace)) {
-		// What came in before the refusal took effect is counted at the next call.
+	if s.stage == StageGrace && !now.Before(s.startedAt.Add(s.cfg.Grace)) {
+		// Work that arrived before the refusal took effect is counted by the next call.
 		s.stage = StageDraining
 		return []StopAction{RefuseNew{}}
 	}
-	if s.stage == StageDraining && (open == Open{} || s.limited(now)) {
+	if s.stage == StageDraining && (open == Open{} || s.limitReached(now)) {
 		s.stage = StageClosing
 		s.left.Open = open
 	}
@@ -154,8 +154,8 @@
 	return nil
 }
 
-func (s *Stop) limited(now time.Time) bool {
-	return s.cfg.Limit > 0 && !now.Before(s.began.Add(s.cfg.Limit))
+func (s *Stop) limitReached(now time.Time) bool {
+	return s.cfg.Limit > 0 && !now.Before(s.startedAt.Add(s.cfg.Limit))
 }
 
 func (s *Stop) close(now time.Time) []StopAction {
@@ -171,11 +171,11 @@
 	return []StopAction{RunTask{s.tasks[0], taskTimeout}}
 }
 
-// Done takes the outcome of a task; a task that keeps failing is left undone after a few tries.
+// Done records the outcome of the running task. After taskAttempts failures the task is left undone.
 func (s *Stop) Done(now time.Time, err error) {
 	s.running = false
 	if err != nil && s.attempts < taskAttempts {
-		s.retryAt = now.Add(taskPause)
+		s.retryAt = now.Add(taskRetryDelay)
 		return
 	}
 	if err != nil {
--- a/ferry/ferrydrain/stop_test.go
+++ b/ferry/ferrydrain/stop_test.go
@@ -20,8 +20,8 @@
 
 var errDown = errors.New("platform away")
 
-// play runs a stop second by second and writes down what it does.
-func play(cfg StopConfig, open func(second int) Open, fails func(Task) bool, signals ...int) string {
+// simulate simulates a stop second by second and returns a log of its actions.
+func simulate(cfg StopConfig, open func(second int) Open, fails func(Task) bool, signals ...int) string {
 	var out strings.Builder
 	now := time.Unix(1_800_000_000, 0)
 	s := NewStop(cfg)
@@ -72,26 +72,26 @@
 		{"platform away", StopConfig{Grace: 15 * time.Second}, func(int) Open { return Open{} }, func(t Task) bool { return t != TaskHandOver }, []int{1}},
 		{"operator's limit", StopConfig{Grace: 15 * time.Second, Limit: time.Minute}, straggler, never, []int{1}},
 	} {
-		fmt.Fprintf(&out, "%s\n%s\n", tc.name, play(tc.cfg, tc.open, tc.fails, tc.signals...))
+		fmt.Fprintf(&out, "%s\n%s\n", tc.name, simulate(tc.cfg, tc.open, tc.fails, tc.signals...))
 	}
 	golden.Assert(t, out.String(), "stops.golden")
 }
 
-func TestStopNeverCutsAndAlwaysEnds(t *testing.T) {
+func TestStopWaitsForOpenWorkAndEnds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewStop(StopConfig{Grace: time.Duration(rapid.IntRange(0, 20).Draw(rt, "grace")) * time.Second})
 		now := time.Unix(1_800_000_000, 0)
 		open, refusing, exited := Open{}, false, false
-		carry := func(acts []StopAction) {
+		execute := func(acts []StopAction) {
 			for _, a := range acts {
 				switch a.(type) {
 				case RefuseNew:
-					// A call may come in between the count and the refusal.
+					// A call may arrive between the count and the refusal.
 					open.Streams += rapid.IntRange(0, 1).Draw(rt, "late arrival")
 					refusing = true
 				case RunTask:
 					if !refusing || open != (Open{}) {
-						rt.Fatalf("closing with %+v open", open)
+						rt.Fatalf("task run before draining ended, with %+v open", open)
 					}
 				case Exit:
 					exited = true
@@ -105,8 +105,8 @@
 				}
 			},
 			"finish": func(*rapid.T) { open.Streams = max(0, open.Streams-1) },
-			"signal": func(*rapid.T) { carry(s.Signal(now, open)) },
-			"next":   func(*rapid.T) { carry(s.Next(now, open)) },
+			"signal": func(*rapid.T) { execute(s.Signal(now, open)) },
+			"next":   func(*rapid.T) { execute(s.Next(now, open)) },
 			"fail": func(*rapid.T) {
 				if s.running {
 					s.Done(now, errDown)
@@ -118,7 +118,7 @@
 		for range 100 {
 			now = now.Add(time.Second)
 			open = Open{}
-			carry(s.Next(now, open))
+			execute(s.Next(now, open))
 			if s.running {
 				s.Done(now, errDown)
 			}
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestStopperWithPlatformThatHangs(t *testing.T) {
+func TestStopperWithUnresponsivePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var steps atomic.Int32
 		hang := func(ctx context.Context) error {
@@ -143,7 +143,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 1000*time.Second)
 		defer cancel()
 		left, err := st.Run(ctx, signals)
-		assert.NilError(t, err, "the stop never ended")
+		assert.NilError(t, err, "the stop did not end within 1000 s")
 		assert.Equal(t, steps.Load(), int32(2))
 		assert.Equal(t, left.String(), "calls 0, streams 0, Flush: context deadline exceeded")
 	})
--- a/ferry/ferrydrain/stopper.go
+++ b/ferry/ferrydrain/stopper.go
@@ -10,9 +10,10 @@
 
 const stopInterval = 50 * time.Millisecond
 
-// Hooks are what a Stopper does to its entry; none may be nil but a task's, which is skipped.
+// Hooks are the functions by which a Stopper controls its entry. All are required except
+// tasks; a nil task is skipped.
 type Hooks struct {
-	// Open counts work from before it is decided whether to refuse it, so that none slips in between.
+	// Open must count work before it is decided whether to refuse it, so that no work is missed.
 	Open          func() Open
 	LeaveSteering func()
 	RefuseNew     func()
@@ -20,14 +21,15 @@
 	Tasks         map[Task]func(context.Context) error
 }
 
-// Stopper carries a planned stop.
+// Stopper executes a planned stop.
 type Stopper struct {
 	Clock clockwork.Clock
 	Stop  *Stop
 	Hooks Hooks
 }
 
-// Run waits for the first signal, then stops the entry and returns what was left; it ends early with the context.
+// Run waits for the first signal, then stops the entry and returns what was left. It returns
+// early if the context ends.
 func (s *Stopper) Run(ctx context.Context, signals <-chan os.Signal) (Left, error) {
 	tick := s.Clock.NewTicker(stopInterval)
 	defer tick.Stop()
