--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -18,39 +18,42 @@
 
 const (
 	topicConditions ferrypeer.TopicName = "conditions"
-	// readEvery is how often each engine is asked for its condition, by one entry of its failure domain for all.
-	readEvery = 1500 * time.Millisecond
-	// readOften is how often while some engine's memory is used by more than pressed.
-	readOften   = 500 * time.Millisecond
-	pressed     = 0.75
-	readTimeout = 300 * time.Millisecond
-	// conditionsKept is how long a reading is passed on.
-	conditionsKept = 4 * time.Second
-	maxPerItem     = 40 // engines in one item, which the overlay bounds to a kilobyte
-	maxItems       = 4096
-	// probeDownEvery is how often engines that did not answer are tried, in a fleet of up to smallFleet entries; each of a larger one tries
-	// them less often, so that an engine gets as many tries. probeDownTimeout is how long they may take.
-	probeDownEvery   = 300 * time.Millisecond
-	probeDownTimeout = 100 * time.Millisecond
+	// readInterval is the interval at which each engine's condition is read, by one entry of
+	// its failure domain for all.
+	readInterval = 1500 * time.Millisecond
+	// readIntervalPressed applies while the memory of some engine is used by more than pressedShare.
+	readIntervalPressed = 500 * time.Millisecond
+	pressedShare        = 0.75
+	readTimeout         = 300 * time.Millisecond
+	// conditionTTL is how long a condition is passed on.
+	conditionTTL      = 4 * time.Second
+	maxEnginesPerItem = 40 // engines in one item, which the overlay bounds to a kilobyte
+	maxItems          = 4096
+	// probeDownInterval is the interval of probes of engines that are down, in a fleet of up to
+	// smallFleet entries. It grows with the fleet, so that the number of probes of an engine does not.
+	// probeDownTimeout bounds one probe.
+	probeDownInterval = 300 * time.Millisecond
+	probeDownTimeout  = 100 * time.Millisecond
 )
 
-// engineCondition is one engine's condition as entries pass it on, small since every entry hears it often.
+// engineCondition is the condition of one engine as sent to other entries. It is compact,
+// since all receive it often.
 type engineCondition struct {
 	_ struct{} `cbor:",toarray"`
-	// Engine tells the engine among those that all entries know.
+	// Engine identifies the engine among those that all entries know.
 	Engine engineMark
 	// Pace is in units of paceUnit; Used and Room are in units of roomUnit tokens.
 	Pace    uint32
 	Running uint32
 	Used    uint64
 	Room    uint64
-	// Silent says that the engine did not answer the reader.
+	// Silent is set if the engine did not answer the entry that read its condition.
 	Silent bool
 }
 
 const (
-	paceUnit = 1.0 / 64 // an engine at its usual pace has 1
-	roomUnit = 64       // tokens, of the hundred thousand that an engine has room for
+	paceUnit = 1.0 / 64 // an engine at nominal speed has pace 1
+	roomUnit = 64       // tokens; an engine has memory for about 100,000
 	maxPace  = 1 << 20
 	maxRoom  = 1 << 40
 )
@@ -62,32 +65,32 @@
 	return engineMark(xxhash.Sum64String(string(u.Service) + "/" + u.Name))
 }
 
-// conditions are some engines' conditions.
+// conditions are the conditions of some engines.
 type conditions struct {
 	List []engineCondition `cbor:"1,keyasint"`
 }
 
-// Check returns an error for numbers that no engine can have.
+// Check returns an error if a number is out of range.
 func (c conditions) Check() error {
-	if len(c.List) > maxPerItem {
-		return fmt.Errorf("conditions of %d engines", len(c.List))
+	if len(c.List) > maxEnginesPerItem {
+		return fmt.Errorf("conditions of %d engines in one item, at most 40 allowed", len(c.List))
 	}
 	for _, e := range c.List {
 		if e.Pace > maxPace || e.Running > maxPace || e.Used > maxRoom || e.Room > maxRoom {
-			return fmt.Errorf("condition of engine %08x: pace %d, %d running, %d of %d used", e.Engine, e.Pace, e.Running, e.Used, e.Room)
+			return fmt.Errorf("condition of engine %08x out of range: pace %d, %d running, %d of %d used", e.Engine, e.Pace, e.Running, e.Used, e.Room)
 		}
 	}
 	return nil
 }
 
-// told returns the condition in the units of the choosers.
-func (c engineCondition) told() ferrypath.Condition {
+// chooserCondition returns the condition in the units of ferrypath.
+func (c engineCondition) chooserCondition() ferrypath.Condition {
 	return ferrypath.Condition{
 		Pace: float64(c.Pace) * paceUnit, Running: int(c.Running), Used: int64(c.Used) * roomUnit, Room: int64(c.Room) * roomUnit,
 	}
 }
 
-// units is a number of units between none and a highest.
+// units converts a value to whole units, limited to the range from 0 to most; NaN gives 0.
 func units(v, unit, most float64) uint64 {
 	if math.IsNaN(v) {
 		return 0
@@ -95,7 +98,7 @@
 	return uint64(min(max(v/unit, 0), most))
 }
 
-// dutyConditions is the duty of the one entry of each failure domain that reads its engines' conditions.
+// dutyConditions is the duty of the entry that reads the engines' conditions in its failure domain.
 const dutyConditions ferryduty.Duty = "conditions"
 
 func (e *Edge) newConditions() {
@@ -104,23 +107,24 @@
 	})
 }
 
-// readConditions asks the engines of this failure domain for their conditions, where that is this entry's duty, and takes what others read.
+// readConditions reads the engines of this failure domain if that is this entry's duty, and
+// applies all entries' conditions.
 func (e *Edge) readConditions(ctx context.Context) {
 	engines := e.cfg.Engines(e.client)
-	every := readEvery
+	every := readInterval
 	for e.pause(ctx, every) {
 		ms := e.peer.Members()
 		if e.Ready() && (len(ms.List) <= 1 || ferryduty.HoldsInDomain(ms, dutyConditions, 1)) {
 			e.readAll(ctx, engines)
 		}
-		every = readEvery
-		if e.takeConditions(ctx) {
-			every = readOften
+		every = readInterval
+		if e.applyConditions(ctx) {
+			every = readIntervalPressed
 		}
 	}
 }
 
-// readAll reads all engines of this failure domain and tells the other entries.
+// readAll reads all engines of this failure domain and publishes their conditions.
 func (e *Edge) readAll(ctx context.Context, engines Engines) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -143,10 +147,10 @@
 		}
 	}
 	wg.Wait()
-	list = believable(list)
-	for i := 0; i < len(list); i += maxPerItem {
-		part := list[i:min(i+maxPerItem, len(list))]
-		e.conditions.Set(fmt.Sprintf("%s/%d", e.cfg.Domain, i/maxPerItem), conditions{List: part}, conditionsKept)
+	list = plausible(list)
+	for i := 0; i < len(list); i += maxEnginesPerItem {
+		part := list[i:min(i+maxEnginesPerItem, len(list))]
+		e.conditions.Set(fmt.Sprintf("%s/%d", e.cfg.Domain, i/maxEnginesPerItem), conditions{List: part}, conditionTTL)
 	}
 }
 
@@ -154,7 +158,7 @@
 	c := engineCondition{Engine: markOf(u)}
 	s, err := engines.State(ctx, u)
 	if err != nil {
-		e.cfg.Log.Debug().Err(err).Str("Engine", u.Name).Msg("condition not read")
+		e.cfg.Log.Debug().Err(err).Str("Engine", u.Name).Msg("could not read the engine's condition")
 		c.Silent = true
 		return c
 	}
@@ -164,8 +168,9 @@
 	return c
 }
 
-// believable leaves the silent engines out if most are silent: then the trouble is probably the reader's own.
-func believable(list []engineCondition) []engineCondition {
+// plausible drops the silent engines if most are silent, since then this entry's own
+// network is probably at fault.
+func plausible(list []engineCondition) []engineCondition {
 	silent := 0
 	for _, c := range list {
 		if c.Silent {
@@ -178,9 +183,10 @@
 	return slices.DeleteFunc(list, func(c engineCondition) bool { return c.Silent })
 }
 
-// takeConditions hands what is known of the engines to those that choose among them, and reports whether some have little memory left.
-func (e *Edge) takeConditions(ctx context.Context) (short bool) {
-	known := e.marks()
+// applyConditions passes the known conditions to the path choosers and reports whether some
+// engine is short of memory.
+func (e *Edge) applyConditions(ctx context.Context) (short bool) {
+	known := e.enginesByMark()
 	for _, entry := range e.conditions.All() {
 		for _, c := range entry.Value.List {
 			u := known[c.Engine]
@@ -191,18 +197,18 @@
 			switch {
 			case ch == nil:
 			case c.Silent:
-				e.doubt(ctx, ch, u.Name)
+				e.probeSilent(ctx, ch, u.Name)
 			default:
-				short = short || float64(c.Used) > pressed*float64(c.Room)
-				ch.Report(u.Name, c.told(), entry.At.Time())
+				short = short || float64(c.Used) > pressedShare*float64(c.Room)
+				ch.Report(u.Name, c.chooserCondition(), entry.At.Time())
 			}
 		}
 	}
 	return short
 }
 
-// marks returns the engines by their marks; a mark that two engines share stands for none.
-func (e *Edge) marks() map[engineMark]*ferrydiscovery.Upstream {
+// enginesByMark returns the engines by their marks; a mark that two engines share has no engine.
+func (e *Edge) enginesByMark() map[engineMark]*ferrydiscovery.Upstream {
 	out := map[engineMark]*ferrydiscovery.Upstream{}
 	for _, name := range e.services.Layered() {
 		for _, u := range e.upstreams.View().Of(name) {
@@ -217,8 +223,8 @@
 	return out
 }
 
-// doubt tries an engine that did not answer another entry.
-func (e *Edge) doubt(ctx context.Context, ch *ferrypath.Chooser, name string) {
+// probeSilent probes an engine that did not answer another entry, and marks it as down if two probes fail.
+func (e *Edge) probeSilent(ctx context.Context, ch *ferrypath.Chooser, name string) {
 	u := e.upstreams.View().Get(name)
 	if u == nil || ch.IsDown(name) {
 		return
@@ -226,21 +232,21 @@
 	go func() {
 		if !e.answers(ctx, u) && !e.answers(ctx, u) {
 			ch.Dead(name)
-			e.cfg.Log.Info().Str("Engine", name).Msg("engine does not answer")
+			e.cfg.Log.Info().Str("Engine", name).Msg("engine did not answer two probes; marked as down")
 		}
 	}()
 }
 
-// answers reports whether a connection to an engine can be opened.
+// answers reports whether a connection to the engine can be opened.
 func (e *Edge) answers(ctx context.Context, u *ferrydiscovery.Upstream) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeDownTimeout)
 	defer cancel()
 	return e.client.Probe(ctx, u.Address) == nil
 }
 
-// probeDown tries engines that did not answer until they do.
+// probeDown probes the engines that are down until they answer.
 func (e *Edge) probeDown(ctx context.Context) {
-	for e.pause(ctx, probeDownEvery*time.Duration(e.crowd())) {
+	for e.pause(ctx, probeDownInterval*time.Duration(e.fleetFactor())) {
 		for _, name := range e.services.Layered() {
 			ch := e.services.Chooser(name)
 			if ch == nil {
@@ -250,7 +256,7 @@
 				go func() {
 					if e.answers(ctx, u) {
 						ch.Alive(u.Name)
-						e.cfg.Log.Info().Str("Engine", u.Name).Msg("engine answers again")
+						e.cfg.Log.Info().Str("Engine", u.Name).Msg("engine answered a probe; no longer marked as down")
 					}
 				}()
 			}
--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -16,69 +16,70 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// Config is what an Edge needs.
+// Config configures an Edge.
 type Config struct {
 	Name   ferryid.EntryName
 	Domain ferryid.DomainName
-	// Callers is where callers connect, and Peers where other entries do.
+	// Callers and Peers are the listen addresses for callers and for other entries.
 	Callers, Peers string
-	// Seeds are the Peers of other entries, which may be out of date.
+	// Seeds are the peer addresses of other entries, which may be out of date.
 	Seeds []string
-	// Servers are further listeners, such as for readiness.
+	// Servers are additional listeners, for example for readiness checks.
 	Servers []Server
-	// First says that the whole system starts for the first time.
+	// First is set if the whole system starts for the first time.
 	First bool
-	// MaxConns bounds the callers' connections.
+	// MaxConns is the maximum number of callers' connections.
 	MaxConns int
 
 	Clock clockwork.Clock
-	// Steady also counts the time for which the instance is suspended.
+	// Steady includes the time for which the instance is suspended.
 	Steady clockwork.Clock
 	Log    zerolog.Logger
 
 	Store   ferryplatform.Store
 	Objects Objects
 	Dialect ferryforward.Dialect
-	// Engines gives the orders that engines understand, over the given connections.
+	// Engines returns the client of the engines' interface over the given connections.
 	Engines func(*ferryexchange.Client) Engines
 	Promise Promise
 }
 
-// Engines are the orders that engines understand.
+// Engines is the client of the engines' interface.
 type Engines interface {
 	ferryplacement.Engines
 	ferryforward.Rerouter
 }
 
-// Objects says where the platform keeps what, and how it is read.
+// Objects describes which platform objects hold what, and how they are decoded.
 type Objects struct {
-	// ConfigurationKind and ConfigurationName are those of the operators' configuration.
+	// ConfigurationKind and ConfigurationName identify the object with the operators' configuration.
 	ConfigurationKind, ConfigurationName string
-	// Configuration decodes it.
+	// Configuration decodes that object.
 	Configuration func([]byte) (*ferryconfig.Snapshot, error)
-	// UpstreamKind is the kind of the upstreams' own entries.
+	// UpstreamKind is the object kind of the upstreams' entries.
 	UpstreamKind string
-	// Upstream decodes one; a removed one has only a name and a version.
+	// Upstream decodes an upstream's entry. A removed entry has only a name and a version.
 	Upstream func(ferryplatform.Object) (ferrydiscovery.Upstream, error)
 }
 
-// Promise holds the figures that the entry has to keep.
+// Promise contains the service objectives that the entry has to meet.
 type Promise struct {
-	// ConfigWithin is how soon an accepted configuration must be in force, and LeaveWithin how soon a leaving upstream gets nothing new.
+	// ConfigWithin is the time until an accepted configuration must be in force, LeaveWithin the time until
+	// a leaving upstream must get no new work.
 	ConfigWithin, LeaveWithin time.Duration
-	// KeyAge is how long ago a key must have been proved valid; zero stands for no limit.
+	// KeyAge is the maximum time since API keys were last proved valid; zero means no limit.
 	KeyAge time.Duration
-	// Grace is the time from the request to stop until the process is killed.
+	// Grace is the time from the stop signal until the process is killed.
 	Grace time.Duration
-	// AnswerLifetime is the longest that callers keep an answer on which entries to use.
+	// AnswerLifetime is the maximum time for which callers keep a steering answer.
 	AnswerLifetime time.Duration
-	// RepeatWindow, RepeatRatio and RepeatAllowance bound what is sent again, over all entries.
+	// RepeatWindow, RepeatRatio and RepeatAllowance configure the retry budget over all entries.
 	RepeatWindow    time.Duration
 	RepeatRatio     float64
 	RepeatAllowance float64
 }
 
-// Server is a listener of the entry's with its own handler.
+// Server is an additional listener with its handler.
 type Server struct {
 	Address string
 	Handler func(*Edge) http.Handler
--- a/ferryd/ferryedge/configuration.go
+++ b/ferryd/ferryedge/configuration.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// configWait is how long one watch of the configuration lasts without a change, less than the platform keeps its history; readings that
-	// prove the configuration current notice a silent connection before.
+	// configWait is the duration of one watch of the configuration. It is shorter than the
+	// platform keeps its history. A hanging connection is detected earlier, by the reads that
+	// prove the configuration current.
 	configWait = 12 * time.Second
-	// watchPace is the pause after an answer with changes, so that a quick series of them costs few calls.
-	watchPace = 300 * time.Millisecond
-	// paceShare is the part of a promise that such a pause may take at most.
-	paceShare = 4
-	// proofShare is how many times the configuration is proved current within the age that keys may have; what another entry has read may be old by proofRead already.
-	proofShare = 2.5
-	// proofRead is the pause between two proofs of an entry that reads for others.
+	// watchPause is the delay after an answer with changes, so that a burst of changes costs few calls.
+	watchPause = 300 * time.Millisecond
+	// pauseDivisor limits this delay to a part of the objective for the changes.
+	pauseDivisor = 4
+	// proofsPerKeyAge is the number of proofs within the maximum age of keys. What another entry has read
+	// may already be proofRead old.
+	proofsPerKeyAge = 2.5
+	// proofRead is the interval of proofs of an entry that reads from the platform directly.
 	proofRead = time.Second
-	// proofRetry follows a failed proof.
+	// proofRetry is the delay after a failed proof.
 	proofRetry = 500 * time.Millisecond
-	// proofTimeout bounds one reading, from another entry or, failing that, from the platform.
+	// proofTimeout bounds one proof, including the fallback from another entry to the platform.
 	proofTimeout = 1500 * time.Millisecond
-	// proofIdle is the pause between two proofs where keys may have any age.
+	// proofIdle is the interval of proofs if keys may have any age.
 	proofIdle = 5 * time.Second
 )
 
-// configWatcher takes the operators' configuration from the platform.
+// configWatcher applies the operators' configuration from the platform.
 type configWatcher struct{ *Edge }
 
-func (w configWatcher) Listed(c ferryplatform.Changes)  { w.take(c) }
-func (w configWatcher) Changed(c ferryplatform.Changes) { w.take(c) }
+func (w configWatcher) Listed(c ferryplatform.Changes)  { w.apply(c) }
+func (w configWatcher) Changed(c ferryplatform.Changes) { w.apply(c) }
 func (w configWatcher) Lost(error)                      {}
 
-func (w configWatcher) take(c ferryplatform.Changes) {
+func (w configWatcher) apply(c ferryplatform.Changes) {
 	for _, o := range c.Objects {
 		if o.Name == w.cfg.Objects.ConfigurationName && !o.Deleted {
 			w.offer(o, "watch")
@@ -44,22 +46,23 @@
 }
 
 func (e *Edge) followConfig(ctx context.Context) {
-	e.follow(ctx, e.cfg.Objects.ConfigurationKind, configWait, pace(e.cfg.Promise.ConfigWithin), configWatcher{e})
+	e.follow(ctx, e.cfg.Objects.ConfigurationKind, configWait, pauseFor(e.cfg.Promise.ConfigWithin), configWatcher{e})
 }
 
-// pace is the pause after changes where they must be known within a time; zero stands for no promise.
-func pace(within time.Duration) time.Duration {
+// pauseFor returns the delay after changes that must be known within the given
+// time; zero means no objective.
+func pauseFor(within time.Duration) time.Duration {
 	if within <= 0 {
-		return watchPace
+		return watchPause
 	}
-	return min(watchPace, within/paceShare)
+	return min(watchPause, within/pauseDivisor)
 }
 
-// offer decodes a configuration and brings it into force if it is newer.
+// offer decodes a configuration and puts it in force if it is newer.
 func (e *Edge) offer(o ferryplatform.Object, source string) bool {
 	s, err := e.cfg.Objects.Configuration(o.Value)
 	if err != nil {
-		e.cfg.Log.Error().Err(err).Str("Source", source).Uint64("Revision", uint64(o.Version)).Msg("configuration not taken")
+		e.cfg.Log.Error().Err(err).Str("Source", source).Uint64("Revision", uint64(o.Version)).Msg("could not decode the configuration; keeping the current one")
 		return false
 	}
 	verdict := e.holder.Offer(s)
@@ -67,11 +70,12 @@
 		return true
 	}
 	e.cfg.Log.Info().Str("Source", source).Uint64("Version", uint64(s.Version)).Str("Verdict", verdict.String()).
-		Int("Routes", len(s.Routes)).Int("Services", len(s.Services)).Int("Customers", len(s.Customers)).Msg("configuration")
+		Int("Routes", len(s.Routes)).Int("Services", len(s.Services)).Int("Customers", len(s.Customers)).Msg("configuration offered")
 	return true
 }
 
-// proveConfig reads the configuration now and then, since a watch that says nothing proves nothing.
+// proveConfig reads the configuration periodically, since a watch without changes does
+// not show that it is current.
 func (e *Edge) proveConfig(ctx context.Context) {
 	lost := false
 	for ctx.Err() == nil {
@@ -83,14 +87,14 @@
 		case errors.As(err, &missing):
 		case err != nil && !lost:
 			lost = true
-			e.blind.Store(true)
-			e.cfg.Log.Warn().Err(err).Msg("configuration cannot be proved current")
+			e.configStale.Store(true)
+			e.cfg.Log.Warn().Err(err).Msg("could not prove the configuration current")
 		case err == nil && lost:
 			lost = false
-			e.blind.Store(false)
-			e.cfg.Log.Info().Msg("configuration is proved current again")
+			e.configStale.Store(false)
+			e.cfg.Log.Info().Msg("configuration proved current again")
 		}
-		wait := e.proofPause()
+		wait := e.proofInterval()
 		if err != nil {
 			wait = proofRetry
 		}
@@ -98,13 +102,13 @@
 	}
 }
 
-// proofPause is how long one proof lasts.
-func (e *Edge) proofPause() time.Duration {
+// proofInterval returns the time until the next proof.
+func (e *Edge) proofInterval() time.Duration {
 	switch age := e.cfg.Promise.KeyAge; {
 	case e.relay.Reads():
 		return proofRead
 	case age > 0:
-		return time.Duration(float64(age) / proofShare)
+		return time.Duration(float64(age) / proofsPerKeyAge)
 	}
 	return proofIdle
 }
@@ -122,6 +126,6 @@
 	}
 	e.holder.Offer(s)
 	e.holder.Prove(s.Version, at)
-	e.startIf()
+	e.startIfProved()
 	return nil
 }
--- a/ferryd/ferryedge/doc.go
+++ b/ferryd/ferryedge/doc.go
@@ -1,2 +1,5 @@
-// Package ferryedge puts an entry for routed services together: callers' connections, configuration and upstreams from the platform, the overlay of entries and planned stops.
+// Package ferryedge assembles an entry for routed services.
+//
+// It connects the callers' listener, the configuration and upstreams from the platform, the overlay of
+// entries, the placement of model layers and planned stops.
 package ferryedge
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	eventRing       = 1024
+	eventBuffer     = 1024
 	metricsInterval = 5 * time.Second
-	dialTimeout     = 400 * time.Millisecond // a lost opening packet is sent again after a second, when another upstream has long answered
+	dialTimeout     = 400 * time.Millisecond // shorter than the first TCP retransmission after 1 s; another upstream answers sooner
 )
 
-// State says whether an edge serves callers.
+// State is the serving state of an edge.
 type State int32
 
-// The states of an edge, in the order they follow one another.
+// The states of an edge, in their order.
 const (
-	// StateStarting lacks the configuration or the upstreams.
+	// StateStarting means that the configuration or the upstreams are not known yet.
 	StateStarting State = iota
-	// StateReady serves.
+	// StateReady means that callers are served.
 	StateReady
-	// StateStopping finishes what is open.
+	// StateStopping means that open calls are being finished.
 	StateStopping
 )
 
@@ -47,7 +47,7 @@
 	return [...]string{"Starting", "Ready", "Stopping"}[s]
 }
 
-// Edge is one entry for routed services.
+// Edge is an entry for routed services.
 type Edge struct {
 	cfg       Config
 	self      ferryid.Incarnation
@@ -65,22 +65,22 @@
 	placement *placement
 	states    *ferrypeer.Latest[entryState]
 	relay     *ferryrelay.Relay
-	// started is closed once requests can be served.
-	started chan struct{}
-	start   sync.Once
-	// blind says that this entry cannot prove the configuration current.
-	blind atomic.Bool
-	// conditions are what the engines say of themselves, as some entries have read it.
+	// started is closed when requests can be served.
+	started   chan struct{}
+	startOnce sync.Once
+	// configStale is set while this entry cannot prove its configuration current.
+	configStale atomic.Bool
+	// conditions are the engines' conditions as published by the entries that read them.
 	conditions *ferrypeer.Latest[conditions]
 	metrics    *ferrymetrics.Metrics
 }
 
-// New puts an edge together; nothing runs yet.
+// New assembles an edge; Run starts it.
 func New(cfg Config) *Edge {
 	e := &Edge{
 		cfg: cfg, self: newIncarnation(cfg.Name),
 		holder: &ferryconfig.Holder{}, started: make(chan struct{}), upstreams: ferrydiscovery.NewTable(cfg.Clock),
-		events:  ferryevent.NewLog(cfg.Steady, string(cfg.Name), eventRing),
+		events:  ferryevent.NewLog(cfg.Steady, string(cfg.Name), eventBuffer),
 		metrics: ferrymetrics.New("edge", metricsInterval),
 		client:  ferryexchange.New(ferryexchange.Config{Clock: cfg.Clock, DialTimeout: dialTimeout}),
 	}
@@ -90,7 +90,7 @@
 	})
 	e.forwarder = ferryforward.New(ferryforward.Config{
 		Clock: cfg.Clock, Steady: cfg.Steady, Holder: e.holder, Services: e.services, Dialect: cfg.Dialect, Client: e.client, Rerouter: cfg.Engines(e.client),
-		Log: cfg.Log, Scope: e.metrics.Scope, MaxAge: cfg.Promise.KeyAge, Started: e.started, OthersServe: func() bool { return e.anySighted(false) },
+		Log: cfg.Log, Scope: e.metrics.Scope, MaxAge: cfg.Promise.KeyAge, Started: e.started, OthersServe: func() bool { return e.anyConfigCurrent(false) },
 	})
 	e.ingress = ferryingress.NewServer(ferryingress.Config{
 		Clock: cfg.Clock, Log: cfg.Log, Handle: e.forwarder.Handle, Refused: e.forwarder.Refused, Limits: e.limits, MaxConns: cfg.MaxConns,
@@ -106,13 +106,13 @@
 	return e
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be sent to this entry.
 func (e *Edge) Ready() bool { return State(e.state.Load()) == StateReady }
 
-// Metrics is the page of counters and histograms.
+// Metrics returns the metrics of the edge.
 func (e *Edge) Metrics() *ferrymetrics.Metrics { return e.metrics }
 
-// setState moves the edge on; states only follow one another.
+// setState changes the state to a later one; earlier states are ignored.
 func (e *Edge) setState(s State) {
 	for {
 		old := State(e.state.Load())
@@ -123,37 +123,38 @@
 			break
 		}
 	}
-	e.cfg.Log.Info().Str("State", s.String()).Msg("state")
-	e.tellState()
+	e.cfg.Log.Info().Str("State", s.String()).Msg("entry state changed")
+	e.publishState()
 }
 
-// readyIf makes the edge ready once it knows the configuration and has read the list of upstreams.
-func (e *Edge) readyIf() {
+// setReadyIfListed makes the edge ready if the configuration and the list of upstreams are known.
+func (e *Edge) setReadyIfListed() {
 	if e.holder.Current() != nil && e.listed.Load() {
 		e.setState(StateReady)
 	}
-	e.startIf()
+	e.startIfProved()
 }
 
-// startIf lets the requests go that wait for the start: configuration and upstreams must be known, and keys known to be valid.
-func (e *Edge) startIf() {
+// startIfProved releases the requests that wait for the start, if the configuration and the upstreams are
+// known and keys are proved valid.
+func (e *Edge) startIfProved() {
 	s := e.holder.Current()
 	if s == nil || !e.listed.Load() {
 		return
 	}
 	if _, proved := e.holder.Age(e.cfg.Steady.Now()); proved || !s.Keyed() || e.cfg.Promise.KeyAge <= 0 {
-		e.start.Do(func() { close(e.started) })
+		e.startOnce.Do(func() { close(e.started) })
 	}
 }
 
-// onConfig brings a new configuration into force.
+// onConfig applies a new configuration.
 func (e *Edge) onConfig(s *ferryconfig.Snapshot) {
 	e.services.SetConfig(s)
 	e.placement.setConfig(s)
-	e.readyIf()
+	e.setReadyIfListed()
 }
 
-// limits are those of the configuration in force.
+// limits returns the limits of the configuration in force.
 func (e *Edge) limits() ferryingress.Limits {
 	s := e.holder.Current()
 	if s == nil {
@@ -163,12 +164,12 @@
 	return ferryingress.Limits{HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
 }
 
-// Run serves until a signal asks it to stop and everything open is finished.
+// Run serves until a signal requests a stop and all open work has ended.
 func (e *Edge) Run(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.cfg.Log.Info().Str("Entry", string(e.cfg.Name)).Str("Domain", string(e.cfg.Domain)).Str("Callers", e.cfg.Callers).
-		Str("Incarnation", string(e.self)).Msg("started")
+		Str("Incarnation", string(e.self)).Msg("entry started")
 	g, ctx := errgroup.WithContext(ctx)
 	if err := e.listen(ctx, g); err != nil {
 		return merry.Prepend(err, "listen")
@@ -194,9 +195,9 @@
 	return err
 }
 
-// readPlatform follows the configuration and the upstreams.
+// readPlatform keeps the configuration and the upstreams current.
 func (e *Edge) readPlatform(ctx context.Context) {
-	e.awaitCompany(ctx)
+	e.awaitPeers(ctx)
 	var wg sync.WaitGroup
 	for _, read := range []func(context.Context){e.followConfig, e.proveConfig, e.followUpstreams} {
 		wg.Go(func() { read(ctx) })
@@ -204,16 +205,16 @@
 	wg.Wait()
 }
 
-// sweep closes idle connections to upstreams now and then.
+// sweep closes idle connections to upstreams periodically.
 func (e *Edge) sweep(ctx context.Context) {
-	for e.pause(ctx, sweepEvery) {
+	for e.pause(ctx, sweepInterval) {
 		e.client.Sweep()
 	}
 }
 
-const sweepEvery = time.Second
+const sweepInterval = time.Second
 
-// pause waits and reports whether the context still lasts.
+// pause waits and reports whether the context is still valid.
 func (e *Edge) pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -230,8 +231,8 @@
 	}).Run(ctx)
 }
 
-// SetPromise takes the figures of changed settings; those of the listeners and of duties that run stay as they were at the start.
+// SetPromise applies changed objectives. Only KeyAge takes effect while the edge runs.
 func (e *Edge) SetPromise(p Promise) {
 	e.forwarder.SetMaxAge(p.KeyAge)
-	e.cfg.Log.Info().Dur("KeyAge", p.KeyAge).Msg("promise")
+	e.cfg.Log.Info().Dur("KeyAge", p.KeyAge).Msg("service objectives changed")
 }
--- a/ferryd/ferryedge/listen.go
+++ b/ferryd/ferryedge/listen.go
@@ -19,7 +19,7 @@
 	idleTimeout   = 30 * time.Second
 )
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts serving them.
 func (e *Edge) listen(ctx context.Context, g *errgroup.Group) error {
 	callers, err := net.Listen("tcp", e.cfg.Callers)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// serveHTTP serves until the context ends.
+// serveHTTP opens a listener and serves it until the context ends.
 func (e *Edge) serveHTTP(ctx context.Context, g *errgroup.Group, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/ferryd/ferryedge/overlay.go
+++ b/ferryd/ferryedge/overlay.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferryrelay"
 )
 
-// newOverlay makes this entry's part in the overlay.
+// newOverlay creates this entry's node of the overlay.
 func (e *Edge) newOverlay() {
 	e.peer = ferrypeer.New(ferrypeer.Config{
 		Self: ferrypeer.Member{
@@ -20,11 +20,11 @@
 	})
 	e.states.Notify(e.peer.Publish)
 	e.conditions.Notify(e.peer.Publish)
-	e.tellState()
+	e.publishState()
 }
 
-// tellState tells the other entries whether callers may be sent here.
-func (e *Edge) tellState() {
+// publishState publishes whether callers may be sent to this entry.
+func (e *Edge) publishState() {
 	s := ferrypeer.Draining
 	if e.Ready() {
 		s = ferrypeer.Ready
@@ -32,15 +32,15 @@
 	e.peer.SetState(s, ferrypeer.Load{})
 }
 
-// shareHops is within how many intervals all entries have heard what one has told: it is told after one, taken after another, and passes
-// over a few links between them.
+// shareHops is the number of share intervals within which all entries know what one has published: one to
+// publish, one to apply, and one for the links in between.
 const shareHops = 3
 
-// onMembers takes a new membership.
+// onMembers applies a new membership.
 func (e *Edge) onMembers(ms ferrypeer.Members) {
 	byDomain := map[ferryid.DomainName]int{}
 	for _, m := range ms.Live() {
 		byDomain[m.FailureDomain]++
 	}
-	e.services.SetEntries(byDomain, shareHops*shareEvery*time.Duration(crowd(len(ms.Live()))))
+	e.services.SetEntries(byDomain, shareHops*shareInterval*time.Duration(fleetFactorOf(len(ms.Live()))))
 }
--- a/ferryd/ferryedge/placement.go
+++ b/ferryd/ferryedge/placement.go
@@ -19,21 +19,23 @@
 )
 
 const (
-	// leaseTTL is how long the orders stop when their holder is lost; each third of it costs a call.
+	// leaseTTL is how long orders cease if their holder is lost. The lease costs a call every third of it.
 	leaseTTL    = 3 * time.Second
 	leaseMargin = 400 * time.Millisecond
-	// wantEvery is how often an entry looks at whether it should give orders.
-	wantEvery = 500 * time.Millisecond
-	// deadAfter is how long an engine must not have answered until its layers are placed elsewhere; the platform takes longer to notice.
-	deadAfter = time.Second
-	// aloneFor is how long a starting entry waits for others before it takes duties as the only one.
-	aloneFor = time.Second
+	// wantInterval is the interval at which an entry checks whether it should hold the lease.
+	wantInterval = 500 * time.Millisecond
+	// downBeforeReplace is how long an engine must have been down before its layers are placed elsewhere.
+	// The platform takes longer to notice.
+	downBeforeReplace = time.Second
+	// aloneWait is how long a starting entry waits for other entries before it acquires
+	// the lease as the only one.
+	aloneWait = time.Second
 )
 
-// dutyPlacement is the duty of the one entry that gives orders to all engines.
+// dutyPlacement is the duty of the entry that sends orders to all engines.
 const dutyPlacement ferryduty.Duty = "placement"
 
-// placement keeps a placer for each service whose engines hold layers, all under one lease.
+// placement runs a placer for each service whose engines hold layers, all under one lease.
 type placement struct {
 	*Edge
 	lease *ferrylease.Lease
@@ -44,20 +46,20 @@
 	placers map[ferryid.ServiceName]*ferryplacement.Placer
 	config  *ferryconfig.Snapshot
 	view    *ferrydiscovery.View
-	// dead are the engines that have not answered for a while.
-	dead map[string]bool
+	// down are the engines that have been down for downBeforeReplace.
+	down map[string]bool
 }
 
 func (e *Edge) newPlacement() *placement {
 	return &placement{
 		Edge: e, placers: map[ferryid.ServiceName]*ferryplacement.Placer{},
 		lease: ferrylease.New(ferrylease.Config{
-			Name: string(dutyPlacement), Self: e.self, Store: e.cfg.Store, Clock: e.cfg.Steady, TTL: leaseTTL, Margin: leaseMargin, Gone: e.gone,
+			Name: string(dutyPlacement), Self: e.self, Store: e.cfg.Store, Clock: e.cfg.Steady, TTL: leaseTTL, Margin: leaseMargin, Gone: e.ended,
 		}),
 	}
 }
 
-// run takes and keeps the lease while it is this entry's duty.
+// run holds the lease while that is this entry's duty.
 func (p *placement) run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -65,20 +67,21 @@
 	p.update()
 	go func() { _ = p.lease.Run(ctx) }()
 	began := p.cfg.Clock.Now()
-	for p.pause(ctx, wantEvery) {
-		p.setDead()
+	for p.pause(ctx, wantInterval) {
+		p.setDown()
 		alone := len(p.peer.Links()) == 0
-		p.lease.Want(p.Ready() && p.holds() && (!alone || p.cfg.Clock.Since(began) > aloneFor))
+		p.lease.Want(p.Ready() && p.shouldHold() && (!alone || p.cfg.Clock.Since(began) > aloneWait))
 		fence, _, err := p.lease.Check()
 		if now := err == nil; now != p.held.Swap(now) {
-			p.cfg.Log.Info().Bool("Held", now).Uint64("Fence", uint64(fence)).Msg("placement lease")
+			p.cfg.Log.Info().Bool("Held", now).Uint64("Fence", uint64(fence)).Msg("placement lease acquired or lost")
 		}
 	}
 }
 
-// holds reports whether this entry should give orders: the one that does goes on, else it is the first in the duty's order that
-// reaches the platform. Orders from one entry after another cost more than those of a single one.
-func (p *placement) holds() bool {
+// shouldHold reports whether this entry should hold the lease. The present holder keeps it; otherwise
+// it is the first entry in the duty's order that reaches the platform. Orders from changing entries
+// cost more than those of one.
+func (p *placement) shouldHold() bool {
 	ms := p.peer.Members()
 	if len(ms.List) <= 1 || p.held.Load() {
 		return true
@@ -96,8 +99,8 @@
 	return false
 }
 
-// gone reports whether the process of an incarnation has ended: a later one has its entry's name.
-func (e *Edge) gone(id ferryid.Incarnation) bool {
+// ended reports whether the process of an incarnation has ended, because a later one has its entry's name.
+func (e *Edge) ended(id ferryid.Incarnation) bool {
 	name := entryOf(id)
 	if name == e.cfg.Name {
 		return id != e.self
@@ -106,7 +109,7 @@
 	return ok && (m.Incarnation != id || m.Status == ferrypeer.Left)
 }
 
-// newIncarnation returns an incarnation that tells its entry's name.
+// newIncarnation returns an incarnation that contains its entry's name.
 func newIncarnation(name ferryid.EntryName) ferryid.Incarnation {
 	return ferryid.Incarnation(string(name) + "/" + string(ferryid.NewIncarnation()))
 }
@@ -131,29 +134,30 @@
 	p.update()
 }
 
-// setDead takes the engines that have not answered for a while out of the plan, and back in.
-func (p *placement) setDead() {
-	dead := map[string]bool{}
+// setDown excludes the engines that have been down for downBeforeReplace from the plan, and
+// includes them again later.
+func (p *placement) setDown() {
+	down := map[string]bool{}
 	for _, name := range p.services.Layered() {
 		if ch := p.services.Chooser(name); ch != nil {
-			maps.Copy(dead, ch.DownFor(deadAfter))
+			maps.Copy(down, ch.DownFor(downBeforeReplace))
 		}
 	}
 	p.mu.Lock()
-	moved := !maps.Equal(dead, p.dead)
-	p.dead = dead
+	moved := !maps.Equal(down, p.down)
+	p.down = down
 	p.mu.Unlock()
 	if moved {
 		p.update()
 	}
 }
 
-// living returns the engines of a service that are not known to be dead.
-func (p *placement) living(s ferryid.ServiceName) []*ferrydiscovery.Upstream {
-	return slices.DeleteFunc(slices.Clone(p.view.Of(s)), func(u *ferrydiscovery.Upstream) bool { return p.dead[u.Name] })
+// usableEngines returns the engines of a service without those in down.
+func (p *placement) usableEngines(s ferryid.ServiceName) []*ferrydiscovery.Upstream {
+	return slices.DeleteFunc(slices.Clone(p.view.Of(s)), func(u *ferrydiscovery.Upstream) bool { return p.down[u.Name] })
 }
 
-// update hands each placer its model and engines, and starts those that are new.
+// update passes each placer its model and engines, and starts new placers.
 func (p *placement) update() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,6 +177,6 @@
 			p.placers[s.Name] = pl
 			go pl.Run(p.ctx)
 		}
-		pl.Set(s.Model, p.living(s.Name))
+		pl.Set(s.Model, p.usableEngines(s.Name))
 	}
 }
--- a/ferryd/ferryedge/relay.go
+++ b/ferryd/ferryedge/relay.go
@@ -11,23 +11,24 @@
 	"cactusferry.dev/ferry/ferryrelay"
 )
 
-// dutyReader is the duty of the one entry of each failure domain that reads the platform's objects for the others.
+// dutyReader is the duty of the entry that reads the platform's objects for its failure domain.
 const dutyReader ferryduty.Duty = "reader"
 
 func (e *Edge) newRelay() {
 	e.relay = ferryrelay.New(ferryrelay.Config{
 		Platform: e.cfg.Store, Clock: e.cfg.Steady, Log: e.cfg.Log, Scope: e.metrics.Scope, Reader: e.reader,
-		// The overlay is made later, since its configuration holds the relay.
+		// The overlay is created later, since its configuration contains the relay.
 		Ask: func(ctx context.Context, name ferryid.EntryName, inc ferryid.Incarnation, kind ferrypeer.AskKind, body []byte) ([]byte, error) {
 			return e.peer.Ask(ctx, name, inc, kind, body)
 		},
 	})
 }
 
-// reader returns the entry to read the platform's objects from; false means that this entry is one that reads them by itself.
+// reader returns the entry to read the platform's objects from; false means that this
+// entry reads them directly.
 //
-// It is the first of the failure domain that serves and reaches the platform, else the first of all entries that does; where none does, the
-// first of the failure domain goes on trying for the others.
+// It is the first usable entry of the failure domain that reaches the platform, or else of all entries. If
+// there is none, the first of the failure domain keeps trying for the others.
 func (e *Edge) reader() (ferryrelay.Reader, bool) {
 	ms := e.peer.Members()
 	near := ferryduty.InDomain(ms, dutyReader, e.cfg.Domain)
@@ -49,14 +50,16 @@
 }
 
 const (
-	// companyWait is how long a starting entry waits for word of others before it reads the platform by itself; seeds answer within a few milliseconds.
-	companyWait  = 300 * time.Millisecond
-	companyCheck = 20 * time.Millisecond
+	// peerWait is how long a starting entry waits for other entries before it reads from the platform
+	// directly. Seeds answer within a few milliseconds.
+	peerWait          = 300 * time.Millisecond
+	peerCheckInterval = 20 * time.Millisecond
 )
 
-// awaitCompany waits until others are known, from which the platform's objects may be read, or a little while.
-func (e *Edge) awaitCompany(ctx context.Context) {
-	for waited := time.Duration(0); waited < companyWait && len(e.peer.Members().Live()) <= 1; waited += companyCheck {
-		e.pause(ctx, companyCheck)
+// awaitPeers waits until other entries are known, through which the platform's objects may
+// be read, or for peerWait.
+func (e *Edge) awaitPeers(ctx context.Context) {
+	for waited := time.Duration(0); waited < peerWait && len(e.peer.Members().Live()) <= 1; waited += peerCheckInterval {
+		e.pause(ctx, peerCheckInterval)
 	}
 }
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -12,35 +12,39 @@
 
 const (
 	topicStates ferrypeer.TopicName = "states"
-	// shareEvery is how often an entry looks whether it has something to tell, in a fleet of up to smallFleet entries; larger ones tell less often.
-	shareEvery = 100 * time.Millisecond
-	smallFleet = 16
-	// stateKept is how long what an entry told is believed; it tells again in half that time while there is anything to tell.
-	stateKept   = 4 * time.Second
+	// scaledShareInterval is the interval at which an entry checks for news to publish, in a fleet of up to
+	// smallFleet entries. It grows with the fleet.
+	shareInterval = 100 * time.Millisecond
+	smallFleet    = 16
+	// stateTTL is how long a published state is valid. A state that is not quiet is
+	// published again after half of it.
+	stateTTL    = 4 * time.Second
 	maxServices = 64
 	maxEntries  = 1024
 )
 
-// entryState is what one entry tells the others of itself.
+// entryState is the state of an entry as published to the others.
 type entryState struct {
-	// Spent is what it has sent again of each service in the last window.
+	// Spent is the use of the retry budget by service in the last window.
 	Spent map[ferryid.ServiceName]ferrybudget.Spent `cbor:"1,keyasint"`
-	// Blind says that it cannot prove the configuration current, and so should get no callers where others can.
-	Blind bool `cbor:"2,keyasint,omitempty"`
-	// Orders says that it holds the lease for the orders to engines.
+	// ConfigStale is set if the entry cannot prove its configuration current. Callers should be
+	// sent to others if possible.
+	ConfigStale bool `cbor:"2,keyasint,omitempty"`
+	// Orders is set if the entry holds the placement lease.
 	Orders bool `cbor:"3,keyasint,omitempty"`
-	// Unreached says that its own calls to the platform fail, and so that it should hold no duty that needs them.
-	Unreached bool `cbor:"4,keyasint,omitempty"`
+	// PlatformLost is set if the entry's direct calls to the platform fail. It should
+	// hold no duty that needs them.
+	PlatformLost bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Check returns an error for numbers that no entry can have.
+// Check returns an error if a number is out of range.
 func (s entryState) Check() error {
 	if len(s.Spent) > maxServices {
-		return fmt.Errorf("spent on %d services", len(s.Spent))
+		return fmt.Errorf("spent on %d services, at most 64 allowed", len(s.Spent))
 	}
 	for name, v := range s.Spent {
 		if v.Requests < 0 || v.Repeats < 0 {
-			return fmt.Errorf("spent %d of %d on %q", v.Repeats, v.Requests, name)
+			return fmt.Errorf("negative retry counts: spent %d of %d on %q", v.Repeats, v.Requests, name)
 		}
 	}
 	return nil
@@ -52,73 +56,76 @@
 	})
 }
 
-// shareState tells the other entries what this one sends again and whether it reaches the platform, and takes what they tell.
+// shareState publishes this entry's state when it changes, and applies the use of the
+// retry budget by the others.
 func (e *Edge) shareState(ctx context.Context) {
-	told := entryState{}
-	toldAt := e.cfg.Clock.Now()
-	for e.pause(ctx, e.shareInterval()) {
+	published := entryState{}
+	publishedAt := e.cfg.Clock.Now()
+	for e.pause(ctx, e.scaledShareInterval()) {
 		e.services.SetSpent(e.othersSpent())
-		now := entryState{Spent: e.services.Spent(), Blind: e.blind.Load(), Orders: e.placement.held.Load(), Unreached: !e.relay.Reached()}
-		if !told.differs(now) && (now.quiet() || e.cfg.Clock.Since(toldAt) < stateKept/2) {
+		now := entryState{Spent: e.services.Spent(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.Reached()}
+		if !published.differs(now) && (now.quiet() || e.cfg.Clock.Since(publishedAt) < stateTTL/2) {
 			continue
 		}
-		told, toldAt = now, e.cfg.Clock.Now()
-		e.states.Set(string(e.cfg.Name), now, stateKept)
+		published, publishedAt = now, e.cfg.Clock.Now()
+		e.states.Set(string(e.cfg.Name), now, stateTTL)
 	}
 }
 
-// shareInterval grows with the fleet, so that what one entry hears does not.
-func (e *Edge) shareInterval() time.Duration {
-	return shareEvery * time.Duration(e.crowd())
+// scaledShareInterval returns the share interval for the size of the fleet, so that the
+// received volume stays constant.
+func (e *Edge) scaledShareInterval() time.Duration {
+	return shareInterval * time.Duration(e.fleetFactor())
 }
 
-// crowd is how many times as large as a small fleet this one is, and at least one.
-func (e *Edge) crowd() int { return crowd(len(e.peer.Members().Live())) }
+// fleetFactor returns how many times as large as smallFleet the fleet is, at least 1.
+func (e *Edge) fleetFactor() int { return fleetFactorOf(len(e.peer.Members().Live())) }
 
-func crowd(entries int) int { return max(1, entries/smallFleet) }
+func fleetFactorOf(entries int) int { return max(1, entries/smallFleet) }
 
 func (e *Edge) othersSpent() map[ferryid.ServiceName][]ferrybudget.Spent {
-	told := map[ferryid.ServiceName][]ferrybudget.Spent{}
+	out := map[ferryid.ServiceName][]ferrybudget.Spent{}
 	for _, entry := range e.states.All() {
 		if entry.Origin == e.cfg.Name {
 			continue
 		}
 		for name, v := range entry.Value.Spent {
-			told[name] = append(told[name], v)
+			out[name] = append(out[name], v)
 		}
 	}
-	return told
+	return out
 }
 
-// isBlind reports whether an entry cannot prove the configuration current, as far as this one has heard.
-func (e *Edge) isBlind(name ferryid.EntryName) bool {
+// isConfigStale reports whether an entry has published that it cannot prove its configuration current.
+func (e *Edge) isConfigStale(name ferryid.EntryName) bool {
 	if name == e.cfg.Name {
-		return e.blind.Load()
+		return e.configStale.Load()
 	}
 	entry, ok := e.states.Get(string(name))
-	return ok && entry.Value.Blind
+	return ok && entry.Value.ConfigStale
 }
 
-// reaches reports whether an entry's own calls to the platform are answered, as far as this one has heard.
+// reaches reports whether an entry's direct calls to the platform succeed, as far as known.
 func (e *Edge) reaches(name ferryid.EntryName) bool {
 	if name == e.cfg.Name {
 		return e.relay.Reached()
 	}
 	entry, ok := e.states.Get(string(name))
-	return !ok || !entry.Value.Unreached
+	return !ok || !entry.Value.PlatformLost
 }
 
-// differs reports whether the others should know of the newer state at once; that less was spent they may hear later.
+// differs reports whether the newer state must be published at once. A lower use of
+// the retry budget can wait.
 func (s entryState) differs(newer entryState) bool {
 	for name, v := range newer.Spent {
 		if v.Repeats > s.Spent[name].Repeats {
 			return true
 		}
 	}
-	return s.Blind != newer.Blind || s.Orders != newer.Orders || s.Unreached != newer.Unreached
+	return s.ConfigStale != newer.ConfigStale || s.Orders != newer.Orders || s.PlatformLost != newer.PlatformLost
 }
 
-// quiet reports whether there is nothing that the others must go on knowing.
+// quiet reports whether the state need not be published again before it expires.
 func (s entryState) quiet() bool {
-	return len(s.Spent) == 0 && !s.Blind && !s.Orders && !s.Unreached
+	return len(s.Spent) == 0 && !s.ConfigStale && !s.Orders && !s.PlatformLost
 }
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -18,24 +18,25 @@
 	return map[ferryid.ServiceName]ferrybudget.Spent{"s": {Requests: 10, Repeats: repeats}}
 }
 
-// TestWhatIsTold tells the others at once of whatever they could do wrong for not knowing it, and of nothing else.
-func TestWhatIsTold(t *testing.T) {
+// TestStatePublication checks that exactly the changes are published at once that others
+// would act wrongly without.
+func TestStatePublication(t *testing.T) {
 	for _, tt := range []struct {
-		name        string
-		told, newer entryState
-		differs     bool
-		quiet       bool
+		name         string
+		older, newer entryState
+		differs      bool
+		quiet        bool
 	}{
-		{"nothing", entryState{}, entryState{}, false, true},
-		{"more was sent again", entryState{Spent: spent(1)}, entryState{Spent: spent(2)}, true, false},
-		{"less was sent again", entryState{Spent: spent(2)}, entryState{Spent: spent(1)}, false, false},
-		{"it went blind", entryState{}, entryState{Blind: true}, true, false},
-		{"it sees again", entryState{Blind: true}, entryState{}, true, true},
-		{"it gives the orders", entryState{}, entryState{Orders: true}, true, false},
-		{"it lost the platform", entryState{}, entryState{Unreached: true}, true, false},
+		{"no change", entryState{}, entryState{}, false, true},
+		{"more retries", entryState{Spent: spent(1)}, entryState{Spent: spent(2)}, true, false},
+		{"fewer retries", entryState{Spent: spent(2)}, entryState{Spent: spent(1)}, false, false},
+		{"configuration no longer proved current", entryState{}, entryState{ConfigStale: true}, true, false},
+		{"configuration proved current again", entryState{ConfigStale: true}, entryState{}, true, true},
+		{"acquired the placement lease", entryState{}, entryState{Orders: true}, true, false},
+		{"lost the platform", entryState{}, entryState{PlatformLost: true}, true, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.told.differs(tt.newer), tt.differs)
+			assert.Equal(t, tt.older.differs(tt.newer), tt.differs)
 			assert.Equal(t, tt.newer.quiet(), tt.quiet)
 			b, err := cbor.Marshal(tt.newer)
 			assert.NilError(t, err)
@@ -46,7 +47,7 @@
 	}
 }
 
-func TestStatesAreChecked(t *testing.T) {
+func TestInvalidStatesAreRejected(t *testing.T) {
 	many := map[ferryid.ServiceName]ferrybudget.Spent{}
 	for i := range maxServices + 1 {
 		many[ferryid.ServiceName(rune('a'+i))] = ferrybudget.Spent{}
@@ -56,7 +57,7 @@
 	assert.ErrorContains(t, entryState{Spent: many}.Check(), "spent on 65 services")
 	assert.NilError(t, conditions{List: []engineCondition{{Pace: 64, Used: 10, Room: 20}}}.Check())
 	assert.ErrorContains(t, conditions{List: []engineCondition{{Pace: maxPace + 1}}}.Check(), "condition of engine")
-	assert.ErrorContains(t, conditions{List: make([]engineCondition, maxPerItem+1)}.Check(), "conditions of 41 engines")
+	assert.ErrorContains(t, conditions{List: make([]engineCondition, maxEnginesPerItem+1)}.Check(), "conditions of 41 engines")
 }
 
 func TestUnits(t *testing.T) {
@@ -68,13 +69,14 @@
 	} {
 		assert.Equal(t, units(tt.v, tt.unit, 100), tt.want, "%v", tt)
 	}
-	told := engineCondition{Pace: 96, Running: 3, Used: 10, Room: 20}.told()
-	assert.Equal(t, told.Pace, 1.5)
-	assert.Equal(t, told.Used, int64(640))
-	assert.Equal(t, told.Room, int64(1280))
+	cond := engineCondition{Pace: 96, Running: 3, Used: 10, Room: 20}.chooserCondition()
+	assert.Equal(t, cond.Pace, 1.5)
+	assert.Equal(t, cond.Used, int64(640))
+	assert.Equal(t, cond.Room, int64(1280))
 }
 
-// TestSilentEngines believes that engines are silent only while most are not: else the reader itself is cut off.
+// TestSilentEngines checks that silent engines are dropped if most are silent, since
+// the reader may be cut off.
 func TestSilentEngines(t *testing.T) {
 	list := func(silent, heard int) []engineCondition {
 		var out []engineCondition
@@ -83,21 +85,21 @@
 		}
 		return append(out, make([]engineCondition, heard)...)
 	}
-	assert.Equal(t, len(believable(list(1, 5))), 6)
-	assert.Equal(t, len(believable(list(3, 3))), 6)
-	assert.Equal(t, len(believable(list(4, 2))), 2)
+	assert.Equal(t, len(plausible(list(1, 5))), 6)
+	assert.Equal(t, len(plausible(list(3, 3))), 6)
+	assert.Equal(t, len(plausible(list(4, 2))), 2)
 }
 
-func TestNamesAndPaces(t *testing.T) {
+func TestMarksIncarnationsAndIntervals(t *testing.T) {
 	a := &ferrydiscovery.Upstream{Instance: ferryplatform.Instance{Name: "i-1", Service: "s"}}
 	b := &ferrydiscovery.Upstream{Instance: ferryplatform.Instance{Name: "i-1", Service: "other"}}
 	assert.Assert(t, markOf(a) != markOf(b))
 	id := newIncarnation("entry-1")
 	assert.Equal(t, entryOf(id), ferryid.EntryName("entry-1"))
 	assert.Assert(t, id != newIncarnation("entry-1"))
-	assert.Equal(t, pace(0), watchPace)
-	assert.Equal(t, pace(400*time.Millisecond), 100*time.Millisecond)
-	assert.Equal(t, pace(time.Minute), watchPace)
-	assert.Equal(t, crowd(3), 1)
-	assert.Equal(t, crowd(84), 5)
+	assert.Equal(t, pauseFor(0), watchPause)
+	assert.Equal(t, pauseFor(400*time.Millisecond), 100*time.Millisecond)
+	assert.Equal(t, pauseFor(time.Minute), watchPause)
+	assert.Equal(t, fleetFactorOf(3), 1)
+	assert.Equal(t, fleetFactorOf(84), 5)
 }
--- a/ferryd/ferryedge/steer.go
+++ b/ferryd/ferryedge/steer.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// leastTargets is how many entries a caller is told of where there are so many, so that the loss of one leaves it another.
-	leastTargets = 2
-	// answerLifetime is how long callers keep an answer: a lost entry is out of use so much later.
+	// minTargets is the number of entries that an answer names if possible, so that
+	// callers have an alternative.
+	minTargets = 2
+	// answerLifetime is how long callers keep an answer. A lost entry stays in use at most that long.
 	answerLifetime = 2 * time.Second
-	// maxTargets is the most entries that one answer names.
+	// maxTargets is the maximum number of entries in an answer.
 	maxTargets = 64
 )
 
-// Entries says which entries a caller in a failure domain should use: those of its own, others only where these are too few.
+// Entries returns the entries for callers in a failure domain: those of the domain, and
+// others if these are too few.
 func (e *Edge) Entries(domain ferryid.DomainName) ferrysteer.Answer {
 	a := ferrysteer.Answer{Lifetime: answerLifetime}
 	if most := e.cfg.Promise.AnswerLifetime; most > 0 {
 		a.Lifetime = min(a.Lifetime, most)
 	}
 	var near, far []ferrysteer.Target
-	sighted := e.anySighted(true)
+	anyCurrent := e.anyConfigCurrent(true)
 	for _, m := range e.peer.Members().List {
-		if !e.usable(m) || (sighted && e.isBlind(m.Name)) {
+		if !e.usable(m) || (anyCurrent && e.isConfigStale(m.Name)) {
 			continue
 		}
 		t := ferrysteer.Target{Name: m.Name, Address: m.CallerAddress, FailureDomain: m.FailureDomain}
@@ -37,14 +39,14 @@
 		}
 	}
 	a.Targets = near
-	if len(near) < leastTargets {
+	if len(near) < minTargets {
 		a.Targets = append(near, far...)
 	}
 	a.Targets = a.Targets[:min(len(a.Targets), maxTargets)]
 	return a
 }
 
-// usable reports whether callers may be sent to a member; this entry knows its own state best.
+// usable reports whether callers may be sent to a member. This entry's own state is taken directly.
 func (e *Edge) usable(m ferrypeer.MemberInfo) bool {
 	if m.Name == e.cfg.Name {
 		return e.Ready()
@@ -52,10 +54,11 @@
 	return m.Usable()
 }
 
-// anySighted reports whether some usable entry reaches the platform; the others would have to refuse requests with keys.
-func (e *Edge) anySighted(selfToo bool) bool {
+// anyConfigCurrent reports whether some usable entry has a current configuration. Entries without one must
+// refuse requests with keys.
+func (e *Edge) anyConfigCurrent(selfToo bool) bool {
 	for _, m := range e.peer.Members().List {
-		if e.usable(m) && !e.isBlind(m.Name) && (selfToo || m.Name != e.cfg.Name) {
+		if e.usable(m) && !e.isConfigStale(m.Name) && (selfToo || m.Name != e.cfg.Name) {
 			return true
 		}
 	}
--- a/ferryd/ferryedge/stop.go
+++ b/ferryd/ferryedge/stop.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// lingerShare is the part of the grace in which callers with an older answer are still served; what comes last has the rest to end.
+	// lingerShare is the part of the grace during which callers with an older answer are still served. The
+	// rest is left for the last of them to finish.
 	lingerShare = 0.35
-	// exitMargin is kept free of the grace for the exit itself.
+	// exitMargin is reserved for the exit within the grace.
 	exitMargin = 300 * time.Millisecond
-	// leaveTimeout is how long the peers may take to hear that this entry goes; links take a few milliseconds.
+	// leaveTimeout bounds the notification of the peers. Links take a few milliseconds.
 	leaveTimeout = 500 * time.Millisecond
 )
 
-// stop waits for a signal and then takes the entry out of use without cutting anything off.
+// stop waits for a signal and then stops the entry without aborting open work.
 //
-// First it is not ready any more, so that no callers are sent here; those that still come are served for a while;
-// then idle connections are closed, and the process ends with the last answer.
+// First the entry is no longer ready, so that no callers are sent here. Callers that still arrive are served
+// for a while. Then idle connections are closed, and the process ends with the last answer.
 func (e *Edge) stop(ctx context.Context, signals <-chan os.Signal) {
 	select {
 	case <-ctx.Done():
 		return
 	case sig := <-signals:
-		e.cfg.Log.Info().Str("Signal", sig.String()).Msg("planned stop")
+		e.cfg.Log.Info().Str("Signal", sig.String()).Msg("planned stop requested by signal")
 	}
 	began := e.cfg.Clock.Now()
 	e.setState(StateStopping)
@@ -37,10 +38,10 @@
 	defer cancel()
 	err := e.ingress.Wait(waiting)
 	conns, calls := e.ingress.Open()
-	e.cfg.Log.Info().Dur("Took", e.cfg.Clock.Since(began)).Int64("OpenConnections", conns).Int64("OpenCalls", calls).AnErr("Left", err).Msg("stopped")
+	e.cfg.Log.Info().Dur("Took", e.cfg.Clock.Since(began)).Int64("OpenConnections", conns).Int64("OpenCalls", calls).AnErr("Left", err).Msg("planned stop finished")
 	leaving, cancel := context.WithTimeout(waiting, leaveTimeout)
 	defer cancel()
 	if err := e.peer.Leave(leaving); err != nil {
-		e.cfg.Log.Info().Err(err).Msg("peers not told")
+		e.cfg.Log.Info().Err(err).Msg("could not notify all peers of the departure")
 	}
 }
--- a/ferryd/ferryedge/upstream.go
+++ b/ferryd/ferryedge/upstream.go
@@ -8,13 +8,15 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// upstreamWait is how long one watch of the upstreams lasts without a change; a silent connection is noticed a little later.
+// upstreamWait is the duration of one watch of the upstreams. A hanging connection
+// is detected a little later.
 const upstreamWait = 3 * time.Second
 
-// expireEvery is how often upstreams that lapsed are looked at; their grace is a multiple of it.
-const expireEvery = 500 * time.Millisecond
+// expireInterval is the interval at which expired upstreams are removed. Their grace
+// period is a multiple of it.
+const expireInterval = 500 * time.Millisecond
 
-// upstreamWatcher takes the upstreams' entries from the platform.
+// upstreamWatcher applies the upstreams' entries from the platform.
 type upstreamWatcher struct{ *Edge }
 
 func (w upstreamWatcher) Listed(c ferryplatform.Changes) {
@@ -26,7 +28,7 @@
 	}
 	w.upstreams.Replace(list, c.Version)
 	w.listed.Store(true)
-	w.readyIf()
+	w.setReadyIfListed()
 }
 
 func (w upstreamWatcher) Changed(c ferryplatform.Changes) {
@@ -37,7 +39,7 @@
 			continue
 		}
 		if o.Deleted && u.Version < c.Version {
-			// The version of a removal may be that of the last write before it.
+			// The platform may give a removal the version of the last write before it.
 			u.Version = max(u.Version, w.versionOf(u.Name))
 		}
 		changes = append(changes, ferrydiscovery.Change{Upstream: u, Removed: o.Deleted})
@@ -58,7 +60,7 @@
 func (w upstreamWatcher) decode(o ferryplatform.Object) (ferrydiscovery.Upstream, bool) {
 	u, err := w.cfg.Objects.Upstream(o)
 	if err != nil {
-		w.cfg.Log.Warn().Err(err).Uint64("Revision", uint64(o.Version)).Msg("upstream entry not taken")
+		w.cfg.Log.Warn().Err(err).Uint64("Revision", uint64(o.Version)).Msg("could not decode the upstream's entry; ignored")
 		return u, false
 	}
 	return u, true
@@ -70,15 +72,15 @@
 		return
 	}
 	w.cfg.Log.Info().Str("Upstream", u.Name).Str("Service", string(u.Service)).Str("Domain", string(u.FailureDomain)).Str("Accelerator", u.Accelerator).Str("State", string(u.State)).
-		Stringer("Layers", u.Layers).Uint64("Revision", uint64(u.Version)).Msg("upstream")
+		Stringer("Layers", u.Layers).Uint64("Revision", uint64(u.Version)).Msg("upstream changed")
 }
 
 func (e *Edge) followUpstreams(ctx context.Context) {
-	e.follow(ctx, e.cfg.Objects.UpstreamKind, upstreamWait, pace(e.cfg.Promise.LeaveWithin), upstreamWatcher{e})
+	e.follow(ctx, e.cfg.Objects.UpstreamKind, upstreamWait, pauseFor(e.cfg.Promise.LeaveWithin), upstreamWatcher{e})
 }
 
 func (e *Edge) expireUpstreams(ctx context.Context) {
-	for e.pause(ctx, expireEvery) {
+	for e.pause(ctx, expireInterval) {
 		e.upstreams.Expire()
 	}
 }
