--- a/ferryd/ferrysettings/doc.go
+++ b/ferryd/ferrysettings/doc.go
@@ -1,2 +1,3 @@
-// Package ferrysettings holds the settings of one ferryd process, read from a TOML file and overridden by environment and flags.
+// Package ferrysettings defines the settings of a ferryd process: a TOML file, overridden
+// by environment and flags.
 package ferrysettings
--- a/ferryd/ferrysettings/listener.go
+++ b/ferryd/ferrysettings/listener.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// The defaults and bounds of the listeners.
+// Defaults and limits of the listeners.
 const (
 	defaultHeaderBytes   = 16 << 10
 	maxHeaderBytes       = 256 << 10
@@ -16,14 +16,15 @@
 	maxTimeout           = 10 * time.Minute
 )
 
-// TLS names the files of a key pair and, where the other side must show one too, of the authority that signs it.
+// TLS contains the files of a key pair and, if clients must present a certificate, of the
+// authorities that sign it.
 type TLS struct {
 	Certificate string `toml:"Certificate" long:"certificate" env:"CERTIFICATE" description:"PEM file of the certificate chain"`
 	Key         string `toml:"Key" long:"key" env:"KEY" description:"PEM file of the private key"`
-	ClientCA    string `toml:"ClientCA" long:"client-ca" env:"CLIENT_CA" description:"PEM file of the authorities that sign the other side's certificates"`
+	ClientCA    string `toml:"ClientCA" long:"client-ca" env:"CLIENT_CA" description:"PEM file of the authorities that sign the clients' and peers' certificates"`
 }
 
-// Enabled reports whether a key pair is set.
+// Enabled reports whether a certificate or key is set.
 func (t TLS) Enabled() bool {
 	return t.Certificate != "" || t.Key != ""
 }
@@ -37,14 +38,14 @@
 	}
 }
 
-// Callers are the settings of the listener that callers connect to.
+// Callers contains the settings of the callers' listener.
 type Callers struct {
 	Listen        string   `toml:"Listen" long:"listen" env:"LISTEN" description:"IP address and port to listen on"`
-	Advertise     string   `toml:"Advertise" long:"advertise" env:"ADVERTISE" description:"IP address and port that callers are told, default Listen"`
-	HeaderBytes   int      `toml:"HeaderBytes" long:"header-bytes" env:"HEADER_BYTES" description:"bytes of header at most, default 16384"`
-	HeaderTimeout Duration `toml:"HeaderTimeout" long:"header-timeout" env:"HEADER_TIMEOUT" description:"time for a whole header, default 5s"`
-	BodyTimeout   Duration `toml:"BodyTimeout" long:"body-timeout" env:"BODY_TIMEOUT" description:"time for a whole body, default 10s"`
-	WriteTimeout  Duration `toml:"WriteTimeout" long:"write-timeout" env:"WRITE_TIMEOUT" description:"time for a caller to take one piece of an answer, default 20s"`
+	Advertise     string   `toml:"Advertise" long:"advertise" env:"ADVERTISE" description:"IP address and port advertised to callers, default Listen"`
+	HeaderBytes   int      `toml:"HeaderBytes" long:"header-bytes" env:"HEADER_BYTES" description:"maximum bytes of a request header, default 16384"`
+	HeaderTimeout Duration `toml:"HeaderTimeout" long:"header-timeout" env:"HEADER_TIMEOUT" description:"maximum time to receive a header, default 5s"`
+	BodyTimeout   Duration `toml:"BodyTimeout" long:"body-timeout" env:"BODY_TIMEOUT" description:"maximum time to receive a body, default 10s"`
+	WriteTimeout  Duration `toml:"WriteTimeout" long:"write-timeout" env:"WRITE_TIMEOUT" description:"maximum time to write one part of an answer, default 20s"`
 	TLS           TLS      `toml:"TLS" group:"Callers' TLS" namespace:"tls" env-namespace:"TLS"`
 }
 
@@ -80,11 +81,11 @@
 	s.TLS.check(c, "Callers.TLS")
 }
 
-// Peers are the settings of the listener that peers and operators connect to.
+// Peers contains the settings of the listener for peers and operators.
 type Peers struct {
 	Listen    string   `toml:"Listen" long:"listen" env:"LISTEN" description:"IP address and port to listen on"`
-	Advertise string   `toml:"Advertise" long:"advertise" env:"ADVERTISE" description:"IP address and port that peers are told, default Listen"`
-	Seeds     []string `toml:"Seeds" long:"seed" env:"SEEDS" env-delim:"," description:"peers' addresses to try when the instance list can't be had"`
+	Advertise string   `toml:"Advertise" long:"advertise" env:"ADVERTISE" description:"IP address and port advertised to peers, default Listen"`
+	Seeds     []string `toml:"Seeds" long:"seed" env:"SEEDS" env-delim:"," description:"peers' addresses to try if the instance list is unavailable"`
 	TLS       TLS      `toml:"TLS" group:"Peers' TLS" namespace:"tls" env-namespace:"TLS"`
 }
 
--- a/ferryd/ferrysettings/section.go
+++ b/ferryd/ferrysettings/section.go
@@ -10,7 +10,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// The defaults and bounds of the smaller sections.
+// Defaults and limits of the other sections.
 const (
 	defaultPlatformTimeout = 2 * time.Second
 	defaultCallsPerSecond  = 400
@@ -22,11 +22,11 @@
 	maxStopLimit           = 24 * time.Hour
 )
 
-// Platform are the settings for the object API and the instance list.
+// Platform contains the settings of the object API and the instance list.
 type Platform struct {
 	URL            string   `toml:"URL" long:"url" env:"URL" description:"address of the object API, such as http://10.0.0.1:9000"`
-	Timeout        Duration `toml:"Timeout" long:"timeout" env:"TIMEOUT" description:"time for one call, default 2s"`
-	CallsPerSecond float64  `toml:"CallsPerSecond" long:"calls-per-second" env:"CALLS_PER_SECOND" description:"calls a second that all entries together may make to the platform, default 400"`
+	Timeout        Duration `toml:"Timeout" long:"timeout" env:"TIMEOUT" description:"timeout of one call, default 2s"`
+	CallsPerSecond float64  `toml:"CallsPerSecond" long:"calls-per-second" env:"CALLS_PER_SECOND" description:"maximum calls per second to the platform by all entries together, default 400"`
 }
 
 func (s *Platform) setDefaults() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Keys are the secrets that all entries share; they never appear in logs, errors or the time line.
+// Keys contains the secrets shared by all entries. They never appear in logs, errors or the time line.
 type Keys struct {
 	Seal          []string `toml:"Seal" long:"seal" env:"SEAL" env-delim:"," description:"keys for resume tokens and tickets, 64 hexadecimal digits each, the current one first"`
 	OperatorToken string   `toml:"OperatorToken" long:"operator-token" env:"OPERATOR_TOKEN" description:"token that operators send as Authorization: Bearer"`
@@ -69,7 +69,7 @@
 	}
 }
 
-// SealKeys returns the decoded keys, the current one first; call it on checked settings only.
+// SealKeys returns the decoded keys, the current one first. The settings must have been checked.
 func (s Keys) SealKeys() [][]byte {
 	keys := make([][]byte, 0, len(s.Seal))
 	for _, k := range s.Seal {
@@ -81,10 +81,10 @@
 	return keys
 }
 
-// Log are the settings of the structured log.
+// Log contains the settings of the structured log.
 type Log struct {
 	Level string `toml:"Level" long:"level" env:"LEVEL" description:"debug, info, warn or error, default info; changeable while running"`
-	Text  bool   `toml:"Text" long:"text" env:"TEXT" description:"write lines for people in place of JSON"`
+	Text  bool   `toml:"Text" long:"text" env:"TEXT" description:"write human-readable lines instead of JSON"`
 }
 
 func (s *Log) setDefaults() {
@@ -99,10 +99,10 @@
 	}
 }
 
-// Stop are the settings of a planned stop.
+// Stop contains the settings of planned stops.
 type Stop struct {
-	Grace Duration `toml:"Grace" long:"grace" env:"GRACE" description:"time in which callers with an older answer are still served, default 30s, the longest that an answer is kept"`
-	Limit Duration `toml:"Limit" long:"limit" env:"LIMIT" description:"time after which open calls are cut off, default 0s: never"`
+	Grace Duration `toml:"Grace" long:"grace" env:"GRACE" description:"time for which callers with an older steering answer are still served, default 30s, the longest that an answer is kept"`
+	Limit Duration `toml:"Limit" long:"limit" env:"LIMIT" description:"time after which open calls are aborted, default 0s: never"`
 }
 
 func (s *Stop) setDefaults() {
--- a/ferryd/ferrysettings/settings.go
+++ b/ferryd/ferrysettings/settings.go
@@ -8,30 +8,30 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// Duration is a time.Duration that TOML files, flags and the environment write as "1m30s".
+// Duration is a time.Duration written as "1m30s" in TOML files, flags and the environment.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as "1m30s".
+// UnmarshalText parses a duration such as "1m30s".
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// UnmarshalFlag reads a duration such as "1m30s".
+// UnmarshalFlag parses a duration such as "1m30s".
 func (d *Duration) UnmarshalFlag(s string) error {
 	return d.UnmarshalText([]byte(s))
 }
 
-// MarshalText writes the duration as text.
+// MarshalText formats the duration as text.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Settings are all settings of one ferryd.
+// Settings contains all settings of a ferryd process.
 type Settings struct {
 	Name          ferryid.EntryName  `toml:"Name" long:"name" env:"NAME" description:"name of this entry"`
-	FailureDomain ferryid.DomainName `toml:"FailureDomain" long:"failure-domain" env:"FAILURE_DOMAIN" description:"failure domain this entry stands in"`
+	FailureDomain ferryid.DomainName `toml:"FailureDomain" long:"failure-domain" env:"FAILURE_DOMAIN" description:"failure domain of this entry"`
 	Callers       Callers            `toml:"Callers" group:"Callers' listener" namespace:"callers" env-namespace:"CALLERS"`
 	Peers         Peers              `toml:"Peers" group:"Peers' and operators' listener" namespace:"peers" env-namespace:"PEERS"`
 	Platform      Platform           `toml:"Platform" group:"Platform" namespace:"platform" env-namespace:"PLATFORM"`
@@ -40,14 +40,14 @@
 	Stop          Stop               `toml:"Stop" group:"Stop" namespace:"stop" env-namespace:"STOP"`
 }
 
-// Decode reads settings from TOML, without checking them, and returns a *ferrytoml.FaultsError.
+// Decode reads settings from TOML without checking them. Errors are of type *ferrytoml.FaultsError.
 func Decode(name string, data []byte) (Settings, error) {
 	var s Settings
 	err := ferrytoml.Read(name, data, &s)
 	return s, err
 }
 
-// SetDefaults fills in what was not set.
+// SetDefaults sets the defaults of settings that are not set.
 func (s *Settings) SetDefaults() {
 	s.Callers.setDefaults()
 	s.Peers.setDefaults()
@@ -56,7 +56,7 @@
 	s.Stop.setDefaults()
 }
 
-// Check records every fault of the settings.
+// Check records all faults of the settings.
 func (s *Settings) Check(c *ferrytoml.Check) {
 	checkName(c, "Name", string(s.Name))
 	checkName(c, "FailureDomain", string(s.FailureDomain))
@@ -68,7 +68,8 @@
 	s.Stop.check(c)
 }
 
-// Validate checks complete settings against the text they came from and returns a *ferrytoml.FaultsError.
+// Validate checks complete settings against the text that they were read from; errors are of
+// type *ferrytoml.FaultsError.
 func (s *Settings) Validate(name string, data []byte) error {
 	return ferrytoml.Validate(name, data, s)
 }
--- a/ferryd/ferrysettings/settings_test.go
+++ b/ferryd/ferrysettings/settings_test.go
@@ -39,7 +39,7 @@
 	assert.Equal(t, len(s.Keys.SealKeys()[0]), 32)
 }
 
-func TestEveryFaultAtOnce(t *testing.T) {
+func TestValidateReportsAllFaults(t *testing.T) {
 	const bad = `Name = "Entry 1"
 FailureDomain = ""
 
@@ -73,7 +73,7 @@
 	golden.Assert(t, err.Error()+"\n", "faults.golden")
 }
 
-func TestFaultsAfterDecoding(t *testing.T) {
+func TestValidateWithoutText(t *testing.T) {
 	s, err := Decode("entry.toml", []byte("Name = \"Entry 1\"\n[Callers]\nListen = \"x\"\n[Keys]\nSeal = [\"zz\"]\n"))
 	assert.NilError(t, err)
 	s.SetDefaults()
