--- a/ferryd/ferrykeys/doc.go
+++ b/ferryd/ferrykeys/doc.go
@@ -1,2 +1,2 @@
-// Package ferrykeys loads TLS key pairs and takes up renewed files without a restart.
+// Package ferrykeys loads TLS key pairs and reloads renewed files without a restart.
 package ferrykeys
--- a/ferryd/ferrykeys/pair.go
+++ b/ferryd/ferrykeys/pair.go
@@ -14,31 +14,31 @@
 	"cactusferry.dev/ferryd/ferrysettings"
 )
 
-// checkInterval is how often the files are looked at for a change.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = 10 * time.Second
 
-// Pair is a key pair, and the authorities of the other side, read from files.
+// Pair is a key pair read from files, with the authorities that sign the other side's certificates.
 type Pair struct {
-	cfg     ferrysettings.TLS
-	clock   clockwork.Clock
-	mu      sync.Mutex
-	checked time.Time
-	stamp   time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	cfg         ferrysettings.TLS
+	clock       clockwork.Clock
+	mu          sync.Mutex
+	lastChecked time.Time
+	modTime     time.Time
+	cert        *tls.Certificate
+	pool        *x509.CertPool
 }
 
-// Load reads the files and returns an error if they are not a sound pair.
+// Load reads the files and returns an error if they are not a valid pair.
 func Load(clock clockwork.Clock, cfg ferrysettings.TLS) (*Pair, error) {
 	p := &Pair{cfg: cfg, clock: clock}
-	if err := p.read(); err != nil {
+	if err := p.reload(); err != nil {
 		return nil, merry.Prepend(err, "load TLS keys")
 	}
-	p.checked = clock.Now()
+	p.lastChecked = clock.Now()
 	return p, nil
 }
 
-func (p *Pair) read() error {
+func (p *Pair) reload() error {
 	stamp, err := p.modified()
 	if err != nil {
 		return err
@@ -54,11 +54,11 @@
 			return err
 		}
 	}
-	p.stamp, p.cert, p.pool = stamp, &cert, pool
+	p.modTime, p.cert, p.pool = stamp, &cert, pool
 	return nil
 }
 
-// modified is the latest time at which one of the files changed.
+// modified returns the latest modification time of the files.
 func (p *Pair) modified() (time.Time, error) {
 	var latest time.Time
 	for _, name := range []string{p.cfg.Certificate, p.cfg.Key, p.cfg.ClientCA} {
@@ -76,21 +76,23 @@
 	return latest, nil
 }
 
-// current returns the pair, read anew if its files changed; files that can't be read leave the older pair in use.
+// current returns the pair, reloaded if its files changed. If they cannot be read,
+// the older pair stays in use.
 func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if now.Sub(p.checked) >= checkInterval {
-		p.checked = now
-		if stamp, err := p.modified(); err == nil && !stamp.Equal(p.stamp) {
-			_ = p.read()
+	if now.Sub(p.lastChecked) >= checkInterval {
+		p.lastChecked = now
+		if stamp, err := p.modified(); err == nil && !stamp.Equal(p.modTime) {
+			_ = p.reload()
 		}
 	}
 	return p.cert, p.pool
 }
 
-// Server returns the configuration of a listener; where authorities are set, the other side must show a certificate.
+// Server returns the configuration of a listener. If authorities are set, clients
+// must present a certificate.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -107,7 +109,8 @@
 	}
 }
 
-// Client returns the configuration for connecting to peers, which show certificates of the same authorities.
+// Client returns the configuration for connections to peers, whose certificates must be
+// signed by the authorities.
 func (p *Pair) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -115,7 +118,7 @@
 			cert, _ := p.current()
 			return cert, nil
 		},
-		// The names in peers' certificates are checked against the authorities here, since the authorities may be renewed.
+		// verify replaces the verification by crypto/tls, since the authorities may be renewed.
 		InsecureSkipVerify:    true,
 		VerifyPeerCertificate: p.verify,
 	}
--- a/ferryd/ferrykeys/pair_test.go
+++ b/ferryd/ferrykeys/pair_test.go
@@ -22,7 +22,7 @@
 	"cactusferry.dev/ferryd/ferrysettings"
 )
 
-// authority signs certificates of a test.
+// authority is a certificate authority of a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -62,7 +62,7 @@
 	assert.NilError(t, os.Chtimes(name, modified, modified))
 }
 
-// issue writes a pair that the authority signed, and the authority, into a directory.
+// issue writes a pair signed by the authority, and the authority's certificate, to a directory.
 func (a authority) issue(t *testing.T, dir string, now time.Time, serial int64) ferrysettings.TLS {
 	t.Helper()
 	key := newKey(t)
@@ -79,7 +79,8 @@
 	return cfg
 }
 
-// handshake connects both configurations and returns the serial number that the client saw, and each side's error.
+// handshake connects both configurations. It returns the server's serial number as the
+// client saw it, and both errors.
 func handshake(t *testing.T, server, client *tls.Config) (serial int64, serverErr, clientErr error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +118,7 @@
 	assert.NilError(t, err)
 	peer, err := Load(clock, ours.issue(t, t.TempDir(), now, 11))
 	assert.NilError(t, err)
-	stranger, err := Load(clock, theirs.issue(t, t.TempDir(), now, 12))
+	other, err := Load(clock, theirs.issue(t, t.TempDir(), now, 12))
 	assert.NilError(t, err)
 	for _, tt := range []struct {
 		name   string
@@ -125,10 +126,10 @@
 		client *tls.Config
 		works  bool
 	}{
-		{"both known", own.Server(), peer.Client(), true},
+		{"same authority", own.Server(), peer.Client(), true},
 		{"client without a certificate", own.Server(), &tls.Config{InsecureSkipVerify: true}, false},
-		{"client of another authority", own.Server(), stranger.Client(), false},
-		{"server of another authority", stranger.Server(), peer.Client(), false},
+		{"client of another authority", own.Server(), other.Client(), false},
+		{"server of another authority", other.Server(), peer.Client(), false},
 	} {
 		serial, serverErr, clientErr := handshake(t, tt.server, tt.client)
 		assert.Equal(t, serverErr == nil && clientErr == nil, tt.works, "%s: server %v, client %v", tt.name, serverErr, clientErr)
@@ -138,7 +139,8 @@
 	}
 }
 
-// Changed files are used from the next look on, and files that hold no pair leave the older one in use.
+// TestKeysAreReloaded checks that changed files are used from the next check on, and that invalid files
+// leave the older pair in use.
 func TestKeysAreReloaded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Now())
 	now := clock.Now()
@@ -149,7 +151,7 @@
 	assert.NilError(t, err)
 	peer, err := Load(clock, ours.issue(t, t.TempDir(), now, 11))
 	assert.NilError(t, err)
-	see := func(want int64) {
+	expectSerial := func(want int64) {
 		t.Helper()
 		serial, serverErr, clientErr := handshake(t, own.Server(), peer.Client())
 		assert.NilError(t, serverErr)
@@ -157,13 +159,13 @@
 		assert.Equal(t, serial, want)
 	}
 	ours.issue(t, dir, now.Add(time.Second), 20)
-	see(10)
+	expectSerial(10)
 	clock.Advance(checkInterval)
-	see(20)
+	expectSerial(20)
 	writePEM(t, cfg.Certificate, "CERTIFICATE", []byte("torn"), now.Add(2*time.Second))
 	clock.Advance(checkInterval)
-	see(20)
+	expectSerial(20)
 	ours.issue(t, dir, now.Add(3*time.Second), 30)
 	clock.Advance(checkInterval)
-	see(30)
+	expectSerial(30)
 }
