--- a/ferryd/ferryoperator/apply.go
+++ b/ferryd/ferryoperator/apply.go
@@ -15,9 +15,9 @@
 )
 
 func (s *Server) apply(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyBytes))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		ferryoutcome.New(ferryoutcome.KindTooLarge, ferryoutcome.NotRun, "The body is over %d bytes.", bodyBytes).Write(w)
+		ferryoutcome.New(ferryoutcome.KindTooLarge, ferryoutcome.NotRun, "The body is over %d bytes.", maxBodyBytes).Write(w)
 		return
 	}
 	req, err := ferrydocument.DecodeApplyRequest(ferryid.ServiceName(chi.URLParam(r, "service")), b)
@@ -27,11 +27,11 @@
 	}
 	a, err := s.Documents.Apply(r.Context(), s.Store, req)
 	if err != nil {
-		s.Log.Info().Str("Service", string(req.Service)).Str("Operator", req.Operator).Err(err).Msg("document not accepted")
+		s.Log.Info().Str("Service", string(req.Service)).Str("Operator", req.Operator).Err(err).Msg("could not apply the operator's document")
 		writeApplyError(w, err)
 		return
 	}
-	s.Log.Info().Str("Service", string(req.Service)).Str("Operator", req.Operator).Uint64("Generation", uint64(a.Generation)).Msg("document accepted")
+	s.Log.Info().Str("Service", string(req.Service)).Str("Operator", req.Operator).Uint64("Generation", uint64(a.Generation)).Msg("operator's document accepted")
 	writeJSON(w, http.StatusOK, a)
 }
 
--- a/ferryd/ferryoperator/doc.go
+++ b/ferryd/ferryoperator/doc.go
@@ -1,2 +1,3 @@
-// Package ferryoperator answers operators: documents, status, the time line, leaving upstreams and claims.
+// Package ferryoperator serves the operators' API: documents, status, the time line,
+// draining of upstreams and claims.
 package ferryoperator
--- a/ferryd/ferryoperator/server.go
+++ b/ferryd/ferryoperator/server.go
@@ -22,9 +22,9 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-const bodyBytes = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// Server answers operators.
+// Server serves the operators' API.
 type Server struct {
 	Token     string
 	Log       zerolog.Logger
@@ -37,7 +37,7 @@
 	SetLevel  func(zerolog.Level)
 }
 
-// Mount adds the operators' routes.
+// Mount adds the routes of the operators' API.
 func (s *Server) Mount(m chi.Router) {
 	m.Route("/admin", func(m chi.Router) {
 		m.Use(s.authenticate)
@@ -46,7 +46,7 @@
 		m.Get("/documents", s.documents)
 		m.Get("/documents/{service}", s.document)
 		m.Post("/documents/{service}", s.apply)
-		m.Post("/drain", s.leave)
+		m.Post("/drain", s.drain)
 		m.Get("/claims", s.claim)
 		m.Put("/log-level", s.logLevel)
 		m.Mount("/debug", middleware.Profiler())
@@ -72,12 +72,12 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, v any) *ferryoutcome.Problem {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyBytes))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	err := d.Decode(v)
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return ferryoutcome.New(ferryoutcome.KindTooLarge, ferryoutcome.NotRun, "The body is over %d bytes.", bodyBytes)
+		return ferryoutcome.New(ferryoutcome.KindTooLarge, ferryoutcome.NotRun, "The body is over %d bytes.", maxBodyBytes)
 	}
 	if err != nil {
 		return ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "The body is not the JSON expected: %s.", err)
@@ -103,7 +103,7 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-func (s *Server) leave(w http.ResponseWriter, r *http.Request) {
+func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	var req ferryadmin.DrainRequest
 	if p := readJSON(w, r, &req); p != nil {
 		p.Write(w)
