--- a/ferryd/ferrymetrics/doc.go
+++ b/ferryd/ferrymetrics/doc.go
@@ -1,2 +1,2 @@
-// Package ferrymetrics makes a process's root scope and the page that shows it.
+// Package ferrymetrics creates the root metrics scope of a process and its Prometheus handler.
 package ferrymetrics
--- a/ferryd/ferrymetrics/metrics.go
+++ b/ferryd/ferrymetrics/metrics.go
@@ -11,16 +11,16 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// Metrics is a process's root scope and the page that shows it.
+// Metrics is the root metrics scope of a process with the HTTP handler that exposes it.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// New returns metrics whose names begin with a prefix, and which show what was counted an interval ago at the latest.
+// New returns metrics with a name prefix, which are reported to the handler once per interval.
 func New(prefix string, interval time.Duration) *Metrics {
-	// A registry of its own lets one process hold several nodes.
+	// A separate registry allows several nodes in one process.
 	registry := client.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	r := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -37,7 +37,7 @@
 // Close stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// sanitizer is tally's for Prometheus, but leaves the dashes and dots of names in tags' values.
+// sanitizer is tally's sanitizer for Prometheus, except that it keeps dashes and dots in tag values.
 func sanitizer() *tally.SanitizeOptions {
 	opts := prometheus.DefaultSanitizerOpts
 	opts.ValueCharacters.Characters = []rune{'_', '-', '.'}
