--- a/ferry/ferryroute/bench_test.go
+++ b/ferry/ferryroute/bench_test.go
@@ -14,7 +14,7 @@
 	assert.Equal(t, testing.AllocsPerRun(1000, func() { Choose(s, w, &r) }), 0.0)
 }
 
-// BenchmarkChoose is one choice among 48 upstreams.
+// BenchmarkChoose measures one choice among 48 upstreams.
 func BenchmarkChoose(b *testing.B) {
 	for _, bb := range []struct {
 		name   string
--- a/ferry/ferryroute/budget.go
+++ b/ferry/ferryroute/budget.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Budget bounds retries to a share of first tries, as a token bucket.
+// Budget is a retry budget: a token bucket that limits retries to a share of first tries.
 type Budget struct {
 	mu     sync.Mutex
 	share  float64
@@ -10,7 +10,7 @@
 	tokens float64
 }
 
-// NewBudget returns a full budget; burst is how many retries may come before any first try.
+// NewBudget returns a full budget; burst is the number of retries allowed before any first try.
 func NewBudget(share, burst float64) *Budget {
 	return &Budget{share: share, burst: burst, tokens: burst}
 }
@@ -22,7 +22,7 @@
 	b.tokens = min(b.burst, b.tokens+b.share)
 }
 
-// Retry takes one retry and reports whether it is allowed.
+// Retry spends one retry and reports whether it is allowed.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ferry/ferryroute/choose.go
+++ b/ferry/ferryroute/choose.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// backlogWeight is the weight of outstanding work beside the time that the call itself takes.
+	// backlogWeight is the weight of outstanding work relative to the time of the call itself.
 	backlogWeight = 0.05
-	// affinitySlack is how much dearer the upstream that holds the prompt prefix may be, as a share of the least cost.
+	// affinitySlack is the extra cost, as a share of the least cost, that is accepted for an
+	// upstream with the prompt prefix.
 	affinitySlack = 0.25
-	// minRate keeps a cost finite while an upstream's rate is unknown, in tokens/s.
+	// minRate keeps costs finite while an upstream's rate is unknown, in tokens/s.
 	minRate = 1e-3
 )
 
-// Cost names the way an upstream's load is weighed.
+// Cost is the cost function by which upstreams are compared.
 type Cost string
 
-// The costs; the first is the default.
+// The cost functions; the first is the default.
 const (
-	// CostFinish is the time until the call would be finished: its share of the rate, and the wait for one of this entry's slots.
+	// CostFinish is the time until the call would finish: by its share of the rate, and the wait for
+	// one of this entry's slots.
 	CostFinish Cost = "Finish"
-	// CostShared is CostFinish, but the wait is that for any entry's slot, as far as late reports tell.
+	// CostShared is CostFinish with the wait for a slot of any entry, as far as known from delayed reports.
 	CostShared Cost = "Shared"
-	// CostWork is the outstanding work over the rate.
+	// CostWork is the outstanding work divided by the rate.
 	CostWork Cost = "Work"
 )
 
-// Options tune the policy LeastWork; the zero value is what measured best.
+// Options configure the policy LeastWork. The zero value gave the best results in measurements.
 type Options struct {
 	Cost          Cost `toml:"Cost" json:"Cost"`
 	Choices       int  `toml:"Choices" json:"Choices"`
@@ -38,14 +40,14 @@
 	NoAffinity    bool `toml:"NoAffinity" json:"NoAffinity"`
 }
 
-// Work is what a choice has to know of a call; Avoid names upstreams that have already failed it.
+// Work describes a call for a choice. Avoid names the upstreams that have already failed it.
 type Work struct {
 	Predicted ferryid.Tokens
 	Prefix    uint64
 	Avoid     []ferryid.UpstreamName
 }
 
-// Rand is the state of a small random generator (splitmix64), owned by one goroutine.
+// Rand is a small random generator (splitmix64). It is not safe for concurrent use.
 type Rand uint64
 
 // Next returns the next random number.
@@ -65,7 +67,7 @@
 	return z ^ z>>31
 }
 
-// Choose returns the index of the upstream that should take the work, or -1 if there is none.
+// Choose returns the index of the selected upstream, or -1 if there is none.
 func Choose(s *Snapshot, w *Work, r *Rand) int {
 	if i := choose(s, w, r, (*row).usable); i >= 0 {
 		return i
@@ -73,7 +75,8 @@
 	return choose(s, w, r, (*row).lastResort)
 }
 
-// lastResort admits an upstream that failed when no other is left, so that a wrong judgement can't stop a service.
+// lastResort admits failed upstreams if no other is left, so that a wrong failure
+// detection cannot stop a service.
 func (r *row) lastResort() bool {
 	return r.state != StateLeaving
 }
@@ -83,34 +86,34 @@
 	case len(s.rows) == 0:
 		return -1
 	case s.policy == ferryservice.RouteRandom:
-		return anyOf(s, w, r, ok)
+		return pickRandom(s, w, r, ok)
 	case s.opts.Choices > 0:
-		return leastOfSome(s, w, r, ok)
+		return leastOfRandom(s, w, r, ok)
 	}
-	return leastOfAll(s, w, r, ok)
+	return leastCost(s, w, r, ok)
 }
 
-// anyOf picks uniformly: a few draws, then the next one from a random place.
-func anyOf(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
+// pickRandom selects uniformly: by a few draws, then the next match from a random index.
+func pickRandom(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
 	n := len(s.rows)
 	for range 4 {
-		if i := r.Intn(n); ok(&s.rows[i]) && !w.avoids(&s.rows[i]) {
+		if i := r.Intn(n); ok(&s.rows[i]) && !w.excludes(&s.rows[i]) {
 			return i
 		}
 	}
 	at := r.Intn(n)
 	for k := range n {
-		if i := (at + k) % n; ok(&s.rows[i]) && !w.avoids(&s.rows[i]) {
+		if i := (at + k) % n; ok(&s.rows[i]) && !w.excludes(&s.rows[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-func leastOfSome(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
+func leastOfRandom(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
 	best, least := -1, math.Inf(1)
 	for range s.opts.Choices {
-		i := anyOf(s, w, r, ok)
+		i := pickRandom(s, w, r, ok)
 		if i < 0 {
 			return -1
 		}
@@ -121,8 +124,8 @@
 	return best
 }
 
-// leastOfAll scans from a random place, so that equal costs are spread.
-func leastOfAll(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
+// leastCost scans all upstreams from a random index, so that equal costs are distributed evenly.
+func leastCost(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
 	best, least := -1, math.Inf(1)
 	home, homeCost, top := -1, 0.0, uint64(0)
 	n := len(s.rows)
@@ -132,7 +135,7 @@
 			i = 0
 		}
 		u := &s.rows[i]
-		if !ok(u) || w.avoids(u) {
+		if !ok(u) || w.excludes(u) {
 			continue
 		}
 		c := s.cost(u, w)
@@ -152,7 +155,7 @@
 	return best
 }
 
-func (w *Work) avoids(r *row) bool {
+func (w *Work) excludes(r *row) bool {
 	for _, n := range w.Avoid {
 		if n == r.name {
 			return true
@@ -161,7 +164,7 @@
 	return false
 }
 
-// cost is in seconds.
+// cost returns the cost in seconds.
 func (s *Snapshot) cost(r *row, w *Work) float64 {
 	rate := max(r.load.rate(), minRate)
 	outstanding, running := r.load.own.Load(), int(r.load.ownRunning.Load())
--- a/ferry/ferryroute/dispatch.go
+++ b/ferry/ferryroute/dispatch.go
@@ -6,31 +6,32 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// observeEvery is the least time between two looks at the speed of a running call.
-const observeEvery = time.Second
+// observeInterval is the minimum time between two speed measurements of a running call.
+const observeInterval = time.Second
 
-// Failure says how a call to an upstream failed.
+// Failure is the kind of failure of a call.
 type Failure int
 
-// The failures of a call; a refused or broken connection takes an upstream out at once, others after a few in a row.
+// The kinds of failure. A refused or broken connection excludes an upstream at once, other
+// failures after several in a row.
 const (
 	FailureConnection Failure = iota
 	FailureAnswer
 )
 
-// Dispatch is one call that this entry has sent to an upstream; its methods are called by one goroutine.
+// Dispatch is one call that this entry has sent to an upstream. It is not safe for concurrent use.
 type Dispatch struct {
-	table    *Table
-	up       *upstream
-	left     ferryid.Tokens
-	total    ferryid.Tokens
-	produced ferryid.Tokens
-	from     ferryid.Tokens
-	since    time.Time
-	ended    bool
+	table          *Table
+	up             *upstream
+	remaining      ferryid.Tokens
+	predicted      ferryid.Tokens
+	produced       ferryid.Tokens
+	measuredTokens ferryid.Tokens
+	measuredAt     time.Time
+	ended          bool
 }
 
-// Start counts a call to the upstream at once, by its predicted work; it returns nil for an upstream that is gone.
+// Start counts a call with its predicted work. It returns nil if the upstream is not in the table.
 func (t *Table) Start(name ferryid.UpstreamName, predicted ferryid.Tokens, now time.Time) *Dispatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,14 +40,15 @@
 		return nil
 	}
 	predicted = max(1, predicted)
-	u.history.note(u.row.load, now)
+	u.history.record(u.row.load, now)
 	u.row.load.own.Add(int64(predicted))
 	u.row.load.ownRunning.Add(1)
-	return &Dispatch{table: t, up: u, left: predicted, total: predicted, since: now}
+	return &Dispatch{table: t, up: u, remaining: predicted, predicted: predicted, measuredAt: now}
 }
 
-// Progress tells how many tokens the call has produced so far, from the first on, which ends the reading of its prompt.
-// A call that outgrows its prediction counts as half done.
+// Progress reports the tokens produced so far. The first ones end the prefill phase, which is not measured.
+//
+// A call that exceeds its prediction counts as half done.
 func (d *Dispatch) Progress(n ferryid.Tokens, now time.Time) {
 	if d == nil || d.ended || n <= d.produced {
 		return
@@ -54,36 +56,36 @@
 	step := n - d.produced
 	first := d.produced == 0
 	d.produced = n
-	if n > d.total {
-		d.total = 2 * n
-		d.setLeft(n)
+	if n > d.predicted {
+		d.predicted = 2 * n
+		d.setRemaining(n)
 	} else {
-		d.setLeft(max(0, d.left-step))
+		d.setRemaining(max(0, d.remaining-step))
 	}
 	if first {
-		d.from, d.since = n, now
+		d.measuredTokens, d.measuredAt = n, now
 		return
 	}
-	if now.Sub(d.since) < observeEvery {
+	if now.Sub(d.measuredAt) < observeInterval {
 		return
 	}
-	d.table.observe(d.up, n-d.from, now.Sub(d.since), now)
-	d.from, d.since = n, now
+	d.table.observe(d.up, n-d.measuredTokens, now.Sub(d.measuredAt), now)
+	d.measuredTokens, d.measuredAt = n, now
 }
 
-// Finish ends a call that produced n tokens in all.
+// Finish ends a call that produced n tokens in total.
 func (d *Dispatch) Finish(n ferryid.Tokens, now time.Time) {
 	if d == nil || d.ended {
 		return
 	}
-	if n > d.from {
-		d.table.observe(d.up, n-d.from, now.Sub(d.since), now)
+	if n > d.measuredTokens {
+		d.table.observe(d.up, n-d.measuredTokens, now.Sub(d.measuredAt), now)
 	}
 	d.end(now)
 	d.table.succeeded(d.up)
 }
 
-// Cancel ends a call that was given up for reasons that lie with its caller or with this entry.
+// Cancel ends a call that was cancelled for a reason unrelated to the upstream.
 func (d *Dispatch) Cancel(now time.Time) {
 	if d == nil || d.ended {
 		return
@@ -91,7 +93,7 @@
 	d.end(now)
 }
 
-// Fail ends a call that the upstream failed.
+// Fail ends a call that failed at the upstream.
 func (d *Dispatch) Fail(f Failure, now time.Time) {
 	if d == nil || d.ended {
 		return
@@ -100,16 +102,16 @@
 	d.table.failed(d.up, f, now)
 }
 
-func (d *Dispatch) setLeft(n ferryid.Tokens) {
-	d.up.row.load.own.Add(int64(n - d.left))
-	d.left = n
+func (d *Dispatch) setRemaining(n ferryid.Tokens) {
+	d.up.row.load.own.Add(int64(n - d.remaining))
+	d.remaining = n
 }
 
 func (d *Dispatch) end(now time.Time) {
 	d.table.mu.Lock()
-	d.up.history.note(d.up.row.load, now)
+	d.up.history.record(d.up.row.load, now)
 	d.table.mu.Unlock()
-	d.setLeft(0)
+	d.setRemaining(0)
 	d.up.row.load.ownRunning.Add(-1)
 	d.ended = true
 }
--- a/ferry/ferryroute/doc.go
+++ b/ferry/ferryroute/doc.go
@@ -1,2 +1,2 @@
-// Package ferryroute chooses the upstream of a call from what is known of each one's load, rate and health.
+// Package ferryroute selects the upstream of a call by load, rate and health.
 package ferryroute
--- a/ferry/ferryroute/health.go
+++ b/ferry/ferryroute/health.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// recentWeight is the weight of one observation in an upstream's recent speed.
+	// recentWeight is the weight of one measurement in the moving average of the recent speed.
 	recentWeight = 1.0 / 8
-	// riseWeight is the weight of one that is above the recent speed of all slots.
+	// riseWeight is its weight in the speed over all slots if it is above the average.
 	riseWeight = 1.0 / 2
-	// baselineWeight is the weight of one observation in what is expected of an upstream without a stated rate.
+	// baselineWeight is its weight in the baseline, which is the expected speed of an upstream
+	// without a configured rate.
 	baselineWeight = 1.0 / 256
 	minSamples     = 8
-	// slowShare is the part of the usual speed below which an upstream is slow.
+	// slowShare is the fraction of the median speed below which an upstream is slow.
 	slowShare = 0.5
-	// maxSlowShare is the part of all upstreams that may be out for slowness at once.
+	// maxSlowShare is the maximum fraction of upstreams that are excluded as slow at once.
 	maxSlowShare   = 1.0 / 3
 	failuresToDown = 3
 	probesToLive   = 3
-	minTimeOut     = 2 * time.Second
-	maxTimeOut     = 30 * time.Second
+	minExclusion   = 2 * time.Second
+	maxExclusion   = 30 * time.Second
 )
 
-// speed is what one slot of an upstream serves, in tokens/s; whole is the same over all slots that are taken, by the
-// quicker streams, since others may wait for another stage.
+// speed is the speed of one slot of an upstream in tokens/s.
+//
+// allSlots is the speed over all occupied slots. It follows the faster streams, since slower ones
+// may wait for another stage.
 type speed struct {
 	expected float64
 	baseline float64
 	recent   float64
-	whole    float64
+	allSlots float64
 	samples  int
 }
 
@@ -39,14 +42,14 @@
 	s.samples++
 	whole := r * float64(max(1, running))
 	if s.samples == 1 {
-		s.recent, s.whole = r, whole
+		s.recent, s.allSlots = r, whole
 	}
 	s.recent += recentWeight * (r - s.recent)
 	w := recentWeight
-	if whole > s.whole {
+	if whole > s.allSlots {
 		w = riseWeight
 	}
-	s.whole += w * (whole - s.whole)
+	s.allSlots += w * (whole - s.allSlots)
 	if s.baseline == 0 {
 		s.baseline = r
 	}
@@ -54,10 +57,10 @@
 }
 
 func (s *speed) restart() {
-	s.samples, s.recent, s.whole = 0, 0, 0
+	s.samples, s.recent, s.allSlots = 0, 0, 0
 }
 
-// relative is the recent speed of a slot, and that of all slots together, over the expected one.
+// relative returns the recent speed of one slot and of all slots, each divided by the expected one.
 func (u *upstream) relative() (slot, whole float64, ok bool) {
 	s := &u.speed
 	want := s.expected
@@ -67,26 +70,26 @@
 	if s.samples < minSamples || want <= 0 {
 		return 0, 0, false
 	}
-	return s.recent / want, s.whole / (want * float64(max(1, u.row.slots))), true
+	return s.recent / want, s.allSlots / (want * float64(max(1, u.row.slots))), true
 }
 
-// health is whether an upstream is out, and for how long.
+// health is the failure and slowness state of an upstream.
 type health struct {
-	state   State
-	until   time.Time
-	timeOut time.Duration
-	fails   int
-	probes  int
+	state         State
+	excludedUntil time.Time
+	exclusion     time.Duration
+	fails         int
+	probes        int
 }
 
 func (h *health) due(now time.Time) bool {
-	return (h.state == StateSlow || h.state == StateDown) && !now.Before(h.until)
+	return (h.state == StateSlow || h.state == StateDown) && !now.Before(h.excludedUntil)
 }
 
-// takeOut doubles the time out with each repetition.
-func (h *health) takeOut(s State, now time.Time) {
-	h.timeOut = min(max(2*h.timeOut, minTimeOut), maxTimeOut)
-	h.state, h.until, h.probes = s, now.Add(h.timeOut), 0
+// exclude excludes an upstream, for twice as long as the last time.
+func (h *health) exclude(s State, now time.Time) {
+	h.exclusion = min(max(2*h.exclusion, minExclusion), maxExclusion)
+	h.state, h.excludedUntil, h.probes = s, now.Add(h.exclusion), 0
 }
 
 func (t *Table) observe(u *upstream, n ferryid.Tokens, d time.Duration, now time.Time) {
@@ -100,37 +103,39 @@
 	if u.health.state != "" && u.health.state != StateProbing {
 		return
 	}
-	if t.slow(u) {
-		u.health.takeOut(StateSlow, now)
+	if t.isSlow(u) {
+		u.health.exclude(StateSlow, now)
 		t.publish()
 	}
 }
 
-// slow compares an upstream's relative speed with the median of all, so that a busy hour takes nobody out; each slot must be slow
-// and all of them together, so that nobody is out for having more streams than others, or fewer. One that serves its slots as
-// expected is never slow, however quick the others are while they have little to do.
-func (t *Table) slow(u *upstream) bool {
-	mine, mineWhole, ok := u.relative()
+// isSlow compares an upstream's relative speed with the median of all, so that high load excludes no upstream.
+//
+// Both the speed of a slot and that of all slots must be low, so that the number of streams alone
+// makes no upstream slow. An upstream with the expected speed per slot is never slow, however fast
+// the others are at low load.
+func (t *Table) isSlow(u *upstream) bool {
+	own, ownAllSlots, ok := u.relative()
 	if !ok {
 		return false
 	}
-	out := 0
+	excluded := 0
 	all := make([]float64, 0, len(t.upstreams))
-	wholes := make([]float64, 0, len(t.upstreams))
+	allSlots := make([]float64, 0, len(t.upstreams))
 	for _, o := range t.upstreams {
 		if o.health.state == StateSlow {
-			out++
+			excluded++
 		}
 		if r, whole, ok := o.relative(); ok {
-			all, wholes = append(all, r), append(wholes, whole)
+			all, allSlots = append(all, r), append(allSlots, whole)
 		}
 	}
-	if len(all) < 3 || float64(out+1) > maxSlowShare*float64(len(t.upstreams)) {
+	if len(all) < 3 || float64(excluded+1) > maxSlowShare*float64(len(t.upstreams)) {
 		return false
 	}
 	slices.Sort(all)
-	slices.Sort(wholes)
-	return mine < slowShare*min(1, all[len(all)/2]) && mineWhole < slowShare*wholes[len(wholes)/2]
+	slices.Sort(allSlots)
+	return own < slowShare*min(1, all[len(all)/2]) && ownAllSlots < slowShare*allSlots[len(allSlots)/2]
 }
 
 func (t *Table) succeeded(u *upstream) {
@@ -157,6 +162,6 @@
 	if u.health.state == StateDown {
 		return
 	}
-	u.health.takeOut(StateDown, now)
+	u.health.exclude(StateDown, now)
 	t.publish()
 }
--- a/ferry/ferryroute/oracle_test.go
+++ b/ferry/ferryroute/oracle_test.go
@@ -12,12 +12,13 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TestMain fixes the seed, which -rapid.seed overrides.
+// TestMain sets the seed, unless -rapid.seed does.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 20261204, Checks: 300})
 }
 
-// TestTableAgainstOracle checks that outstanding work adds up and that no leaving or avoided upstream is chosen.
+// TestTableAgainstOracle checks that counts of outstanding work are exact and that no leaving or
+// avoided upstream is selected.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Choices: rapid.IntRange(0, 3).Draw(t, "choices"), NoAffinity: rapid.Bool().Draw(t, "plain")}
@@ -41,7 +42,7 @@
 				}
 				c := s.At(i)
 				if leaving[c.Name] || c.Name == name {
-					t.Fatalf("chose %s", c.Name)
+					t.Fatalf("Choose selected the leaving or avoided upstream %s", c.Name)
 				}
 				open = append(open, tb.Start(c.Name, 50, now))
 			case 2:
@@ -58,7 +59,7 @@
 					open[0].Progress(ferryid.Tokens(rapid.IntRange(1, 200).Draw(t, "tokens")), now)
 				}
 			}
-			checkSums(t, tb, open)
+			checkCounts(t, tb, open)
 		}
 	})
 }
@@ -76,19 +77,19 @@
 	}
 }
 
-func checkSums(t *rapid.T, tb *Table, open []*Dispatch) {
+func checkCounts(t *rapid.T, tb *Table, open []*Dispatch) {
 	want := map[ferryid.UpstreamName]int{}
 	for _, d := range open {
 		want[d.up.row.name]++
 	}
 	for _, c := range tb.Snapshot().All() {
 		if c.Running != want[c.Name] || c.Outstanding < 0 || (c.Running == 0 && c.Outstanding != 0) {
-			t.Fatalf("%+v, %d open", c, want[c.Name])
+			t.Fatalf("counts of %+v do not match %d open calls", c, want[c.Name])
 		}
 	}
 }
 
-// TestBudgetBoundsRetries checks the bound over any order of tries.
+// TestBudgetBoundsRetries checks the limit for any order of first tries and retries.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(0.25, 3)
@@ -101,7 +102,7 @@
 				retries++
 			}
 			if float64(retries) > 3+0.25*float64(first) {
-				t.Fatalf("%d retries for %d first tries", retries, first)
+				t.Fatalf("%d retries allowed for %d first tries", retries, first)
 			}
 		}
 	})
--- a/ferry/ferryroute/report.go
+++ b/ferry/ferryroute/report.go
@@ -12,17 +12,17 @@
 	maxReportedTokens  = 1e9
 	maxReportedRate    = 1e9
 	maxReportedStreams = 1e6
-	// maxReportSkew is how far in the future a report may be dated, for clocks that differ.
+	// maxReportSkew is how far in the future a report may be dated, because of clock skew.
 	maxReportSkew = time.Second
-	// maxReportAge is the age from which a report says nothing any more.
+	// maxReportAge is the age from which a report is too old to be used.
 	maxReportAge = 30 * time.Second
-	// reportWeight is the weight of one report in what other entries have in the long run.
+	// reportWeight is the weight of one report in the moving average of the other entries' load.
 	reportWeight  = 0.05
 	historySize   = 64
 	historyPeriod = 100 * time.Millisecond
 )
 
-// Report is an upstream's own, lagging account of its load over all entries.
+// Report is an upstream's delayed report of its load from all entries.
 type Report struct {
 	Upstream          ferryid.UpstreamName `json:"Upstream"`
 	RunningStreams    float64              `json:"RunningStreams"`
@@ -31,10 +31,10 @@
 	At                time.Time            `json:"At"`
 }
 
-// ReportFault says why a report was refused.
+// ReportFault is the reason why a report was refused.
 type ReportFault string
 
-// The faults of reports.
+// The reasons to refuse a report.
 const (
 	FaultUnknown ReportFault = "UnknownUpstream"
 	FaultNumber  ReportFault = "NotANumber"
@@ -44,10 +44,10 @@
 	FaultOrder   ReportFault = "OutOfOrder"
 )
 
-// ReportCounts counts refused reports by fault.
+// ReportCounts are the numbers of refused reports by fault.
 type ReportCounts map[ReportFault]uint64
 
-// ReportError says that a report was refused and changed nothing.
+// ReportError is returned if a report was refused.
 type ReportError struct {
 	Upstream ferryid.UpstreamName
 	Fault    ReportFault
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("load report of %q refused: %s", e.Upstream, e.Fault)
 }
 
-// Report takes an upstream's report; a bad one is counted, changes nothing and returns a *ReportError.
+// Report applies an upstream's report. An invalid one has no effect, is counted and returns a *ReportError.
 func (t *Table) Report(r Report, now time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,19 +69,20 @@
 		t.refused[f]++
 		return &ReportError{Upstream: r.Upstream, Fault: f}
 	}
-	u.reported = r.At
-	own, running := u.history.at(r.At)
+	u.lastReport = r.At
+	own, running := u.history.loadAt(r.At)
 	u.smooth(max(0, r.OutstandingTokens-float64(own)), max(0, r.RunningStreams-float64(running)), t.opts.RawReports)
 	u.row.load.others.Store(int64(u.others))
 	u.row.load.othersRunning.Store(int32(math.Round(u.othersRunning)))
 	return nil
 }
 
-// smooth keeps what other entries have here in the long run; a choice by their load of some seconds ago would herd.
+// smooth updates the moving averages of the other entries' load. Following delayed reports
+// directly would cause herding.
 func (u *upstream) smooth(tokens, streams float64, raw bool) {
 	w := reportWeight
-	if raw || !u.heard {
-		w, u.heard = 1, true
+	if raw || !u.hasReport {
+		w, u.hasReport = 1, true
 	}
 	u.others += w * (tokens - u.others)
 	u.othersRunning += w * (streams - u.othersRunning)
@@ -118,38 +119,38 @@
 		return FaultFuture
 	case r.At.Before(now.Add(-maxReportAge)):
 		return FaultOld
-	case !r.At.After(u.reported):
+	case !r.At.After(u.lastReport):
 		return FaultOrder
 	}
 	return ""
 }
 
-// history remembers what this entry had outstanding, to take its own part out of a late report.
+// history records this entry's outstanding work, to subtract it from delayed reports.
 type history struct {
-	marks [historySize]mark
-	n     int
+	samples [historySize]loadSample
+	n       int
 }
 
-type mark struct {
+type loadSample struct {
 	at      time.Time
 	own     int64
 	running int64
 }
 
-// note records the load that held until now, at most once a period.
-func (h *history) note(l *load, now time.Time) {
-	if h.n > 0 && now.Sub(h.marks[(h.n-1)%historySize].at) < historyPeriod {
+// record records the current load, at most once per historyPeriod.
+func (h *history) record(l *load, now time.Time) {
+	if h.n > 0 && now.Sub(h.samples[(h.n-1)%historySize].at) < historyPeriod {
 		return
 	}
-	h.marks[h.n%historySize] = mark{at: now, own: l.own.Load(), running: int64(l.ownRunning.Load())}
+	h.samples[h.n%historySize] = loadSample{at: now, own: l.own.Load(), running: int64(l.ownRunning.Load())}
 	h.n++
 }
 
-// at returns what was outstanding at a time, by the first mark not before it, or by the last one.
-func (h *history) at(when time.Time) (own, running int64) {
-	var m mark
+// loadAt returns the load at a time: that of the first sample not before it, or of the last one.
+func (h *history) loadAt(when time.Time) (own, running int64) {
+	var m loadSample
 	for k := h.n - 1; k >= max(0, h.n-historySize); k-- {
-		m2 := h.marks[k%historySize]
+		m2 := h.samples[k%historySize]
 		if m2.at.Before(when) {
 			if m.at.IsZero() {
 				m = m2
--- a/ferry/ferryroute/slots.go
+++ b/ferry/ferryroute/slots.go
@@ -7,8 +7,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// SetShare tells that this entry is the one of the given index, from 0, among so many that share the upstreams; all entries
-// must count in the same order.
+// SetShare sets the index of this entry, from 0, and the number of entries that share the upstreams. All
+// entries must use the same order.
 func (t *Table) SetShare(index, entries int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -16,7 +16,7 @@
 	t.publish()
 }
 
-// credit is this entry's part of an upstream's slots; over all entries the parts add up to the slots.
+// credit returns this entry's part of an upstream's slots. The parts of all entries add up to the slots.
 func (t *Table) credit(u *upstream) int {
 	slots := u.row.slots
 	if slots == 0 {
@@ -30,15 +30,17 @@
 	return n
 }
 
-// Slots is how many calls this entry may run at once on the upstreams that take work, at least one if there are any; of
-// upstreams with layers a call needs one for each layer.
+// Slots returns how many calls this entry may run at once on the usable upstreams, at
+// least one if there are any.
+//
+// With layered upstreams, a call needs a slot for each layer.
 func (s *Snapshot) Slots() int {
-	n, found := s.slotsOf(func(*row) bool { return true })
+	n, found := s.sumCredits(func(*row) bool { return true })
 	if !found {
 		return 0
 	}
 	for layer := range s.layers() {
-		m, _ := s.slotsOf(func(r *row) bool { return r.layers.Len() == 0 || r.layers.Contains(layer) })
+		m, _ := s.sumCredits(func(r *row) bool { return r.layers.Len() == 0 || r.layers.Contains(layer) })
 		if m == 0 && !s.covered(layer) {
 			return 0
 		}
@@ -47,22 +49,23 @@
 	return max(1, n)
 }
 
-// TrialSlots is 1 if upstreams that do not leave, failed or not, hold every layer, and 0 otherwise.
+// TrialSlots returns 1 if the upstreams that are not leaving, including failed ones, hold
+// every layer, and 0 otherwise.
 func (s *Snapshot) TrialSlots() int {
-	stays := func(layer ferryid.Layer) bool {
+	held := func(layer ferryid.Layer) bool {
 		return slices.ContainsFunc(s.rows, func(r row) bool {
 			return r.state != StateLeaving && (r.layers.Len() == 0 || r.layers.Contains(layer))
 		})
 	}
 	for layer := range max(1, s.layers()) {
-		if !stays(layer) {
+		if !held(layer) {
 			return 0
 		}
 	}
 	return 1
 }
 
-// layers is one more than the last layer that any upstream holds.
+// layers returns the number of layers that the upstreams hold, by the highest one.
 func (s *Snapshot) layers() ferryid.Layer {
 	last := ferryid.Layer(0)
 	for i := range s.rows {
@@ -71,14 +74,14 @@
 	return last
 }
 
-// covered reports whether an upstream that takes work holds the layer.
+// covered reports whether a usable upstream holds the layer.
 func (s *Snapshot) covered(layer ferryid.Layer) bool {
-	_, found := s.slotsOf(func(r *row) bool { return r.layers.Contains(layer) })
+	_, found := s.sumCredits(func(r *row) bool { return r.layers.Contains(layer) })
 	return found
 }
 
-// slotsOf adds up this entry's parts of the upstreams that take work and match.
-func (s *Snapshot) slotsOf(match func(*row) bool) (n int, found bool) {
+// sumCredits returns the sum of this entry's parts of the matching usable upstreams.
+func (s *Snapshot) sumCredits(match func(*row) bool) (n int, found bool) {
 	for i := range s.rows {
 		r := &s.rows[i]
 		if !match(r) {
--- a/ferry/ferryroute/slots_test.go
+++ b/ferry/ferryroute/slots_test.go
@@ -19,13 +19,13 @@
 		entries int
 		want    int
 	}{
-		{"sum of whole runners", []int{8, 4}, nil, -1, 1, 12},
-		{"a leaving one does not count", []int{8, 4}, nil, 0, 1, 4},
-		{"none stated", []int{0, 0}, nil, -1, 1, 2 * ferryservice.DefaultSlots},
+		{"upstreams without layers add up", []int{8, 4}, nil, -1, 1, 12},
+		{"leaving upstream not counted", []int{8, 4}, nil, 0, 1, 4},
+		{"slots not configured", []int{0, 0}, nil, -1, 1, 2 * ferryservice.DefaultSlots},
 		{"fewer slots than entries", []int{1, 1}, nil, -1, 9, 1},
-		{"the scarcest layer decides", []int{8, 4, 4}, []ferryid.LayerRange{layers(0, 4), layers(4, 8), layers(4, 6)}, -1, 1, 4},
-		{"a layer that none holds", []int{8, 4}, []ferryid.LayerRange{layers(0, 4), layers(4, 8)}, 1, 1, 0},
-		{"none left", []int{8}, nil, 0, 1, 0},
+		{"layer with the fewest slots", []int{8, 4, 4}, []ferryid.LayerRange{layers(0, 4), layers(4, 8), layers(4, 6)}, -1, 1, 4},
+		{"layer without a usable upstream", []int{8, 4}, []ferryid.LayerRange{layers(0, 4), layers(4, 8)}, 1, 1, 0},
+		{"all upstreams leaving", []int{8}, nil, 0, 1, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/ferry/ferryroute/snapshot.go
+++ b/ferry/ferryroute/snapshot.go
@@ -8,31 +8,31 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// State says whether an upstream is chosen.
+// State is the routing state of an upstream.
 type State string
 
-// The states of an upstream; Slow and Down end by themselves through Probing.
+// The states of an upstream. Slow and Down end through Probing without intervention.
 const (
-	// StateLive is an upstream that takes work.
+	// StateLive means that the upstream gets work.
 	StateLive State = "Live"
-	// StateProbing is an upstream that takes one call at a time until it has proved itself.
+	// StateProbing means that the upstream gets one call at a time until enough calls succeed.
 	StateProbing State = "Probing"
-	// StateSlow is an upstream that answers far more slowly than it should, and gets no work for a while.
+	// StateSlow means that the upstream was much slower than expected and gets no work for a while.
 	StateSlow State = "Slow"
-	// StateDown is an upstream that failed, and gets no work for a while.
+	// StateDown means that the upstream failed and gets no work for a while.
 	StateDown State = "Down"
-	// StateLeaving is an upstream that gets no new work any more.
+	// StateLeaving means that the upstream gets no new work.
 	StateLeaving State = "Leaving"
 )
 
-// Candidate is one upstream as a choice sees it.
+// Candidate is one upstream of a snapshot with its current load.
 type Candidate struct {
 	Name          ferryid.UpstreamName `json:"Name"`
 	Address       string               `json:"Address"`
 	FailureDomain ferryid.DomainName   `json:"FailureDomain"`
 	Layers        ferryid.LayerRange   `json:"Layers"`
 	Slots         int                  `json:"Slots"`
-	// Credit is this entry's part of the slots, one while the upstream is probed.
+	// Credit is this entry's part of the slots; 1 while the upstream is probed.
 	Credit      int                     `json:"Credit"`
 	State       State                   `json:"State"`
 	Rate        ferryid.TokensPerSecond `json:"Rate"`
@@ -40,10 +40,10 @@
 	Running     int                     `json:"Running"`
 }
 
-// Candidates is a list of candidates.
+// Candidates is a list of upstreams.
 type Candidates []Candidate
 
-// load is the part of an upstream's state that changes with every call.
+// load is the state of an upstream that changes with every call.
 type load struct {
 	own           atomic.Int64
 	ownRunning    atomic.Int32
@@ -77,14 +77,14 @@
 	load    *load
 }
 
-// Snapshot is the set of upstreams and their states at one moment; loads and rates in it stay current.
+// Snapshot is the set of upstreams and their states at one time. Their loads and rates are live values.
 type Snapshot struct {
 	policy ferryservice.RoutePolicy
 	opts   Options
 	rows   []row
 }
 
-// Len is the number of upstreams.
+// Len returns the number of upstreams.
 func (s *Snapshot) Len() int {
 	return len(s.rows)
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// NameOf returns the upstream at an address.
+// NameOf returns the name of the upstream at an address.
 func (s *Snapshot) NameOf(address string) (ferryid.UpstreamName, bool) {
 	for i := range s.rows {
 		if s.rows[i].address == address {
@@ -114,7 +114,8 @@
 	return "", false
 }
 
-// Candidates returns every upstream that may take work now; a probing one only while it is idle.
+// Candidates returns all upstreams that can get work now. A probed upstream is
+// included only while it is idle.
 func (s *Snapshot) Candidates() Candidates {
 	out := make(Candidates, 0, len(s.rows))
 	for i := range s.rows {
@@ -125,7 +126,7 @@
 	return out
 }
 
-// All returns every upstream with its state.
+// All returns all upstreams.
 func (s *Snapshot) All() Candidates {
 	out := make(Candidates, 0, len(s.rows))
 	for i := range s.rows {
--- a/ferry/ferryroute/split.go
+++ b/ferry/ferryroute/split.go
@@ -2,7 +2,8 @@
 
 import "cactusferry.dev/ferry/ferryid"
 
-// SplitLayers divides n layers into one contiguous range for each rate, so that the slowest stage is as fast as it can be.
+// SplitLayers divides n layers into one contiguous range per rate, so that the slowest
+// stage is as fast as possible.
 func SplitLayers(n ferryid.Layer, rates []ferryid.TokensPerSecond) []ferryid.LayerRange {
 	counts := make([]int, len(rates))
 	for range n {
--- a/ferry/ferryroute/table.go
+++ b/ferry/ferryroute/table.go
@@ -12,7 +12,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// Table holds the state of a service's upstreams as this entry knows it; all methods may be called from any goroutine.
+// Table holds the state of a service's upstreams as this entry knows it. All methods
+// are safe for concurrent use.
 type Table struct {
 	mu        sync.Mutex
 	policy    ferryservice.RoutePolicy
@@ -25,17 +26,17 @@
 	refused   ReportCounts
 }
 
-// upstream is the state of one upstream; row.load in it is shared with the snapshots.
+// upstream is the state of one upstream; row.load is shared with the snapshots.
 type upstream struct {
 	row           row
 	nominal       float64
 	speed         speed
 	health        health
 	leaving       bool
-	reported      time.Time
+	lastReport    time.Time
 	others        float64
 	othersRunning float64
-	heard         bool
+	hasReport     bool
 	history       history
 }
 
@@ -46,7 +47,8 @@
 	return t
 }
 
-// SetDocument takes the upstreams of a service document; what is known of one that stays at its address is kept.
+// SetDocument replaces the upstreams by those of a service document. The state of upstreams with
+// the same address is kept.
 func (t *Table) SetDocument(d *ferryservice.Document) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +83,7 @@
 	u.setRate()
 }
 
-// setRate publishes what the upstream serves with all its slots busy.
+// setRate stores the rate of the upstream with all its slots occupied.
 func (u *upstream) setRate() {
 	r := u.speed.recent
 	if u.speed.samples < minSamples && u.speed.expected > 0 {
@@ -90,7 +92,7 @@
 	u.row.load.rateBits.Store(math.Float64bits(r * float64(max(1, u.row.slots))))
 }
 
-// SetLeaving marks an upstream as leaving or not, whoever said so.
+// SetLeaving sets whether an upstream is leaving.
 func (t *Table) SetLeaving(name ferryid.UpstreamName, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,12 +102,12 @@
 	}
 }
 
-// Snapshot returns the current snapshot, which is never nil.
+// Snapshot returns the current snapshot; it is never nil.
 func (t *Table) Snapshot() *Snapshot {
 	return t.snap.Load()
 }
 
-// Tick lets upstreams whose time out is over be probed.
+// Tick starts probing the upstreams whose exclusion is over.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// publish is called with the lock held.
+// publish stores a new snapshot. The caller must hold the lock.
 func (t *Table) publish() {
 	s := &Snapshot{policy: t.policy, opts: t.opts, rows: make([]row, 0, len(t.upstreams))}
 	for _, u := range t.upstreams {
--- a/ferry/ferryroute/table_test.go
+++ b/ferry/ferryroute/table_test.go
@@ -35,7 +35,7 @@
 	return t
 }
 
-func TestOwnDispatchesCountAtOnce(t *testing.T) {
+func TestOwnCallsCountAtOnce(t *testing.T) {
 	tb := table(6, Options{})
 	r := Rand(1)
 	w := &Work{Predicted: 100}
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestDispatchCountsDownAndOutgrowsItsPrediction(t *testing.T) {
+func TestProgressBeyondThePrediction(t *testing.T) {
 	tb := table(1, Options{})
 	out := func() int { return int(tb.Snapshot().At(0).Outstanding) }
 	d := tb.Start("u0", 100, start)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestReportOutOfOrderChangesNothing(t *testing.T) {
+func TestReportOutOfOrderIsRefused(t *testing.T) {
 	tb := table(1, Options{})
 	assert.NilError(t, tb.Report(Report{Upstream: "u0", OutstandingTokens: 5, At: start}, start))
 	err := tb.Report(Report{Upstream: "u0", OutstandingTokens: 9, At: start.Add(-time.Second)}, start)
@@ -123,7 +123,7 @@
 	assert.Equal(t, got.Running, 3+2)
 }
 
-func TestSlowUpstreamIsTakenOutAndProbedBack(t *testing.T) {
+func TestSlowUpstreamIsExcludedAndProbed(t *testing.T) {
 	tb := table(6, Options{})
 	serve := func(name ferryid.UpstreamName, speed float64, at time.Time) {
 		d := tb.Start(name, 100, at)
@@ -153,7 +153,7 @@
 	assert.Equal(t, tb.Snapshot().At(2).State, StateLive)
 }
 
-// An upstream whose streams share its rate is not slow for having ten of them.
+// TestBusyUpstreamIsNotSlow checks that ten streams that share an upstream's rate do not make it slow.
 func TestBusyUpstreamIsNotSlow(t *testing.T) {
 	tb := table(6, Options{})
 	for range 3 * minSamples {
@@ -178,8 +178,9 @@
 	}
 }
 
-// While there is little to do a stream has an upstream nearly to itself; one that shares its rate with streams that this entry
-// does not know of yet is not slow for that.
+// TestUpstreamAsQuickAsExpectedIsNotSlow guards against excluding an upstream at low load. Most
+// streams then have an upstream to themselves; one that shares it with streams of other entries,
+// not yet reported, is slower.
 func TestUpstreamAsQuickAsExpectedIsNotSlow(t *testing.T) {
 	tb := table(6, Options{})
 	for range 3 * minSamples {
@@ -197,7 +198,8 @@
 	}
 }
 
-// An upstream is sound if its quicker streams are, since the others may wait for another stage of their pipelines.
+// TestPartnerOfASlowUpstreamIsNotSlow checks that an upstream is not slow while its faster streams are not.
+// The slower ones may wait for another stage of their pipelines.
 func TestPartnerOfASlowUpstreamIsNotSlow(t *testing.T) {
 	tb := table(6, Options{})
 	streams := map[int][]*Dispatch{}
@@ -223,7 +225,7 @@
 	assert.Equal(t, tb.Snapshot().At(0).State, StateLive)
 }
 
-func TestAtMostAThirdIsTakenOutForSlowness(t *testing.T) {
+func TestAtMostAThirdIsExcludedAsSlow(t *testing.T) {
 	tb := table(6, Options{})
 	for range 100 {
 		for i := range 6 {
@@ -237,7 +239,7 @@
 			out++
 		}
 	}
-	assert.Assert(t, out <= 2, "%d of 6 out", out)
+	assert.Assert(t, out <= 2, "%d of 6 upstreams are excluded as slow, at most 2 expected", out)
 }
 
 func TestFailures(t *testing.T) {
@@ -276,7 +278,7 @@
 	}
 }
 
-func TestAffinityGivesWayToLoad(t *testing.T) {
+func TestLoadOverridesAffinity(t *testing.T) {
 	tb := table(6, Options{})
 	r := Rand(1)
 	w := &Work{Predicted: 100, Prefix: 42}
@@ -312,7 +314,7 @@
 	}
 }
 
-func TestPartsOfTheSlotsAddUp(t *testing.T) {
+func TestCreditsAddUpToTheSlots(t *testing.T) {
 	for _, entries := range []int{1, 2, 3, 7, 9, 50} {
 		sum := 0
 		for i := range entries {
@@ -326,7 +328,7 @@
 	}
 }
 
-func TestOwnPartOfTheSlotsIsUsedFirst(t *testing.T) {
+func TestOwnCreditIsUsedFirst(t *testing.T) {
 	tb := table(6, Options{})
 	tb.SetShare(0, 4)
 	r := Rand(1)
@@ -350,7 +352,7 @@
 	report(1000)
 	assert.Equal(t, others(), 1000)
 	report(0)
-	assert.Assert(t, others() >= 900, "one report moved the view to %d", others())
+	assert.Assert(t, others() >= 900, "one report changed the average to %d, at least 900 expected", others())
 	for range 200 {
 		report(0)
 	}
