--- a/ferry/ferrypeer/ask.go
+++ b/ferry/ferrypeer/ask.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// MaxAskBytes bounds the body of an Ask and of its answer.
-	MaxAskBytes = 1 << 20
-	askIdleFor  = 30 * time.Second
+	// MaxAskBytes is the maximum size in bytes of the body of an Ask and of its answer.
+	MaxAskBytes    = 1 << 20
+	askIdleTimeout = 30 * time.Second
 )
 
-// UnreachableError says that a named incarnation could not be asked or did not answer.
+// UnreachableError is returned when an Ask could not be sent to an incarnation or was not answered.
 type UnreachableError struct {
 	Name        ferryid.EntryName
 	Incarnation ferryid.Incarnation
-	// Sent says that the request may have reached it.
+	// Sent is set if the peer may have received the request.
 	Sent bool
 	Err  error
 }
@@ -31,7 +31,7 @@
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// GoneError says that the named incarnation runs no more: it left, or a later one answers under its name.
+// GoneError is returned when the requested incarnation has left or was replaced by a later one of the same name.
 type GoneError struct {
 	Name        ferryid.EntryName
 	Incarnation ferryid.Incarnation
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("peer %s (%s) is gone", e.Name, e.Incarnation)
 }
 
-// RefusedError says that the far side did not serve an Ask.
+// RefusedError is returned when the peer did not serve an Ask.
 type RefusedError struct {
 	Name   ferryid.EntryName
 	Status AnswerStatus
@@ -52,8 +52,9 @@
 	return fmt.Sprintf("peer %s refused to answer (status %d): %s", e.Name, e.Status, e.Detail)
 }
 
-// Ask sends a request to one incarnation of an entry and waits for the answer, over its link if there is one, else over a connection opened on demand.
+// Ask sends a request to one incarnation of an entry and waits for the answer.
 //
+// It uses the link to the entry if there is one, otherwise a connection opened on demand.
 // The error is an *UnreachableError, a *GoneError or a *RefusedError.
 func (n *Node) Ask(ctx context.Context, name ferryid.EntryName, inc ferryid.Incarnation, kind AskKind, body []byte) ([]byte, error) {
 	if len(body) > MaxAskBytes {
@@ -77,11 +78,11 @@
 	unreachable := func(sent bool, err error) error {
 		return &UnreachableError{Name: c.peer.Name, Incarnation: c.peer.Incarnation, Sent: sent, Err: err}
 	}
-	id, answer := c.expect()
+	id, answer := c.addPending()
 	if answer == nil {
 		return nil, unreachable(false, fmt.Errorf("connection closed"))
 	}
-	defer c.forget(id)
+	defer c.removePending(id)
 	if !n.enqueue(c, &Ask{ID: id, To: c.tag, Kind: kind, Body: body}) {
 		return nil, unreachable(false, fmt.Errorf("connection is full"))
 	}
@@ -92,11 +93,11 @@
 		if !ok {
 			return nil, unreachable(true, fmt.Errorf("connection closed before the answer"))
 		}
-		return c.judge(a)
+		return c.answerResult(a)
 	}
 }
 
-func (c *conn) judge(a *Answer) ([]byte, error) {
+func (c *conn) answerResult(a *Answer) ([]byte, error) {
 	switch a.Status {
 	case AnswerOK:
 		return a.Body, nil
@@ -106,14 +107,14 @@
 	return nil, &RefusedError{Name: c.peer.Name, Status: a.Status, Detail: string(a.Body)}
 }
 
-// connTo returns a connection to an incarnation: its link, one opened before, or a new one while the pool has room.
+// connTo returns a connection to an incarnation: its link, a pooled connection, or a new one if the pool has room.
 func (n *Node) connTo(ctx context.Context, m Member) (*conn, error) {
 	tag := m.Tag()
-	if c := n.openTo(tag); c != nil {
+	if c := n.existingConn(tag); c != nil {
 		return c, nil
 	}
-	running := n.running()
-	if running == nil {
+	runCtx := n.runContext()
+	if runCtx == nil {
 		return nil, fmt.Errorf("not running")
 	}
 	ws, s, err := n.dial(ctx, m.PeerAddress, PurposeAsk, Dial{Expect: m.Name})
@@ -124,38 +125,39 @@
 		_ = ws.CloseNow()
 		return nil, fmt.Errorf("incarnation %s answers there", s.peer.Incarnation)
 	}
-	c := newConn(running, ws, s.peer, PurposeAsk)
-	kept := n.pool(c)
-	if kept != c {
+	c := newConn(runCtx, ws, s.peer, PurposeAsk)
+	pooled := n.addToPool(c)
+	if pooled != c {
 		_ = ws.CloseNow()
 		c.cancel()
 	}
-	if kept == nil {
-		return nil, fmt.Errorf("all %d connections for asks are in use", maxAskConns)
+	if pooled == nil {
+		return nil, fmt.Errorf("all %d connections for asks are in use", maxOutboundAskConns)
 	}
-	return kept, nil
+	return pooled, nil
 }
 
-func (n *Node) openTo(tag Tag) *conn {
+func (n *Node) existingConn(tag Tag) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.byTag[tag]; c != nil {
 		return c
 	}
-	return n.asks[tag]
+	return n.askConns[tag]
 }
 
-// pool keeps a new connection for asks and serves it; it returns one opened meanwhile, or nil if there is no room.
-func (n *Node) pool(c *conn) *conn {
+// addToPool adds a new connection for asks to the pool and serves it.
+// It returns the pooled connection if another was opened concurrently, and nil if the pool is full.
+func (n *Node) addToPool(c *conn) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if old := n.asks[c.tag]; old != nil {
+	if old := n.askConns[c.tag]; old != nil {
 		return old
 	}
-	if n.ended || (len(n.asks) >= maxAskConns && !n.closeIdleAsk()) {
+	if n.ended || (len(n.askConns) >= maxOutboundAskConns && !n.evictIdleAskConn()) {
 		return nil
 	}
-	n.asks[c.tag] = c
+	n.askConns[c.tag] = c
 	n.wg.Add(2)
 	go func() {
 		defer n.wg.Done()
@@ -165,12 +167,12 @@
 	return c
 }
 
-// closeIdleAsk makes room by closing a connection with nothing outstanding; the caller holds the lock.
-func (n *Node) closeIdleAsk() bool {
-	for tag, c := range n.asks {
+// evictIdleAskConn closes a pooled connection without pending asks to make room; the caller holds n.mu.
+func (n *Node) evictIdleAskConn() bool {
+	for tag, c := range n.askConns {
 		if c.idle() {
-			delete(n.asks, tag)
-			c.end(CloseUnwanted)
+			delete(n.askConns, tag)
+			c.shutdown(CloseUnwanted)
 			return true
 		}
 	}
@@ -179,9 +181,9 @@
 
 func (n *Node) closeWhenIdle(c *conn) {
 	defer n.wg.Done()
-	ticker := n.cfg.Clock.NewTicker(askIdleFor)
+	ticker := n.cfg.Clock.NewTicker(askIdleTimeout)
 	defer ticker.Stop()
-	asked := uint64(0)
+	lastAskID := uint64(0)
 	for {
 		select {
 		case <-c.ctx.Done():
@@ -189,11 +191,11 @@
 		case <-ticker.Chan():
 		}
 		c.mu.Lock()
-		used, idle := c.askID != asked, len(c.pending) == 0
-		asked = c.askID
+		used, idle := c.askID != lastAskID, len(c.pending) == 0
+		lastAskID = c.askID
 		c.mu.Unlock()
 		if idle && !used {
-			c.end(CloseUnwanted)
+			c.shutdown(CloseUnwanted)
 			return
 		}
 	}
@@ -205,8 +207,8 @@
 	return len(c.pending) == 0
 }
 
-// expect makes room for one answer; the channel is nil if the connection has ended.
-func (c *conn) expect() (uint64, chan *Answer) {
+// addPending registers a new ask and returns its ID and answer channel, which is nil if the connection is closed.
+func (c *conn) addPending() (uint64, chan *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -218,13 +220,13 @@
 	return c.askID, ch
 }
 
-func (c *conn) forget(id uint64) {
+func (c *conn) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-func (c *conn) answered(a *Answer) {
+func (c *conn) deliverAnswer(a *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ch := c.pending[a.ID]; ch != nil {
@@ -243,8 +245,8 @@
 	}
 }
 
-// answer serves one Ask in a goroutine of its own while there is a free slot.
-func (n *Node) answer(c *conn, m *Ask) {
+// serveAsk runs the handler of an Ask in a new goroutine if a slot is free, and answers AnswerBusy otherwise.
+func (n *Node) serveAsk(c *conn, m *Ask) {
 	h := n.cfg.Handlers[m.Kind]
 	switch {
 	case m.To != n.cfg.Self.Tag():
@@ -255,16 +257,16 @@
 		return
 	}
 	select {
-	case n.answers <- struct{}{}:
+	case n.answerSlots <- struct{}{}:
 	default:
-		n.counters.add("AsksBusy")
+		n.counters.increment("AsksBusy")
 		n.enqueue(c, &Answer{ID: m.ID, Status: AnswerBusy})
 		return
 	}
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		defer func() { <-n.answers }()
+		defer func() { <-n.answerSlots }()
 		body, err := h(c.ctx, c.peer, m.Body)
 		switch {
 		case err != nil:
--- a/ferry/ferrypeer/choose.go
+++ b/ferry/ferrypeer/choose.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	targetLinks       = 8
-	ringLinks         = 2
-	fewDomains        = 3
-	linksIntoFew      = 2
-	linksIntoMany     = 1
-	maxUnequalFactor  = 3
-	fibonacciMultiply = 0x9E3779B97F4A7C15
+	targetLinks         = 8
+	ringLinks           = 2
+	maxFewDomains       = 3
+	linksPerDomainFew   = 2
+	linksPerDomainMany  = 1
+	maxSizeRatio        = 3
+	fibonacciMultiplier = 0x9E3779B97F4A7C15
 )
 
-// Candidate is an entry that a link may lead to.
+// Candidate is an entry that can be chosen as the far end of a link.
 type Candidate struct {
 	Name          ferryid.EntryName
 	FailureDomain ferryid.DomainName
 }
 
-// ChooseLinks returns the names to which self keeps links, by computation alone, so that both ends of a link choose it when they know the same candidates.
+// ChooseLinks returns the sorted names of the entries that self keeps links to.
 //
-// Inside a failure domain the entries form a ring by hash and fill up with a greedy matching by
-// rendezvous weight; between each two domains there is a matching. A change of one candidate moves few links.
+// The choice is deterministic and symmetric: both ends of a link choose it if they know the same candidates.
+// Within a failure domain the entries form a hash ring, filled up by a greedy matching by rendezvous weight.
+// Each pair of domains is connected by a matching. A change of one candidate moves few links.
 func ChooseLinks(self Candidate, candidates []Candidate) []ferryid.EntryName {
 	domains := byDomain(self, candidates)
 	own := domains[self.FailureDomain]
 	others := len(domains) - 1
-	into := linksIntoMany
-	if others <= fewDomains {
-		into = linksIntoFew
+	linksPerDomain := linksPerDomainMany
+	if others <= maxFewDomains {
+		linksPerDomain = linksPerDomainFew
 	}
-	extra := max(0, targetLinks-ringLinks-others*into)
+	extra := max(0, targetLinks-ringLinks-others*linksPerDomain)
 	chosen := map[ferryid.EntryName]bool{}
-	chooseInside(self.Name, own, extra, chosen)
-	for d, theirs := range domains {
+	chooseWithinDomain(self.Name, own, extra, chosen)
+	for d, other := range domains {
 		if d != self.FailureDomain {
-			chooseBetween(self.Name, own, theirs, into, chosen)
+			chooseBetweenDomains(self.Name, own, other, linksPerDomain, chosen)
 		}
 	}
 	out := make([]ferryid.EntryName, 0, len(chosen))
@@ -79,46 +80,47 @@
 	return out
 }
 
-func chooseInside(self ferryid.EntryName, own []point, extra int, chosen map[ferryid.EntryName]bool) {
+func chooseWithinDomain(self ferryid.EntryName, own []point, extra int, chosen map[ferryid.EntryName]bool) {
 	n := len(own)
-	ringEdge := func(i, j int) bool { return j-i == 1 || j-i == n-1 }
+	isRingEdge := func(i, j int) bool { return j-i == 1 || j-i == n-1 }
 	edges := make([]edge, 0, n*(n-1)/2)
 	for i := range n {
 		for j := i + 1; j < n; j++ {
-			if !ringEdge(i, j) {
-				edges = append(edges, edge{weight: weigh(own[i].hash, own[j].hash), a: i, b: j})
+			if !isRingEdge(i, j) {
+				edges = append(edges, edge{weight: edgeWeight(own[i].hash, own[j].hash), a: i, b: j})
 				continue
 			}
-			choose(self, own[i].name, own[j].name, chosen)
+			addLink(self, own[i].name, own[j].name, chosen)
 		}
 	}
-	room := fill(n, extra)
-	match(edges, room, room, func(a, b int) {
-		choose(self, own[a].name, own[b].name, chosen)
+	capacity := repeated(n, extra)
+	match(edges, capacity, capacity, func(a, b int) {
+		addLink(self, own[a].name, own[b].name, chosen)
 	})
 }
 
-// chooseBetween matches two failure domains so that each entry of both has a link, up to a threefold difference in size.
-func chooseBetween(self ferryid.EntryName, own, theirs []point, into int, chosen map[ferryid.EntryName]bool) {
-	edges := make([]edge, 0, len(own)*len(theirs))
+// chooseBetweenDomains matches two failure domains so that each entry of both has a link,
+// as long as one domain has at most maxSizeRatio times as many entries as the other.
+func chooseBetweenDomains(self ferryid.EntryName, own, other []point, linksPerEntry int, chosen map[ferryid.EntryName]bool) {
+	edges := make([]edge, 0, len(own)*len(other))
 	for i, a := range own {
-		for j, b := range theirs {
-			edges = append(edges, edge{weight: weigh(a.hash, b.hash), a: i, b: j})
+		for j, b := range other {
+			edges = append(edges, edge{weight: edgeWeight(a.hash, b.hash), a: i, b: j})
 		}
 	}
-	take := func(a, b int) { choose(self, own[a].name, theirs[b].name, chosen) }
-	left, right := fill(len(own), into), fill(len(theirs), into)
+	take := func(a, b int) { addLink(self, own[a].name, other[b].name, chosen) }
+	left, right := repeated(len(own), linksPerEntry), repeated(len(other), linksPerEntry)
 	match(edges, left, right, take)
-	more := into * (min(maxUnequalFactor, ceilDiv(max(len(own), len(theirs)), min(len(own), len(theirs)))) - 1)
-	if len(own) < len(theirs) {
-		left = fill(len(own), more)
+	extra := linksPerEntry * (min(maxSizeRatio, ceilDiv(max(len(own), len(other)), min(len(own), len(other)))) - 1)
+	if len(own) < len(other) {
+		left = repeated(len(own), extra)
 	} else {
-		right = fill(len(theirs), more)
+		right = repeated(len(other), extra)
 	}
 	match(edges, left, right, take)
 }
 
-func choose(self, a, b ferryid.EntryName, chosen map[ferryid.EntryName]bool) {
+func addLink(self, a, b ferryid.EntryName, chosen map[ferryid.EntryName]bool) {
 	switch self {
 	case a:
 		chosen[b] = true
@@ -133,7 +135,8 @@
 	taken  bool
 }
 
-// match takes edges from the heaviest down while both ends have room left, and leaves in left and right what room remains.
+// match takes edges by descending weight while both ends have capacity left.
+// On return left and right hold the remaining capacities.
 func match(edges []edge, left, right []int, take func(a, b int)) {
 	slices.SortFunc(edges, heavierFirst)
 	for i := range edges {
@@ -148,7 +151,7 @@
 	}
 }
 
-// heavierFirst compares the rest of two edges only where their weights are equal, which is rare.
+// heavierFirst compares the endpoints only if the weights are equal, which is rare.
 func heavierFirst(x, y edge) int {
 	switch {
 	case x.weight > y.weight:
@@ -159,7 +162,7 @@
 	return cmp.Or(cmp.Compare(x.a, y.a), cmp.Compare(x.b, y.b))
 }
 
-func fill(n, v int) []int {
+func repeated(n, v int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = v
@@ -171,20 +174,20 @@
 	return (a + b - 1) / b
 }
 
-// weigh is symmetric, so both ends rank a link alike.
-func weigh(a, b uint64) uint64 {
+// edgeWeight is symmetric, so that both ends compute the same weight for a link.
+func edgeWeight(a, b uint64) uint64 {
 	return mix(mix(min(a, b)) ^ max(a, b))
 }
 
 func mix(x uint64) uint64 {
 	x ^= x >> 32
-	x *= fibonacciMultiply
+	x *= fibonacciMultiplier
 	x ^= x >> 29
-	x *= fibonacciMultiply
+	x *= fibonacciMultiplier
 	return x ^ x>>32
 }
 
-// fraction returns a number in [0, 1) that is the same each time for one hash.
+// fraction maps a hash to a number in [0, 1).
 func fraction(h uint64) float64 {
 	return float64(mix(h)>>11) / (1 << 53)
 }
--- a/ferry/ferrypeer/conn.go
+++ b/ferry/ferrypeer/conn.go
@@ -19,26 +19,26 @@
 	writeTimeout      = 4 * time.Second
 	dialTimeout       = 2 * time.Second
 	compressFromBytes = 4 << 10
-	// closeTimeout is how long a connection that ends may take to hand over what is queued; links take a few milliseconds, and a process
-	// that stops must not wait for a peer that fell silent.
+	// closeTimeout bounds the flush of queued frames when a connection is closed. A flush normally takes a few
+	// milliseconds, and a stopping process must not wait for an unresponsive peer.
 	closeTimeout = 400 * time.Millisecond
 )
 
-// conn is one authenticated connection, a link or one for asks; one goroutine reads it and one writes it.
+// conn is an authenticated connection, either a link or one for asks, with one reader and one writer goroutine.
 type conn struct {
-	id      LinkID
-	purpose Purpose
-	peer    Member
-	tag     Tag
-	ws      *websocket.Conn
-	out     chan []byte
-	bytes   atomic.Int64
-	ctx     context.Context
-	cancel  context.CancelFunc
-	reason  atomic.Pointer[CloseReason]
-	// reading ends the reads of a connection that has not ended by itself.
-	reading     context.Context
-	stopReading context.CancelFunc
+	id          LinkID
+	purpose     Purpose
+	peer        Member
+	tag         Tag
+	ws          *websocket.Conn
+	out         chan []byte
+	queuedBytes atomic.Int64
+	ctx         context.Context
+	cancel      context.CancelFunc
+	reason      atomic.Pointer[CloseReason]
+	// readCtx is cancelled by the writer to unblock a pending read.
+	readCtx    context.Context
+	cancelRead context.CancelFunc
 
 	mu      sync.Mutex
 	askID   uint64
@@ -51,33 +51,33 @@
 		purpose: purpose, peer: peer, tag: peer.Tag(), ws: ws,
 		out: make(chan []byte, outboxFrames), pending: map[uint64]chan *Answer{},
 	}
-	// The connection outlives the node's context for as long as it takes to tell the peer why it ends.
+	// The connection outlives the node's context until the close reason has been sent to the peer.
 	c.ctx, c.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	c.reading, c.stopReading = context.WithCancel(context.Background())
+	c.readCtx, c.cancelRead = context.WithCancel(context.Background())
 	return c
 }
 
-// put hands a frame to the writer and reports false when the outbox is full.
-func (c *conn) put(frame []byte) bool {
-	if c.bytes.Load() > outboxBytes {
+// tryEnqueue queues a frame for the writer and reports false if the outbox is full.
+func (c *conn) tryEnqueue(frame []byte) bool {
+	if c.queuedBytes.Load() > outboxBytes {
 		return false
 	}
 	select {
 	case c.out <- frame:
-		c.bytes.Add(int64(len(frame)))
+		c.queuedBytes.Add(int64(len(frame)))
 		return true
 	default:
 		return false
 	}
 }
 
-// end closes the connection for the given reason; the first reason stays.
-func (c *conn) end(reason CloseReason) {
+// shutdown closes the connection; only the reason of the first call is kept.
+func (c *conn) shutdown(reason CloseReason) {
 	c.reason.CompareAndSwap(nil, &reason)
 	c.cancel()
 }
 
-// Handler serves GET /peer, by which other entries connect.
+// Handler serves GET /peer, the endpoint that other entries connect to.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", n.accept)
@@ -85,21 +85,21 @@
 }
 
 func (n *Node) accept(w http.ResponseWriter, r *http.Request) {
-	ctx := n.enter()
+	ctx := n.acquireRunContext()
 	if ctx == nil {
 		http.Error(w, "not running", http.StatusServiceUnavailable)
 		return
 	}
 	defer n.wg.Done()
 	if n.cfg.TLS != nil && (r.TLS == nil || len(r.TLS.PeerCertificates) == 0) {
-		n.counters.add(string(CloseUnauthenticated))
+		n.counters.increment(string(CloseUnauthenticated))
 		http.Error(w, "a client certificate is needed", http.StatusUnauthorized)
 		return
 	}
 	select {
-	case n.hellos <- struct{}{}:
+	case n.helloSlots <- struct{}{}:
 	default:
-		n.counters.add(string(CloseFull))
+		n.counters.increment(string(CloseFull))
 		http.Error(w, "too many hellos at once", http.StatusServiceUnavailable)
 		return
 	}
@@ -107,14 +107,14 @@
 		CompressionMode: websocket.CompressionNoContextTakeover, CompressionThreshold: compressFromBytes,
 	})
 	if err != nil {
-		<-n.hellos
-		n.counters.add(string(CloseMalformed))
+		<-n.helloSlots
+		n.counters.increment(string(CloseMalformed))
 		return
 	}
 	s, err := n.acceptHello(ctx, ws)
-	<-n.hellos
+	<-n.helloSlots
 	if err != nil {
-		n.refused(ws, err)
+		n.rejectConn(ws, err)
 		return
 	}
 	n.serveAccepted(ctx, ws, s)
@@ -124,20 +124,20 @@
 	c := newConn(ctx, ws, s.peer, s.purpose)
 	if s.purpose == PurposeAsk {
 		select {
-		case n.askers <- struct{}{}:
-			defer func() { <-n.askers }()
+		case n.inboundAskSlots <- struct{}{}:
+			defer func() { <-n.inboundAskSlots }()
 		default:
-			n.refused(ws, &HelloError{Reason: CloseFull})
+			n.rejectConn(ws, &HelloError{Reason: CloseFull})
 			return
 		}
 	}
 	n.serve(c, LinkUp{Peer: s.peer, Topics: s.topics})
 }
 
-// refused counts and closes a connection whose hello failed.
-func (n *Node) refused(ws *websocket.Conn, err error) {
+// rejectConn counts and closes a connection whose hello failed.
+func (n *Node) rejectConn(ws *websocket.Conn, err error) {
 	reason := reasonOf(err)
-	n.counters.add(string(reason))
+	n.counters.increment(string(reason))
 	n.cfg.Events.Add("PeerRefused", "", "%s: %v", reason, err)
 	_ = ws.Close(websocket.StatusPolicyViolation, string(reason))
 	_ = ws.CloseNow()
@@ -161,8 +161,8 @@
 	return CloseUnreachable
 }
 
-// running returns the context of Run, or nil before and after it.
-func (n *Node) running() context.Context {
+// runContext returns the context of Run, or nil if Run has not started or has ended.
+func (n *Node) runContext() context.Context {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ended {
@@ -171,8 +171,9 @@
 	return n.ctx
 }
 
-// enter is running for a goroutine that Run is to wait for; unless it returns nil, the caller ends with n.wg.Done.
-func (n *Node) enter() context.Context {
+// acquireRunContext returns runContext and registers the caller with n.wg, so that Run waits for it.
+// Unless the result is nil, the caller must call n.wg.Done.
+func (n *Node) acquireRunContext() context.Context {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ended || n.ctx == nil {
@@ -182,12 +183,12 @@
 	return n.ctx
 }
 
-// dialLink opens a link and serves it until it ends.
+// dialLink opens a link and serves it until it is closed.
 func (n *Node) dialLink(ctx context.Context, d Dial) {
 	defer n.wg.Done()
 	ws, s, err := n.dial(ctx, d.Address, PurposeLink, d)
 	if err != nil {
-		n.cfg.Log.Debug().Err(err).Str("address", d.Address).Msg("dial peer")
+		n.cfg.Log.Debug().Err(err).Str("address", d.Address).Msg("dial peer failed")
 		n.post(DialFailed{Key: d.Key, Reason: reasonOf(err)})
 		return
 	}
@@ -215,7 +216,7 @@
 	return ws, s, nil
 }
 
-// serve runs a connection until it ends.
+// serve reads and writes a connection until it is closed.
 func (n *Node) serve(c *conn, up LinkUp) {
 	c.ws.SetReadLimit(MaxFrameBytes)
 	n.register(c)
@@ -226,10 +227,10 @@
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		n.write(c)
+		n.writeLoop(c)
 	}()
-	n.read(c)
-	c.end(CloseUnreachable)
+	n.readLoop(c)
+	c.shutdown(CloseUnreachable)
 	<-written
 	n.unregister(c)
 	if c.purpose == PurposeLink {
@@ -244,7 +245,7 @@
 	c.id = n.nextID
 	n.conns[c.id] = c
 	if n.ended {
-		c.end(CloseLeaving)
+		c.shutdown(CloseLeaving)
 	}
 	if c.purpose == PurposeLink {
 		n.byTag[c.tag] = c
@@ -257,15 +258,16 @@
 	if n.byTag[c.tag] == c {
 		delete(n.byTag, c.tag)
 	}
-	if n.asks[c.tag] == c {
-		delete(n.asks, c.tag)
+	if n.askConns[c.tag] == c {
+		delete(n.askConns, c.tag)
 	}
 	n.mu.Unlock()
 	c.failPending()
 }
 
-// write sends what is queued; after the end it still tries what was queued before, so that a leaving process is heard.
-func (n *Node) write(c *conn) {
+// writeLoop writes queued frames. After the connection was closed it still flushes the queue,
+// so that the Left record of a leaving process reaches its peers.
+func (n *Node) writeLoop(c *conn) {
 	for {
 		select {
 		case frame := <-c.out:
@@ -274,19 +276,19 @@
 				return
 			}
 		case <-c.ctx.Done():
-			n.writeRest(c)
+			n.flushAndClose(c)
 			return
 		}
 	}
 }
 
-// writeRest sends what is queued, says why the connection ends, and waits a little for the peer to have heard it.
-func (n *Node) writeRest(c *conn) {
-	defer c.stopReading()
-	heard := make(chan struct{})
+// flushAndClose flushes the queue and closes the WebSocket with the close reason, within closeTimeout.
+func (n *Node) flushAndClose(c *conn) {
+	defer c.cancelRead()
+	closed := make(chan struct{})
 	go func() {
-		defer close(heard)
-		if !n.writeQueued(c) {
+		defer close(closed)
+		if !n.drainOutbox(c) {
 			_ = c.ws.CloseNow()
 			return
 		}
@@ -297,13 +299,13 @@
 		_ = c.ws.CloseNow()
 	}()
 	select {
-	case <-heard:
+	case <-closed:
 	case <-n.cfg.Clock.After(closeTimeout):
 	}
 }
 
-// writeQueued reports whether all that was queued is written.
-func (n *Node) writeQueued(c *conn) bool {
+// drainOutbox writes all queued frames and reports whether every write succeeded.
+func (n *Node) drainOutbox(c *conn) bool {
 	for {
 		select {
 		case frame := <-c.out:
@@ -317,54 +319,55 @@
 }
 
 func (n *Node) writeFrame(c *conn, frame []byte) bool {
-	defer c.bytes.Add(-int64(len(frame)))
+	defer c.queuedBytes.Add(-int64(len(frame)))
 	ctx, cancel := clockwork.WithTimeout(context.Background(), n.cfg.Clock, writeTimeout)
 	defer cancel()
 	if err := c.ws.Write(ctx, websocket.MessageBinary, frame); err != nil {
-		c.end(CloseUnreachable)
+		c.shutdown(CloseUnreachable)
 		return false
 	}
 	return true
 }
 
-// read ends when the writer has closed the connection; a read cancelled with the connection's context would close it before the rest is written.
-func (n *Node) read(c *conn) {
-	defer c.stopReading()
+// readLoop ends when the writer has closed the connection. Reads do not use the connection's context:
+// cancelling a read closes the WebSocket before the queue is flushed.
+func (n *Node) readLoop(c *conn) {
+	defer c.cancelRead()
 	for {
-		typ, frame, err := c.ws.Read(c.reading)
+		typ, frame, err := c.ws.Read(c.readCtx)
 		if err != nil {
 			return
 		}
-		if typ != websocket.MessageBinary || !n.take(c, frame) {
-			n.cutOff(c, CloseMalformed)
+		if typ != websocket.MessageBinary || !n.handleFrame(c, frame) {
+			n.disconnect(c, CloseMalformed)
 			return
 		}
 	}
 }
 
-func (n *Node) cutOff(c *conn, reason CloseReason) {
-	n.counters.add(string(reason))
+func (n *Node) disconnect(c *conn, reason CloseReason) {
+	n.counters.increment(string(reason))
 	n.cfg.Events.Add("PeerCutOff", string(c.peer.Name), "%s", reason)
-	c.end(reason)
+	c.shutdown(reason)
 }
 
-// take handles one frame and reports false if the peer is to be cut off.
-func (n *Node) take(c *conn, frame []byte) bool {
+// handleFrame processes one frame and reports false if the peer must be disconnected.
+func (n *Node) handleFrame(c *conn, frame []byte) bool {
 	e, m, err := Decode(frame)
 	var unknown *UnknownKindError
 	switch {
 	case errors.As(err, &unknown) && e.From == c.tag:
-		n.counters.add("UnknownKinds")
+		n.counters.increment("UnknownKinds")
 		return true
 	case err != nil || e.From != c.tag:
 		return false
 	}
-	n.witness(e)
+	n.advanceClock(e)
 	switch m := m.(type) {
 	case *Ask:
-		n.answer(c, m)
+		n.serveAsk(c, m)
 	case *Answer:
-		c.answered(m)
+		c.deliverAnswer(m)
 	case *Hello, *Proof:
 		return false
 	default:
@@ -376,16 +379,18 @@
 	return true
 }
 
-// witness moves the hybrid clock on, unless the peer's clock is far ahead.
-func (n *Node) witness(e Envelope) {
-	if e.Sent.Time().After(n.cfg.Clock.Now().Add(maxAhead)) {
-		n.counters.add("ClockAhead")
+// advanceClock advances the hybrid logical clock to the timestamp of a message,
+// unless the peer's clock is ahead by more than maxClockSkew.
+func (n *Node) advanceClock(e Envelope) {
+	if e.Sent.Time().After(n.cfg.Clock.Now().Add(maxClockSkew)) {
+		n.counters.increment("ClockAhead")
 		return
 	}
 	n.cfg.Events.Witness(e.Sent)
 }
 
-// send queues a message of the core. A link whose outbox is half full loses volatile items; one that is full is closed, and digests repair it later.
+// send queues a message of the core. Volatile items are dropped if the outbox of the link is half full.
+// A link with a full outbox is closed; digests repair the missing items later.
 func (n *Node) send(a Send) {
 	n.mu.Lock()
 	c := n.conns[a.Link]
@@ -394,22 +399,22 @@
 		return
 	}
 	if p, ok := a.Message.(*Push); ok && n.volatile[p.Topic] && len(c.out) > outboxFrames/2 {
-		n.counters.add("VolatileDropped")
+		n.counters.increment("VolatileDropped")
 		return
 	}
 	n.enqueue(c, a.Message)
 }
 
-// enqueue encodes a message into a connection's outbox, and cuts the connection off if that is full.
+// enqueue encodes a message and queues it; a connection with a full outbox is closed.
 func (n *Node) enqueue(c *conn, m Message) bool {
 	frame, err := Encode(n.cfg.Self.Tag(), n.cfg.Events.Now(), m)
 	if err != nil || len(frame) > MaxFrameBytes {
-		n.counters.add("Unsendable")
-		n.cfg.Log.Error().Err(err).Int("bytes", len(frame)).Msg("encode message to peer")
+		n.counters.increment("Unsendable")
+		n.cfg.Log.Error().Err(err).Int("bytes", len(frame)).Msg("message to peer not sent: encoding failed or frame larger than 2 MiB")
 		return false
 	}
-	if !c.put(frame) {
-		n.cutOff(c, CloseSlow)
+	if !c.tryEnqueue(frame) {
+		n.disconnect(c, CloseSlow)
 		return false
 	}
 	return true
@@ -420,7 +425,7 @@
 	c := n.conns[id]
 	n.mu.Unlock()
 	if c != nil {
-		c.end(reason)
+		c.shutdown(reason)
 	}
 }
 
@@ -429,16 +434,16 @@
 	defer n.mu.Unlock()
 	n.ended = true
 	for _, c := range n.conns {
-		c.end(CloseLeaving)
+		c.shutdown(CloseLeaving)
 	}
 }
 
-func (n *Node) queued() int {
+func (n *Node) queuedBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 0
 	for _, c := range n.conns {
-		sum += int(c.bytes.Load())
+		sum += int(c.queuedBytes.Load())
 	}
 	return sum
 }
--- a/ferry/ferrypeer/envelope.go
+++ b/ferry/ferrypeer/envelope.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// Version is the version of the messages that this release writes.
+	// Version is the protocol version of the messages that this release sends.
 	Version = 1
-	// MinVersion is the lowest version that this release still understands.
+	// MinVersion is the lowest protocol version that this release accepts.
 	MinVersion = 1
-	// MaxFrameBytes bounds one message on a link.
+	// MaxFrameBytes is the maximum size in bytes of an encoded message.
 	MaxFrameBytes = 2 << 20
 
 	maxArrayElements = 1 << 14
@@ -21,7 +21,7 @@
 	maxNestedLevels  = 8
 )
 
-// Envelope is the frame of each message between entries.
+// Envelope is the outer structure of each message between entries.
 type Envelope struct {
 	Version uint16               `cbor:"1,keyasint"`
 	Kind    Kind                 `cbor:"2,keyasint"`
@@ -30,7 +30,7 @@
 	Body    cbor.RawMessage      `cbor:"5,keyasint"`
 }
 
-// MalformedError says that a frame could not be decoded or holds a value out of bounds.
+// MalformedError is returned for a frame that can't be decoded or has a value out of bounds.
 type MalformedError struct {
 	Kind Kind
 	Err  error
@@ -42,7 +42,7 @@
 
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// VersionError says that the far side writes a version that this release no longer understands.
+// VersionError is returned for a message whose protocol version is below MinVersion.
 type VersionError struct {
 	Version uint16
 }
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("message version %d is below the minimum %d", e.Version, MinVersion)
 }
 
-// UnknownKindError says that a message is of a kind that a later release added; it is to be ignored.
+// UnknownKindError is returned for a message kind added by a later release; the message must be ignored.
 type UnknownKindError struct {
 	Kind Kind
 }
@@ -87,7 +87,7 @@
 	return m
 }
 
-// Encode writes a message from the given incarnation as one frame.
+// Encode encodes a message from the given incarnation as one frame.
 func Encode(from Tag, sent ferryevent.Timestamp, m Message) ([]byte, error) {
 	body, err := encMode.Marshal(m)
 	if err != nil {
@@ -96,7 +96,9 @@
 	return encMode.Marshal(Envelope{Version: Version, Kind: m.kind(), From: from, Sent: sent, Body: body})
 }
 
-// Decode reads one frame and checks it; the error is a *MalformedError, a *VersionError or an *UnknownKindError.
+// Decode decodes and validates a frame.
+//
+// The error is a *MalformedError, a *VersionError or an *UnknownKindError.
 func Decode(frame []byte) (Envelope, Message, error) {
 	var e Envelope
 	if len(frame) > MaxFrameBytes {
--- a/ferry/ferrypeer/envelope_test.go
+++ b/ferry/ferrypeer/envelope_test.go
@@ -18,7 +18,7 @@
 	PeerAddress: "127.0.0.1:7400", CallerAddress: "127.0.0.1:8400",
 }
 
-func everyMessage() []Message {
+func allMessages() []Message {
 	return []Message{
 		&Heartbeat{Hash: 1 << 60, Wanted: true},
 		&Push{Topic: "members", Items: []Item{encodeRecord(Record{Tag: testMember.Tag(), Member: &testMember, Beat: 3, Status: Alive, State: Ready})}},
@@ -33,7 +33,7 @@
 }
 
 func TestEnvelopeRoundTrip(t *testing.T) {
-	for _, m := range everyMessage() {
+	for _, m := range allMessages() {
 		frame, err := Encode(7, ferryevent.Timestamp{Micros: 5, Logical: 6}, m)
 		assert.NilError(t, err)
 		e, got, err := Decode(frame)
@@ -44,7 +44,7 @@
 	}
 }
 
-// newerHeartbeat is what a later release may send.
+// newerHeartbeat is a Heartbeat with a field added by a later release.
 type newerHeartbeat struct {
 	Hash   uint64 `cbor:"1,keyasint"`
 	Wanted bool   `cbor:"2,keyasint"`
@@ -61,7 +61,7 @@
 	return frame
 }
 
-func TestTwoReleasesSideBySide(t *testing.T) {
+func TestVersionCompatibility(t *testing.T) {
 	_, m, err := Decode(frameOf(t, Envelope{Version: Version + 1, Kind: KindHeartbeat}, newerHeartbeat{Hash: 5, Added: "later"}))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, m, &Heartbeat{Hash: 5})
@@ -75,19 +75,19 @@
 	assert.Assert(t, errors.As(err, &old), "%v", err)
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		frame []byte
 	}{
-		{"nothing", nil},
+		{"empty frame", nil},
 		{"not CBOR", []byte("GET / HTTP/1.1")},
 		{"too large", make([]byte, MaxFrameBytes+1)},
 		{"indefinite length", []byte{0xbf, 0x01, 0x01, 0xff}},
 		{"deep nesting", bytes.Repeat([]byte{0x81}, 1000)},
-		{"long array announced", []byte{0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}},
+		{"array header with an excessive length", []byte{0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}},
 		{"short nonce", frameOf(t, Envelope{Version: 1, Kind: KindHello}, Hello{Purpose: PurposeLink, Member: testMember, Nonce: []byte{1}})},
-		{"no member", frameOf(t, Envelope{Version: 1, Kind: KindHello}, Hello{Purpose: PurposeLink, Nonce: make([]byte, nonceBytes)})},
+		{"hello without a member", frameOf(t, Envelope{Version: 1, Kind: KindHello}, Hello{Purpose: PurposeLink, Nonce: make([]byte, nonceBytes)})},
 		{"short proof", frameOf(t, Envelope{Version: 1, Kind: KindProof}, Proof{})},
 		{"topic without a name", frameOf(t, Envelope{Version: 1, Kind: KindPush}, Push{})},
 		{"digest too long", frameOf(t, Envelope{Version: 1, Kind: KindDigest}, Digest{Topic: "a", Digest: make([]byte, maxDigestBytes+1)})},
@@ -101,9 +101,9 @@
 	}
 }
 
-// FuzzDecode checks that whatever is decoded passes its own check and encodes to a frame that decodes alike.
+// FuzzDecode checks that each decoded message can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
-	for _, m := range everyMessage() {
+	for _, m := range allMessages() {
 		frame, err := Encode(7, ferryevent.Timestamp{Micros: 5}, m)
 		assert.NilError(f, err)
 		f.Add(frame)
@@ -121,7 +121,7 @@
 	})
 }
 
-// FuzzRecord checks that no item from a peer breaks the table.
+// FuzzRecord checks that no item from a peer corrupts the membership table.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(encodeRecord(Record{Tag: testMember.Tag(), Member: &testMember, Beat: 3, Status: Dead, State: Ready, Until: 1 << 40})))
 	f.Add([]byte(encodeRecord(Record{Tag: 1, Beat: 1 << 63, Status: Left, State: Draining})))
@@ -141,24 +141,24 @@
 	})
 }
 
-type smallText string
+type shortText string
 
-func (s smallText) Check() error {
+func (s shortText) Check() error {
 	if len(s) > 10 {
 		return errors.New("too long")
 	}
 	return nil
 }
 
-func newTestLatest(size int) (*Latest[smallText], *clockwork.FakeClock) {
+func newTestLatest(size int) (*Latest[shortText], *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClockAt(time.Unix(10000, 0))
 	cfg := LatestConfig{Name: "drains", Self: "entry-0", Size: size, Clock: clock, Events: ferryevent.NewLog(clock, "entry-0", 1)}
-	return NewLatest[smallText](cfg), clock
+	return NewLatest[shortText](cfg), clock
 }
 
-// FuzzEntry checks that no entry from a peer passes the bounds of a Latest.
+// FuzzEntry checks that a Latest accepts no entry from a peer that is out of bounds.
 func FuzzEntry(f *testing.F) {
-	e := Entry[smallText]{Key: "a", Value: "v", At: ferryevent.Timestamp{Micros: 10000e6}, Origin: "entry-1", TTLSeconds: 60}
+	e := Entry[shortText]{Key: "a", Value: "v", At: ferryevent.Timestamp{Micros: 10000e6}, Origin: "entry-1", TTLSeconds: 60}
 	f.Add([]byte(encodeEntry(e)))
 	e.At.Micros = 1 << 62
 	f.Add([]byte(encodeEntry(e)))
@@ -168,7 +168,7 @@
 		assert.Assert(t, err == nil || !ok)
 		for _, e := range l.All() {
 			assert.NilError(t, e.Value.Check())
-			assert.Assert(t, !e.At.Time().After(clock.Now().Add(maxAhead)))
+			assert.Assert(t, !e.At.Time().After(clock.Now().Add(maxClockSkew)))
 		}
 	})
 }
@@ -177,7 +177,7 @@
 	l, clock := newTestLatest(2)
 	at := clock.Now().UnixMicro()
 	apply := func(key, v, origin string, micros int64, ttl uint32) bool {
-		e := Entry[smallText]{Key: key, Value: smallText(v), Origin: testMember.Name, At: ferryevent.Timestamp{Micros: micros}, TTLSeconds: ttl}
+		e := Entry[shortText]{Key: key, Value: shortText(v), Origin: testMember.Name, At: ferryevent.Timestamp{Micros: micros}, TTLSeconds: ttl}
 		if origin != "" {
 			e.Origin = "entry-9"
 		}
@@ -187,16 +187,16 @@
 	}
 	assert.Assert(t, apply("a", "one", "", at, 60))
 	assert.Assert(t, !apply("a", "older", "", at-1, 60))
-	assert.Assert(t, apply("a", "tie", "entry-9", at, 60), "the greater origin wins a tie")
-	assert.Assert(t, !apply("a", "ahead", "", at+2*maxAhead.Microseconds(), 60))
+	assert.Assert(t, apply("a", "tie", "entry-9", at, 60), "on equal timestamps the entry with the greater origin must win")
+	assert.Assert(t, !apply("a", "ahead", "", at+2*maxClockSkew.Microseconds(), 60))
 	assert.Assert(t, l.Set("b", "two", 30*time.Second))
-	assert.Assert(t, !apply("c", "brief", "", at, 10), "the one that expires first gives way, here the new one")
-	assert.Assert(t, apply("c", "three", "", at, 45), "the one that expires first gives way, here b")
+	assert.Assert(t, !apply("c", "brief", "", at, 10), "a full map must refuse a new entry that would expire first")
+	assert.Assert(t, apply("c", "three", "", at, 45), "a full map must evict the entry that expires first, here b")
 	_, ok := l.Get("b")
 	assert.Assert(t, !ok)
 	e, ok := l.Get("a")
 	assert.Assert(t, ok)
-	assert.Equal(t, e.Value, smallText("tie"))
+	assert.Equal(t, e.Value, shortText("tie"))
 	clock.Advance(50 * time.Second)
 	assert.Equal(t, len(l.All()), 1)
 	clock.Advance(11 * time.Second)
@@ -204,7 +204,7 @@
 	assert.Equal(t, l.Refused(), uint64(2))
 }
 
-func TestListReadsGrowMoreSlowlyThanTheFleet(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	for _, tc := range []struct {
 		live int
 		want time.Duration
--- a/ferry/ferrypeer/fleet_test.go
+++ b/ferry/ferrypeer/fleet_test.go
@@ -14,8 +14,9 @@
 
 var start = time.Date(2026, 12, 4, 5, 0, 0, 0, time.UTC)
 
-// converged says what differs from: everyone holds exactly the running cores as alive, and links are bounded and mutual.
-func converged(f *ferrypeertest.Fleet) string {
+// difference describes the first deviation from the converged state, or returns an empty string.
+// In the converged state each core has exactly the running cores as alive, and at most MaxLinks links.
+func difference(f *ferrypeertest.Fleet) string {
 	for name, c := range f.Cores() {
 		ms := c.Overlay.Members()
 		live := map[ferryid.EntryName]bool{}
@@ -29,14 +30,14 @@
 			live[m.Name] = true
 			o := f.Core(m.Name)
 			if o == nil {
-				return fmt.Sprintf("%s holds %s, which is gone", name, m.Name)
+				return fmt.Sprintf("%s has %s as alive, which is not running", name, m.Name)
 			}
 			if o.Member.Incarnation != m.Incarnation {
-				return fmt.Sprintf("%s holds an old incarnation of %s", name, m.Name)
+				return fmt.Sprintf("%s has an old incarnation of %s", name, m.Name)
 			}
 		}
 		if len(live) != len(f.Cores()) {
-			return fmt.Sprintf("%s holds %d of %d", name, len(live), len(f.Cores()))
+			return fmt.Sprintf("%s has %d of %d members as alive", name, len(live), len(f.Cores()))
 		}
 		if n := len(c.Overlay.Links()); n > ferrypeer.MaxLinks {
 			return fmt.Sprintf("%s has %d links", name, n)
@@ -60,15 +61,15 @@
 		t.Run(fmt.Sprintf("%d in %d", tc.n, tc.domains), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(tc.n, tc.domains)
-			took, ok := f.RunUntil(100*time.Millisecond, 20*time.Second, func() bool { return converged(f) == "" })
-			assert.Assert(t, ok, converged(f))
+			took, ok := f.RunUntil(100*time.Millisecond, 20*time.Second, func() bool { return difference(f) == "" })
+			assert.Assert(t, ok, difference(f))
 			f.Run(40 * time.Second)
 			most := 0
 			for _, c := range f.Cores() {
 				most = max(most, len(c.Overlay.Links()))
 			}
 			t.Logf("converged after %s, at most %d links, %v", took, most, f.Core("entry-000").Overlay.Counts())
-			assert.Equal(t, converged(f), "")
+			assert.Equal(t, difference(f), "")
 		})
 	}
 }
--- a/ferry/ferrypeer/hello.go
+++ b/ferry/ferrypeer/hello.go
@@ -19,7 +19,7 @@
 	maxHelloBytes = 16 << 10
 )
 
-// HelloError says why a connection was refused at its hello.
+// HelloError is returned when the handshake of a connection is refused.
 type HelloError struct {
 	Reason CloseReason
 	Detail string
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("hello refused: %s %s", e.Reason, e.Detail)
 }
 
-// session is what a hello agreed on.
+// session is the result of a handshake.
 type session struct {
 	peer    Member
 	purpose Purpose
@@ -42,18 +42,18 @@
 	return &Hello{MinVersion: MinVersion, Purpose: p, Member: n.Self(), Topics: n.overlay.Topics(), Nonce: nonce, Expect: expect}
 }
 
-// The roles in a proof, so that one side's proof can't be sent back as the other's.
+// The roles in a proof prevent reflection: a side's proof is not valid as the proof of the other side.
 const (
 	proofOfDialler  = "dial"
 	proofOfAcceptor = "accept"
 )
 
-// prove returns the MAC of a side over both hellos of this connection.
-func (n *Node) prove(role string, dialled, accepted []byte) *Proof {
-	return proofBy(n.cfg.Secret, role, dialled, accepted)
+// makeProof returns the MAC of one side over both hellos of this connection.
+func (n *Node) makeProof(role string, dialled, accepted []byte) *Proof {
+	return computeProof(n.cfg.Secret, role, dialled, accepted)
 }
 
-func proofBy(secret []byte, role string, dialled, accepted []byte) *Proof {
+func computeProof(secret []byte, role string, dialled, accepted []byte) *Proof {
 	m := hmac.New(sha256.New, secret)
 	for _, part := range [][]byte{[]byte(role), dialled, accepted} {
 		fmt.Fprintf(m, "%d:", len(part))
@@ -62,20 +62,20 @@
 	return &Proof{MAC: m.Sum(nil)}
 }
 
-// checkProof returns an error unless the far side proved one of the keys known here.
+// checkProof returns an error unless the proof was made with Secret or one of OtherSecrets.
 func (n *Node) checkProof(got *Proof, role string, dialled, accepted []byte) error {
-	if hmac.Equal(got.MAC, n.prove(role, dialled, accepted).MAC) {
+	if hmac.Equal(got.MAC, n.makeProof(role, dialled, accepted).MAC) {
 		return nil
 	}
 	for _, secret := range n.cfg.OtherSecrets {
-		if hmac.Equal(got.MAC, proofBy(secret, role, dialled, accepted).MAC) {
+		if hmac.Equal(got.MAC, computeProof(secret, role, dialled, accepted).MAC) {
 			return nil
 		}
 	}
 	return &HelloError{Reason: CloseUnauthenticated, Detail: "wrong proof"}
 }
 
-// acceptHello takes the accepting side: hello, hello back, proof, proof back.
+// acceptHello runs the accepting side of the handshake: read hello, send hello, read proof, send proof.
 func (n *Node) acceptHello(ctx context.Context, ws *websocket.Conn) (session, error) {
 	ctx, cancel := clockwork.WithTimeout(ctx, n.cfg.Clock, helloTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 		return session{}, err
 	}
 	own := n.hello(theirs.Purpose, "")
-	own.Refused = n.judge(theirs)
+	own.Refused = n.checkHello(theirs)
 	ownFrame, err := n.writeMessage(ctx, ws, own)
 	if err != nil {
 		return session{}, err
@@ -100,14 +100,14 @@
 	if err := n.checkProof(proof, proofOfDialler, theirFrame, ownFrame); err != nil {
 		return session{}, err
 	}
-	if _, err := n.writeMessage(ctx, ws, n.prove(proofOfAcceptor, theirFrame, ownFrame)); err != nil {
+	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfAcceptor, theirFrame, ownFrame)); err != nil {
 		return session{}, err
 	}
 	return session{peer: theirs.Member, purpose: theirs.Purpose, topics: theirs.Topics}, nil
 }
 
-// judge returns the reason for refusing a hello, or nothing.
-func (n *Node) judge(h *Hello) CloseReason {
+// checkHello returns the reason for refusing a hello, or an empty string.
+func (n *Node) checkHello(h *Hello) CloseReason {
 	switch {
 	case h.MinVersion > Version:
 		return CloseVersion
@@ -119,7 +119,7 @@
 	return ""
 }
 
-// dialHello takes the dialling side.
+// dialHello runs the dialling side of the handshake.
 func (n *Node) dialHello(ctx context.Context, ws *websocket.Conn, p Purpose, expect ferryid.EntryName) (session, error) {
 	ws.SetReadLimit(maxHelloBytes)
 	own := n.hello(p, expect)
@@ -139,7 +139,7 @@
 	case expect != "" && theirs.Member.Name != expect:
 		return session{}, &HelloError{Reason: CloseNotThere, Detail: string(theirs.Member.Name)}
 	}
-	if _, err := n.writeMessage(ctx, ws, n.prove(proofOfDialler, ownFrame, theirFrame)); err != nil {
+	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfDialler, ownFrame, theirFrame)); err != nil {
 		return session{}, err
 	}
 	proof, err := readProof(ctx, ws)
--- a/ferry/ferrypeer/hello_test.go
+++ b/ferry/ferrypeer/hello_test.go
@@ -14,42 +14,42 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// stranger speaks to a node by hand.
-type stranger struct {
+// rawClient is a connection to a node without the protocol implementation.
+type rawClient struct {
 	t  *testing.T
 	ws *websocket.Conn
 	m  ferrypeer.Member
 }
 
-func connect(t *testing.T, to *realNode) *stranger {
+func connect(t *testing.T, to *realNode) *rawClient {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	ws, _, err := websocket.Dial(ctx, "ws://"+to.address+"/peer", &websocket.DialOptions{HTTPClient: ferrynettest.Client()})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = ws.CloseNow() })
-	return &stranger{t: t, ws: ws, m: ferrypeer.Member{
+	return &rawClient{t: t, ws: ws, m: ferrypeer.Member{
 		Name: "stranger", Incarnation: "run-1", FailureDomain: "domain-1", PeerAddress: "127.0.0.1:1",
 		Started: ferryevent.Timestamp{Micros: time.Now().UnixMicro()},
 	}}
 }
 
-func (s *stranger) write(frame []byte) {
+func (s *rawClient) write(frame []byte) {
 	assert.NilError(s.t, s.ws.Write(context.Background(), websocket.MessageBinary, frame))
 }
 
-func (s *stranger) encode(m ferrypeer.Message) []byte {
+func (s *rawClient) encode(m ferrypeer.Message) []byte {
 	frame, err := ferrypeer.Encode(s.m.Tag(), ferryevent.Timestamp{}, m)
 	assert.NilError(s.t, err)
 	return frame
 }
 
-func (s *stranger) hello() []byte {
+func (s *rawClient) hello() []byte {
 	return s.encode(&ferrypeer.Hello{MinVersion: 1, Purpose: ferrypeer.PurposeLink, Member: s.m, Nonce: make([]byte, 32), Topics: []ferrypeer.TopicName{"members"}})
 }
 
-// cutOff reads until the node closes the connection.
-func (s *stranger) cutOff() {
+// waitClosed reads until the node closes the connection.
+func (s *rawClient) waitClosed() {
 	for {
 		if _, _, err := s.ws.Read(context.Background()); err != nil {
 			return
@@ -57,16 +57,16 @@
 	}
 }
 
-func TestStrangersAreCutOff(t *testing.T) {
+func TestInvalidHandshakeIsRefused(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		counted ferrypeer.CloseReason
-		speak   func(*stranger)
+		speak   func(*rawClient)
 	}{
-		{"no hello", ferrypeer.CloseMalformed, func(s *stranger) { s.write(s.encode(&ferrypeer.Heartbeat{})) }},
-		{"not CBOR", ferrypeer.CloseMalformed, func(s *stranger) { s.write([]byte("hello")) }},
-		{"a large hello", ferrypeer.CloseUnreachable, func(s *stranger) { s.write(make([]byte, 100<<10)) }},
-		{"another's tag", ferrypeer.CloseMalformed, func(s *stranger) {
+		{"no hello", ferrypeer.CloseMalformed, func(s *rawClient) { s.write(s.encode(&ferrypeer.Heartbeat{})) }},
+		{"not CBOR", ferrypeer.CloseMalformed, func(s *rawClient) { s.write([]byte("hello")) }},
+		{"oversized hello", ferrypeer.CloseUnreachable, func(s *rawClient) { s.write(make([]byte, 100<<10)) }},
+		{"tag of another member", ferrypeer.CloseMalformed, func(s *rawClient) {
 			hello := s.hello()
 			s.m.Incarnation = "run-2"
 			frame := s.hello()
@@ -74,21 +74,21 @@
 			copy(frame[:24], hello[:24])
 			s.write(frame)
 		}},
-		{"no proof", ferrypeer.CloseMalformed, func(s *stranger) {
+		{"no proof", ferrypeer.CloseMalformed, func(s *rawClient) {
 			s.write(s.hello())
 			s.write(s.encode(&ferrypeer.Push{Topic: "members"}))
 		}},
-		{"wrong proof", ferrypeer.CloseUnauthenticated, func(s *stranger) {
+		{"wrong proof", ferrypeer.CloseUnauthenticated, func(s *rawClient) {
 			s.write(s.hello())
 			s.write(s.encode(&ferrypeer.Proof{MAC: make([]byte, 32)}))
 		}},
-		{"a later minimum version", ferrypeer.CloseVersion, func(s *stranger) {
+		{"a later minimum version", ferrypeer.CloseVersion, func(s *rawClient) {
 			s.write(s.encode(&ferrypeer.Hello{MinVersion: ferrypeer.Version + 1, Purpose: ferrypeer.PurposeLink, Member: s.m, Nonce: make([]byte, 32)}))
 		}},
-		{"meant for another", ferrypeer.CloseNotThere, func(s *stranger) {
+		{"hello for another entry", ferrypeer.CloseNotThere, func(s *rawClient) {
 			s.write(s.encode(&ferrypeer.Hello{MinVersion: 1, Purpose: ferrypeer.PurposeLink, Member: s.m, Nonce: make([]byte, 32), Expect: "entry-b"}))
 		}},
-		{"the node's own name", ferrypeer.CloseNotThere, func(s *stranger) {
+		{"the node's own name", ferrypeer.CloseNotThere, func(s *rawClient) {
 			s.m.Name = "entry-a"
 			s.write(s.hello())
 		}},
@@ -98,21 +98,21 @@
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				s := connect(t, a)
 				tc.speak(s)
-				s.cutOff()
-				waitFor(t, "it is counted", func() bool { return a.Counts()[string(tc.counted)] == 1 })
+				s.waitClosed()
+				waitFor(t, "the disconnect is counted", func() bool { return a.Counts()[string(tc.counted)] == 1 })
 				assert.Equal(t, len(a.Members().List), 1)
 			})
 		})
 	}
 }
 
-// TestReplayedHello records what a genuine peer sends and plays it again.
+// TestReplayedHello replays the recorded handshake of an authenticated peer.
 func TestReplayedHello(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startNode(t, "entry-a", "domain-1", nil, nil)
 		tap := newTap(t, a.address)
 		startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-		waitFor(t, "entry-b joined through the tap", func() bool { return sees(a, 2) })
+		waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) })
 		var frames [][]byte
 		waitFor(t, "a recorded hello", func() bool {
 			frames = tap.firstFrames(2)
@@ -122,17 +122,17 @@
 		s := connect(t, a)
 		s.write(frames[0])
 		s.write(frames[1])
-		s.cutOff()
+		s.waitClosed()
 		waitFor(t, "the replay is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] == before+1 })
 	})
 }
 
-func TestFrameOfAnotherIsCutOff(t *testing.T) {
+func TestInvalidFrameDisconnects(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		frame func(b *realNode) []byte
 	}{
-		{"another's tag", func(*realNode) []byte { return encodeFrom(t, 1, &ferrypeer.Heartbeat{}) }},
+		{"tag of another member", func(*realNode) []byte { return encodeFrom(t, 1, &ferrypeer.Heartbeat{}) }},
 		{"a second hello", func(b *realNode) []byte {
 			return encodeFrom(t, b.Self().Tag(), &ferrypeer.Hello{MinVersion: 1, Purpose: ferrypeer.PurposeLink, Member: b.Self(), Nonce: make([]byte, 32)})
 		}},
@@ -145,8 +145,8 @@
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				tap := newTap(t, a.address)
 				b := startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-				waitFor(t, "entry-b joined through the tap", func() bool { return sees(a, 2) && sees(b, 2) })
-				waitFor(t, "it is counted", func() bool {
+				waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
+				waitFor(t, "the disconnect is counted", func() bool {
 					tap.inject(tc.frame(b))
 					return a.Counts()[string(ferrypeer.CloseMalformed)] > 0
 				})
--- a/ferry/ferrypeer/input.go
+++ b/ferry/ferrypeer/input.go
@@ -8,7 +8,7 @@
 // LinkID identifies one connection within this process.
 type LinkID uint64
 
-// CloseReason says why a connection was closed or refused; it doubles as the name of a counter.
+// CloseReason is the reason for closing or refusing a connection; it is also the name of a counter.
 type CloseReason string
 
 // The reasons for closing or refusing a connection.
@@ -27,50 +27,50 @@
 	CloseUnreachable     CloseReason = "Unreachable"
 )
 
-// Input is what the overlay's core reacts to.
+// Input is an event processed by Overlay.Step.
 type Input interface{ input() }
 
-// Tick says that time has passed; it is due ten times a second.
+// Tick advances the timers of the core; it is expected ten times a second.
 type Tick struct{}
 
-// Listed brings the platform's instance list.
+// Listed holds a new instance list from the platform.
 type Listed struct{ Instances ferryplatform.Instances }
 
-// LinkUp says that a connection finished its hello.
+// LinkUp is the input for a connection that has completed its handshake.
 type LinkUp struct {
 	Link    LinkID
 	Peer    Member
 	Dialled bool
-	// Key is the Key of the Dial that led to it, if Dialled.
+	// Key is the Key of the Dial that opened the connection, if Dialled is set.
 	Key    string
 	Topics []TopicName
 }
 
-// LinkDown says that a connection is gone.
+// LinkDown is the input for a connection that has ended.
 type LinkDown struct{ Link LinkID }
 
-// DialFailed says that a Dial came to nothing.
+// DialFailed is the input for a Dial that did not lead to a connection.
 type DialFailed struct {
 	Key    string
 	Reason CloseReason
 }
 
-// Received brings a message from a link.
+// Received holds a message received on a link.
 type Received struct {
 	Link    LinkID
 	Message Message
 }
 
-// Published says that a topic has fresh items or a new digest.
+// Published is the input for a topic that has changed items or a new digest.
 type Published struct{ Topic TopicName }
 
-// SelfChanged brings this process's own state and load.
+// SelfChanged holds the new state and load of this process.
 type SelfChanged struct {
 	State State
 	Load  Load
 }
 
-// Leaving says that this process is about to go.
+// Leaving is the input for a planned stop of this process.
 type Leaving struct{}
 
 func (Tick) input()        {}
@@ -83,36 +83,36 @@
 func (SelfChanged) input() {}
 func (Leaving) input()     {}
 
-// Action is what the overlay's core wants done.
+// Action is an operation that the caller of Overlay.Step has to perform.
 type Action interface{ action() }
 
-// Dial asks for a connection; it is answered by LinkUp or DialFailed with the same key.
+// Dial requests a connection; the result is a LinkUp or a DialFailed with the same key.
 type Dial struct {
 	Key     string
 	Expect  ferryid.EntryName
 	Address string
 }
 
-// Send asks for a message to be sent on a link.
+// Send requests that a message be sent on a link.
 type Send struct {
 	Link    LinkID
 	Message Message
 }
 
-// CloseLink asks for a link to be closed; no LinkDown is needed for it.
+// CloseLink requests that a link be closed; the core does not need a LinkDown for it.
 type CloseLink struct {
 	Link   LinkID
 	Reason CloseReason
 }
 
-// Note asks for an event on the time line and a count.
+// Note requests an event on the time line.
 type Note struct {
 	Kind    string
 	Subject string
 	Detail  string
 }
 
-// Replaced says that a later incarnation of this process's name runs, so this one must stop.
+// Replaced requests that this process stop, because a later incarnation of its name is running.
 type Replaced struct{}
 
 func (Dial) action()      {}
--- a/ferry/ferrypeer/latest.go
+++ b/ferry/ferrypeer/latest.go
@@ -17,23 +17,23 @@
 const (
 	maxKeyBytes    = 128
 	maxValueBytes  = 1 << 10
-	maxAhead       = time.Minute
+	maxClockSkew   = time.Minute
 	maxTTL         = 24 * time.Hour
 	expiryGrace    = 2 * time.Second
-	sweepEvery     = time.Second
-	maxFreshLatest = 4096
+	sweepInterval  = time.Second
+	maxChangedKeys = 4096
 )
 
-// Checker is a value that checks itself after it was decoded.
+// Checker is a value that can be validated after decoding.
 type Checker interface{ Check() error }
 
-// Entry is one value of a Latest, with who wrote it and when.
+// Entry is a value of a Latest with its origin and timestamp.
 type Entry[V Checker] struct {
 	Key    string               `cbor:"1,keyasint"`
 	Value  V                    `cbor:"2,keyasint"`
 	At     ferryevent.Timestamp `cbor:"3,keyasint"`
 	Origin ferryid.EntryName    `cbor:"4,keyasint"`
-	// TTLSeconds is how long after At the entry is forgotten.
+	// TTLSeconds is the lifetime of the entry in seconds, counted from At.
 	TTLSeconds uint32 `cbor:"5,keyasint"`
 }
 
@@ -41,68 +41,70 @@
 	return e.At.Time().Add(time.Duration(e.TTLSeconds) * time.Second)
 }
 
-// wins orders entries of one key by timestamp, then by origin.
-func (e Entry[V]) wins(o Entry[V]) bool {
+// supersedes orders entries of one key by timestamp, then by origin.
+func (e Entry[V]) supersedes(o Entry[V]) bool {
 	return cmp.Or(e.At.Compare(o.At), cmp.Compare(e.Origin, o.Origin)) > 0
 }
 
-// Latest is a bounded map spread as a topic, in which the last writer of each key wins and entries expire.
+// Latest is a bounded, replicated last-writer-wins map whose entries expire; it is replicated as a Topic.
 //
-// A new key that finds it full takes the place of the entry that expires first, or is refused if it would itself expire first.
+// If the map is full, a new key evicts the entry that expires first. The new key is refused if it would expire first.
 type Latest[V Checker] struct {
 	name     TopicName
 	self     ferryid.EntryName
 	size     int
 	volatile bool
 	clock    clockwork.Clock
-	log      *ferryevent.Log
-	changed  func(TopicName)
+	events   *ferryevent.Log
+	onChange func(TopicName)
 
-	mu      sync.Mutex
-	entries map[string]Entry[V]
-	fresh   map[string]bool
-	digest  []byte
-	dirty   bool
-	sweepAt time.Time
-	refused uint64
+	mu          sync.Mutex
+	entries     map[string]Entry[V]
+	changedKeys map[string]bool
+	digest      []byte
+	dirty       bool
+	nextSweep   time.Time
+	refused     uint64
 }
 
-// LatestConfig is what a Latest is made from.
+// LatestConfig is the configuration of a Latest.
 type LatestConfig struct {
 	Name TopicName
 	Self ferryid.EntryName
-	// Size is the highest number of keys.
+	// Size is the maximum number of keys.
 	Size int
-	// Volatile says that writers refresh their entries by themselves.
+	// Volatile is set if the writers refresh their entries periodically.
 	Volatile bool
 	Clock    clockwork.Clock
-	// Events gives the timestamps.
+	// Events is the source of timestamps.
 	Events *ferryevent.Log
 }
 
-// NewLatest returns an empty map; its Topic goes into the overlay's configuration.
+// NewLatest returns an empty map; its Topic must be added to the overlay's configuration.
 func NewLatest[V Checker](cfg LatestConfig) *Latest[V] {
 	return &Latest[V]{
-		name: cfg.Name, self: cfg.Self, size: max(1, cfg.Size), volatile: cfg.Volatile, clock: cfg.Clock, log: cfg.Events,
-		changed: func(TopicName) {}, entries: map[string]Entry[V]{}, fresh: map[string]bool{}, dirty: true,
+		name: cfg.Name, self: cfg.Self, size: max(1, cfg.Size), volatile: cfg.Volatile, clock: cfg.Clock, events: cfg.Events,
+		onChange: func(TopicName) {}, entries: map[string]Entry[V]{}, changedKeys: map[string]bool{}, dirty: true,
 	}
 }
 
-// Notify sets what is called after each Set, usually a Node's Publish; it must be set before the first Set.
-func (l *Latest[V]) Notify(f func(TopicName)) { l.changed = f }
+// Notify sets the function called after each Set, usually Node.Publish; it must be called before the first Set.
+func (l *Latest[V]) Notify(f func(TopicName)) { l.onChange = f }
 
-// Set writes a value under a key for the given time, in whole seconds of at least one, and spreads it; false means that there was no room.
+// Set stores and replicates a value and reports false if it was refused.
+//
+// The TTL is truncated to whole seconds and limited to between one second and one day.
 func (l *Latest[V]) Set(key string, v V, ttl time.Duration) bool {
-	e := Entry[V]{Key: key, Value: v, At: l.log.Now(), Origin: l.self}
+	e := Entry[V]{Key: key, Value: v, At: l.events.Now(), Origin: l.self}
 	e.TTLSeconds = uint32(max(1, min(ttl, maxTTL)/time.Second))
 	l.mu.Lock()
 	ok := l.put(e)
 	l.mu.Unlock()
-	l.changed(l.name)
+	l.onChange(l.name)
 	return ok
 }
 
-// Get returns the entry of a key that has not expired.
+// Get returns the entry of a key and reports whether it exists and has not expired.
 func (l *Latest[V]) Get(key string) (Entry[V], bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +119,7 @@
 func (l *Latest[V]) All() []Entry[V] {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sweep()
+	l.removeExpired()
 	out := make([]Entry[V], 0, len(l.entries))
 	for _, e := range l.entries {
 		if l.clock.Now().Before(e.expires()) {
@@ -128,43 +130,43 @@
 	return out
 }
 
-// Refused counts entries that found no room or lay in the future.
+// Refused returns the number of entries refused because the map was full or their timestamp was in the future.
 func (l *Latest[V]) Refused() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.refused
 }
 
-// Topic returns the topic by which the overlay spreads the map.
+// Topic returns the topic that replicates the map over the overlay.
 func (l *Latest[V]) Topic() Topic {
-	return Topic{Name: l.name, Digest: l.digestBytes, Missing: l.missing, Apply: l.apply, Fresh: l.takeFresh, Volatile: l.volatile}
+	return Topic{Name: l.name, Digest: l.digestBytes, Missing: l.missing, Apply: l.apply, Fresh: l.takeChanged, Volatile: l.volatile}
 }
 
-// put stores an entry if it wins and there is room; the caller holds the lock.
+// put stores an entry if it supersedes the current one and there is room; the caller holds l.mu.
 func (l *Latest[V]) put(e Entry[V]) bool {
-	l.sweep()
+	l.removeExpired()
 	now := l.clock.Now()
-	if e.At.Time().After(now.Add(maxAhead)) {
+	if e.At.Time().After(now.Add(maxClockSkew)) {
 		l.refused++
 		return false
 	}
 	old, ok := l.entries[e.Key]
-	if (ok && !e.wins(old)) || !now.Before(e.expires()) {
+	if (ok && !e.supersedes(old)) || !now.Before(e.expires()) {
 		return false
 	}
-	if !ok && len(l.entries) >= l.size && !l.makeRoom(e) {
+	if !ok && len(l.entries) >= l.size && !l.evictFirstExpiring(e) {
 		l.refused++
 		return false
 	}
 	l.entries[e.Key] = e
 	l.dirty = true
-	if e.Origin == l.self && len(l.fresh) < maxFreshLatest {
-		l.fresh[e.Key] = true
+	if e.Origin == l.self && len(l.changedKeys) < maxChangedKeys {
+		l.changedKeys[e.Key] = true
 	}
 	return true
 }
 
-func (l *Latest[V]) makeRoom(e Entry[V]) bool {
+func (l *Latest[V]) evictFirstExpiring(e Entry[V]) bool {
 	first := e
 	for _, o := range l.entries {
 		c := cmp.Or(o.expires().Compare(first.expires()), cmp.Compare(o.Key, first.Key))
@@ -179,12 +181,12 @@
 	return true
 }
 
-func (l *Latest[V]) sweep() {
+func (l *Latest[V]) removeExpired() {
 	now := l.clock.Now()
-	if now.Before(l.sweepAt) {
+	if now.Before(l.nextSweep) {
 		return
 	}
-	l.sweepAt = now.Add(sweepEvery)
+	l.nextSweep = now.Add(sweepInterval)
 	for k, e := range l.entries {
 		if !now.Before(e.expires()) {
 			delete(l.entries, k)
@@ -198,21 +200,21 @@
 	return pairOf(e.Key, version)
 }
 
-// spreads reports whether an entry still takes part in digests; one about to expire does not, since clocks differ.
-func (l *Latest[V]) spreads(e Entry[V]) bool {
+// inDigest reports whether an entry is included in digests. An entry about to expire is not, since clocks differ.
+func (l *Latest[V]) inDigest(e Entry[V]) bool {
 	return l.clock.Now().Add(expiryGrace).Before(e.expires())
 }
 
 func (l *Latest[V]) digestBytes() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sweep()
+	l.removeExpired()
 	if !l.dirty {
 		return l.digest
 	}
 	ps := make([]pair, 0, len(l.entries))
 	for _, e := range l.entries {
-		if l.spreads(e) {
+		if l.inDigest(e) {
 			ps = append(ps, entryPair(e))
 		}
 	}
@@ -227,7 +229,7 @@
 	defer l.mu.Unlock()
 	var out []Item
 	for _, e := range l.entries {
-		if l.spreads(e) && !has[entryPair(e)] {
+		if l.inDigest(e) && !has[entryPair(e)] {
 			out = append(out, encodeEntry(e))
 		}
 	}
@@ -273,16 +275,16 @@
 	return l.put(e), nil
 }
 
-func (l *Latest[V]) takeFresh() []Item {
+func (l *Latest[V]) takeChanged() []Item {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]Item, 0, len(l.fresh))
-	for k := range l.fresh {
+	out := make([]Item, 0, len(l.changedKeys))
+	for k := range l.changedKeys {
 		if e, ok := l.entries[k]; ok {
 			out = append(out, encodeEntry(e))
 		}
 	}
-	clear(l.fresh)
+	clear(l.changedKeys)
 	slices.SortFunc(out, func(a, b Item) int { return slices.Compare(a, b) })
 	return out
 }
--- a/ferry/ferrypeer/leave_test.go
+++ b/ferry/ferrypeer/leave_test.go
@@ -11,8 +11,8 @@
 	"cactusferry.dev/ferry/ferrypeertest"
 )
 
-// TestLeavingIsSaidOnEveryLink lets a core leave whose peers have all asked it not to push.
-func TestLeavingIsSaidOnEveryLink(t *testing.T) {
+// TestLeavingIsSentOnEveryLink checks that the Left record is also pushed on lazy links.
+func TestLeavingIsSentOnEveryLink(t *testing.T) {
 	f := ferrypeertest.New(start)
 	topics := []ferrypeer.TopicName{"members"}
 	c := f.Add(f.MemberOf("entry-a", "domain-1", 1), nil, nil)
@@ -21,14 +21,14 @@
 		c.Overlay.Step(ferrypeer.Received{Link: ferrypeer.LinkID(id), Message: &ferrypeer.Tree{Eager: false}}, start)
 	}
 	c.Overlay.Step(ferrypeer.Tick{}, start.Add(time.Second))
-	told := map[ferrypeer.LinkID]bool{}
+	notified := map[ferrypeer.LinkID]bool{}
 	for _, a := range c.Overlay.Step(ferrypeer.Leaving{}, start.Add(time.Second)) {
 		if s, ok := a.(ferrypeer.Send); ok {
 			push, ok := s.Message.(*ferrypeer.Push)
-			told[s.Link] = told[s.Link] || ok && push.Topic == "members"
+			notified[s.Link] = notified[s.Link] || ok && push.Topic == "members"
 		}
 	}
-	assert.DeepEqual(t, told, map[ferrypeer.LinkID]bool{0: true, 1: true})
+	assert.DeepEqual(t, notified, map[ferrypeer.LinkID]bool{0: true, 1: true})
 	left, _ := c.Overlay.Members().Get(ferryid.EntryName("entry-a"))
 	assert.Equal(t, left.Status, ferrypeer.Left)
 }
--- a/ferry/ferrypeer/link.go
+++ b/ferry/ferrypeer/link.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	firstBackoff     = 500 * time.Millisecond
-	maxBackoff       = time.Minute
-	notThereFor      = 30 * time.Second
-	secondDialler    = 2 * time.Second
-	maxDialsAtOnce   = 6
-	probesPerSecond  = 2
-	leastProbeEvery  = 5 * time.Second
-	seedEvery        = time.Second
-	failsToExclude   = 2
-	maxListedEntries = 4096
-	maxDoublings     = 10
-	shortLived       = 5 * time.Second
-	redirectMembers  = 64
+	firstBackoff        = 500 * time.Millisecond
+	maxBackoff          = time.Minute
+	notThereBackoff     = 30 * time.Second
+	higherNameDialDelay = 2 * time.Second
+	maxConcurrentDials  = 6
+	probesPerSecond     = 2
+	minProbeInterval    = 5 * time.Second
+	seedInterval        = time.Second
+	failuresToExclude   = 2
+	maxListedEntries    = 4096
+	maxBackoffDoublings = 10
+	minLinkLifetime     = 5 * time.Second
+	maxRedirectMembers  = 64
 )
 
-// link is one connection that finished its hello.
+// link is a connection that has completed its handshake.
 type link struct {
-	id         LinkID
-	peer       Member
-	dialled    bool
-	verified   bool
-	topics     []TopicName
-	up         time.Time
-	heard      time.Time
-	beatAt     time.Time
-	eager      bool
-	peerWants  bool
-	mismatches int
-	unwantedAt time.Time
-	pending    map[TopicName][]Item
-	// offered says that a digest was offered and nothing has been heard since.
-	offered bool
+	id            LinkID
+	peer          Member
+	dialled       bool
+	verified      bool
+	topics        []TopicName
+	upSince       time.Time
+	lastReceived  time.Time
+	nextHeartbeat time.Time
+	eager         bool
+	wantedByPeer  bool
+	mismatches    int
+	unwantedSince time.Time
+	pending       map[TopicName][]Item
+	// digestOffered is set if a digest was offered and nothing has been received since.
+	digestOffered bool
 }
 
-// attempt is the history of dialling one entry or seed.
-type attempt struct {
-	busy  bool
-	fails int
-	next  time.Time
+// dialState is the dial history of one entry or seed.
+type dialState struct {
+	inProgress bool
+	failures   int
+	nextDial   time.Time
 }
 
-func (o *Overlay) list(in Listed) {
+func (o *Overlay) updateListed(in Listed) {
 	clear(o.listed)
 	for _, i := range in.Instances {
 		if i.Role != ferryplatform.RoleEntry || i.State != ferryplatform.StateLive || i.Name == string(o.cfg.Self.Name) {
@@ -72,37 +72,39 @@
 
 func (o *Overlay) linkUp(in LinkUp) {
 	if a := o.dials[in.Key]; a != nil && in.Dialled {
-		a.busy = false
-		a.next = o.now
+		a.inProgress = false
+		a.nextDial = o.now
 	}
 	l := &link{
-		id: in.Link, peer: in.Peer, dialled: in.Dialled, topics: o.common(in.Topics),
-		up: o.now, heard: o.now, eager: true, peerWants: true, pending: map[TopicName][]Item{},
+		id: in.Link, peer: in.Peer, dialled: in.Dialled, topics: o.commonTopics(in.Topics),
+		upSince: o.now, lastReceived: o.now, eager: true, wantedByPeer: true, pending: map[TopicName][]Item{},
 	}
-	l.beatAt = o.now.Add(o.jitter(heartbeatEvery, uint64(in.Link)))
+	l.nextHeartbeat = o.now.Add(o.jitter(heartbeatInterval, uint64(in.Link)))
 	if reason := o.admit(l); reason != "" {
-		o.refuse(l, reason)
+		o.rejectLink(l, reason)
 		return
 	}
-	if o.table.joined.IsZero() {
-		o.table.joined = o.now
+	if o.table.firstLinkAt.IsZero() {
+		o.table.firstLinkAt = o.now
 	}
 	o.links[l.id] = l
-	o.ids = append(slices.Clone(o.ids), l.id)
-	slices.Sort(o.ids)
+	o.sortedIDs = append(slices.Clone(o.sortedIDs), l.id)
+	slices.Sort(o.sortedIDs)
 	o.byName[l.peer.Name] = l
 	o.chooseDirty = true
 	o.note("PeerLinked", l.peer.Name, string(l.peer.Incarnation))
 	o.table.merge(Record{Tag: l.peer.Tag(), Member: &l.peer, Status: Alive, State: Ready})
-	o.do(Send{Link: l.id, Message: o.summary(l)})
+	o.emit(Send{Link: l.id, Message: o.summary(l)})
 	o.syncVolatile(l)
 }
 
-// refuse closes a new link; a peer refused for want of room first learns of others to turn to, and one that a later incarnation has replaced learns of that.
-func (o *Overlay) refuse(l *link, reason CloseReason) {
+// rejectLink closes a new link.
+// It first sends the peer other members to connect to if there is no free link, and the record of the later
+// incarnation if the peer has been replaced.
+func (o *Overlay) rejectLink(l *link, reason CloseReason) {
 	o.count(string(reason))
 	if o.outdated(l) {
-		o.send(l, topicMembers, []Item{encodeRecord(o.table.rows[l.peer.Name].Record)}, true)
+		o.sendItems(l, topicMembers, []Item{encodeRecord(o.table.rows[l.peer.Name].Record)}, true)
 	}
 	if reason == CloseFull {
 		items := o.topics[topicMembers].Missing(nil)
@@ -110,12 +112,13 @@
 			salt := uint64(l.id)
 			return cmp.Compare(mix(xxhash.Sum64(a)^salt), mix(xxhash.Sum64(b)^salt))
 		})
-		o.send(l, topicMembers, items[:min(len(items), redirectMembers)], true)
+		o.sendItems(l, topicMembers, items[:min(len(items), maxRedirectMembers)], true)
 	}
-	o.do(CloseLink{Link: l.id, Reason: reason})
+	o.emit(CloseLink{Link: l.id, Reason: reason})
 }
 
-// admit decides whether a new link is kept, and closes the one it replaces; it returns the reason for refusing it.
+// admit decides whether a new link is kept and closes the link that it replaces.
+// It returns the reason for refusing the new link, or an empty string.
 func (o *Overlay) admit(l *link) CloseReason {
 	if o.leaving || o.replaced {
 		return CloseLeaving
@@ -139,26 +142,26 @@
 		return CloseDuplicate
 	}
 	reason := CloseDuplicate
-	if o.doubtful(old) {
+	if o.overdue(old) {
 		reason = CloseSilent
 	}
 	o.closeLink(old, reason)
 	return ""
 }
 
-// prefer reports whether a new link to a peer is kept rather than the old one; both ends come to the same choice.
+// prefer reports whether a new link to a peer replaces the old one; both ends make the same choice.
 func (o *Overlay) prefer(l, old *link) bool {
 	if l.peer.Tag() != old.peer.Tag() {
 		return l.peer.newer(old.peer)
 	}
-	if o.doubtful(old) {
+	if o.overdue(old) {
 		return true
 	}
-	return o.byLower(l) || !o.byLower(old)
+	return o.dialledByLowerName(l) || !o.dialledByLowerName(old)
 }
 
-// byLower reports whether the link was dialled by the end with the lower name.
-func (o *Overlay) byLower(l *link) bool {
+// dialledByLowerName reports whether the link was dialled by the end with the lower name.
+func (o *Overlay) dialledByLowerName(l *link) bool {
 	return l.dialled == (o.cfg.Self.Name < l.peer.Name)
 }
 
@@ -167,9 +170,9 @@
 	if l == nil {
 		return
 	}
-	o.forget(l)
+	o.removeLink(l)
 	o.note("PeerLost", l.peer.Name, "")
-	if o.now.Sub(l.up) < shortLived {
+	if o.now.Sub(l.upSince) < minLinkLifetime {
 		o.backOff(string(l.peer.Name), firstBackoff)
 		return
 	}
@@ -177,9 +180,9 @@
 	o.redial(l.peer.Name)
 }
 
-func (o *Overlay) forget(l *link) {
+func (o *Overlay) removeLink(l *link) {
 	delete(o.links, l.id)
-	o.ids = slices.DeleteFunc(slices.Clone(o.ids), func(id LinkID) bool { return id == l.id })
+	o.sortedIDs = slices.DeleteFunc(slices.Clone(o.sortedIDs), func(id LinkID) bool { return id == l.id })
 	if o.byName[l.peer.Name] == l {
 		delete(o.byName, l.peer.Name)
 	}
@@ -187,33 +190,34 @@
 }
 
 func (o *Overlay) closeLink(l *link, reason CloseReason) {
-	o.forget(l)
+	o.removeLink(l)
 	o.count(string(reason))
 	o.note("PeerClosed", l.peer.Name, string(reason))
-	o.do(CloseLink{Link: l.id, Reason: reason})
+	o.emit(CloseLink{Link: l.id, Reason: reason})
 }
 
-// redial tries a lost peer at once if its link was wanted, whichever end is to dial; its failure is what raises a suspicion.
+// redial dials a lost peer at once if its link is wanted, regardless of which end usually dials.
+// A failure of this dial raises a suspicion.
 func (o *Overlay) redial(name ferryid.EntryName) {
 	r := o.table.rows[name]
 	_, wanted := o.wanted[name]
 	if !wanted || r == nil || r.gone() || o.leaving || o.byName[name] != nil {
 		return
 	}
-	if a := o.dials[string(name)]; a != nil && a.busy {
+	if a := o.dials[string(name)]; a != nil && a.inProgress {
 		return
 	}
 	o.dial(string(name), name, r.Member.PeerAddress)
 }
 
-func (o *Overlay) closeSilent() {
+func (o *Overlay) closeSilentLinks() {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
-		if o.outdated(l) && o.now.Sub(l.up) >= shortLived {
+		if o.outdated(l) && o.now.Sub(l.upSince) >= minLinkLifetime {
 			o.closeLink(l, CloseReplaced)
 			continue
 		}
-		if o.now.Sub(l.heard) < silentAfter {
+		if o.now.Sub(l.lastReceived) < silenceTimeout {
 			continue
 		}
 		o.closeLink(l, CloseSilent)
@@ -221,42 +225,43 @@
 	}
 }
 
-// doubtful reports whether a link has been quiet for longer than heartbeats leave it.
-func (o *Overlay) doubtful(l *link) bool {
-	return o.now.Sub(l.heard) >= doubtAfter
+// overdue reports whether the next heartbeat on a link is overdue.
+func (o *Overlay) overdue(l *link) bool {
+	return o.now.Sub(l.lastReceived) >= overdueAfter
 }
 
-// dialDoubtful dials beside quiet links over which a digest was offered; the new link replaces the old, and a failure accuses nobody.
-func (o *Overlay) dialDoubtful() {
+// dialOverdue opens a second connection to peers with an overdue heartbeat and an unanswered digest offer.
+// The new link replaces the old one; a failed dial raises no suspicion while the old link exists.
+func (o *Overlay) dialOverdue() {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
 		name := string(l.peer.Name)
-		if !l.offered || !o.doubtful(l) || !o.dialDue(name) {
+		if !l.digestOffered || !o.overdue(l) || !o.canDial(name) {
 			continue
 		}
-		l.offered = false
+		l.digestOffered = false
 		o.count("Doubts")
 		o.dial(name, l.peer.Name, l.peer.PeerAddress)
 	}
 }
 
-// outdated reports whether the link leads to an incarnation that a later one has replaced.
+// outdated reports whether the peer of the link has been replaced by a later incarnation.
 func (o *Overlay) outdated(l *link) bool {
 	r := o.table.rows[l.peer.Name]
 	return r != nil && r.Tag != l.peer.Tag() && r.Member.newer(l.peer)
 }
 
-// chooseAgain computes the wanted links when something they depend on changed, at most once a second.
-func (o *Overlay) chooseAgain() {
-	if o.chosenFor != o.table.structure {
+// updateWanted recomputes the wanted links after a change of their inputs, at most once per chooseInterval.
+func (o *Overlay) updateWanted() {
+	if o.chosenStructure != o.table.structure {
 		o.chooseDirty = true
 	}
-	if !o.chooseDirty || o.now.Before(o.chooseAt) {
+	if !o.chooseDirty || o.now.Before(o.nextChoice) {
 		return
 	}
-	o.chooseAt = o.now.Add(chooseEvery)
+	o.nextChoice = o.now.Add(chooseInterval)
 	o.chooseDirty = false
-	o.chosenFor = o.table.structure
+	o.chosenStructure = o.table.structure
 	self := Candidate{Name: o.cfg.Self.Name, FailureDomain: o.cfg.Self.FailureDomain}
 	next := map[ferryid.EntryName]time.Time{}
 	for _, n := range ChooseLinks(self, o.candidates()) {
@@ -269,7 +274,8 @@
 	o.wanted = next
 }
 
-// candidates are the live members and the listed entries not known otherwise, without those that did not answer lately.
+// candidates returns the live members and the listed entries that are not members,
+// without those excluded after failed dials.
 func (o *Overlay) candidates() []Candidate {
 	out := make([]Candidate, 0, len(o.table.rows)+len(o.listed))
 	add := func(n ferryid.EntryName, d ferryid.DomainName) {
@@ -294,22 +300,22 @@
 
 func (o *Overlay) excluded(n ferryid.EntryName) bool {
 	a := o.dials[string(n)]
-	return a != nil && a.fails >= failsToExclude && o.now.Before(a.next) && o.byName[n] == nil
+	return a != nil && a.failures >= failuresToExclude && o.now.Before(a.nextDial) && o.byName[n] == nil
 }
 
-// closeUnwanted drops links that neither end's computation chose for a while.
-func (o *Overlay) closeUnwanted() {
+// closeUnwantedLinks closes links that neither end has wanted for unwantedGrace.
+func (o *Overlay) closeUnwantedLinks() {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
 		_, mine := o.wanted[l.peer.Name]
-		if mine || l.peerWants {
-			l.unwantedAt = time.Time{}
+		if mine || l.wantedByPeer {
+			l.unwantedSince = time.Time{}
 			continue
 		}
-		if l.unwantedAt.IsZero() {
-			l.unwantedAt = o.now
+		if l.unwantedSince.IsZero() {
+			l.unwantedSince = o.now
 		}
-		if o.now.Sub(l.unwantedAt) >= unwantedGrace {
+		if o.now.Sub(l.unwantedSince) >= unwantedGrace {
 			o.closeLink(l, CloseUnwanted)
 		}
 	}
@@ -317,11 +323,11 @@
 
 func (o *Overlay) dialWanted() {
 	for _, n := range sortedByName(o.wanted) {
-		if o.byName[n] != nil || !o.dialDue(string(n)) {
+		if o.byName[n] != nil || !o.canDial(string(n)) {
 			continue
 		}
 		address, known := o.addressOf(n)
-		if known && o.cfg.Self.Name > n && o.now.Sub(o.wanted[n]) < secondDialler {
+		if known && o.cfg.Self.Name > n && o.now.Sub(o.wanted[n]) < higherNameDialDelay {
 			continue
 		}
 		o.dial(string(n), n, address)
@@ -335,29 +341,29 @@
 	return o.listed[n].address, false
 }
 
-func (o *Overlay) dialDue(key string) bool {
+func (o *Overlay) canDial(key string) bool {
 	a := o.dials[key]
-	if a != nil && (a.busy || o.now.Before(a.next)) {
+	if a != nil && (a.inProgress || o.now.Before(a.nextDial)) {
 		return false
 	}
 	busy := 0
 	for _, a := range o.dials {
-		if a.busy {
+		if a.inProgress {
 			busy++
 		}
 	}
-	return busy < maxDialsAtOnce
+	return busy < maxConcurrentDials
 }
 
 func (o *Overlay) dial(key string, expect ferryid.EntryName, address string) {
 	a := o.dials[key]
 	if a == nil {
-		a = &attempt{}
+		a = &dialState{}
 		o.dials[key] = a
 	}
-	a.busy = true
+	a.inProgress = true
 	o.count("Dials")
-	o.do(Dial{Key: key, Expect: expect, Address: address})
+	o.emit(Dial{Key: key, Expect: expect, Address: address})
 }
 
 func (o *Overlay) dialFailed(in DialFailed) {
@@ -365,68 +371,70 @@
 	if a == nil {
 		return
 	}
-	a.busy = false
-	least := firstBackoff
+	a.inProgress = false
+	minWait := firstBackoff
 	if in.Reason == CloseNotThere {
-		least = notThereFor
+		minWait = notThereBackoff
 	}
-	o.backOff(in.Key, least)
+	o.backOff(in.Key, minWait)
 	o.count("DialFailed." + string(in.Reason))
 	name := ferryid.EntryName(in.Key)
 	if o.byName[name] != nil {
 		delete(o.dials, in.Key)
 		return
 	}
-	accuses := in.Reason == CloseUnreachable || in.Reason == CloseNotThere || in.Reason == CloseSilent
-	if r := o.table.rows[name]; accuses && r != nil && r.Status == Alive && len(o.links) > 0 {
+	raisesSuspicion := in.Reason == CloseUnreachable || in.Reason == CloseNotThere || in.Reason == CloseSilent
+	if r := o.table.rows[name]; raisesSuspicion && r != nil && r.Status == Alive && len(o.links) > 0 {
 		o.note("PeerSuspected", name, string(in.Reason))
-		o.table.judge(name, Suspect)
+		o.table.setStatus(name, Suspect)
 	}
 }
 
-// backOff puts the next attempt off, twice as long with each failure.
-func (o *Overlay) backOff(key string, least time.Duration) {
+// backOff schedules the next dial with exponential backoff and jitter.
+func (o *Overlay) backOff(key string, minWait time.Duration) {
 	a := o.dials[key]
 	if a == nil {
-		a = &attempt{}
+		a = &dialState{}
 		o.dials[key] = a
 	}
-	a.fails++
-	wait := max(least, min(maxBackoff, firstBackoff<<min(a.fails, maxDoublings)))
-	a.next = o.now.Add(wait/2 + o.jitter(wait, uint64(a.fails)))
+	a.failures++
+	wait := max(minWait, min(maxBackoff, firstBackoff<<min(a.failures, maxBackoffDoublings)))
+	a.nextDial = o.now.Add(wait/2 + o.jitter(wait, uint64(a.failures)))
 	o.chooseDirty = true
 }
 
-// probe looks for entries that the membership does not show: seeds while there is no link, and at a fleet-wide rate whatever a cut may have hidden.
+// probe dials entries that are not live members: seeds while there is no link, and otherwise, at a bounded
+// fleet-wide rate, entries that a network partition may have hidden.
 func (o *Overlay) probe() {
 	o.pruneDials()
-	if o.now.Before(o.probeAt) {
+	if o.now.Before(o.nextProbe) {
 		return
 	}
 	o.probes++
-	every := max(leastProbeEvery, time.Duration(o.table.live())*time.Second/probesPerSecond)
+	every := max(minProbeInterval, time.Duration(o.table.liveCount())*time.Second/probesPerSecond)
 	if len(o.links) == 0 {
-		every = seedEvery * time.Duration(min(10, o.probes))
+		every = seedInterval * time.Duration(min(10, o.probes))
 	}
-	o.probeAt = o.now.Add(every/2 + o.jitter(every, o.probes))
+	o.nextProbe = o.now.Add(every/2 + o.jitter(every, o.probes))
 	targets := o.probeTargets()
-	if d, ok := o.verify(); ok {
+	if d, ok := o.verifyTarget(); ok {
 		targets = []Dial{d}
 	}
 	if len(targets) == 0 {
 		return
 	}
 	t := targets[int(mix(o.probes+uint64(o.table.self.Tag))%uint64(len(targets)))]
-	if o.dialDue(t.Key) {
+	if o.canDial(t.Key) {
 		o.dial(t.Key, t.Expect, t.Address)
 	}
 }
 
-// verify returns a dial to the address of a peer that dialled us, once for each link: an earlier incarnation that was paused can dial, but a later one answers at its address.
-func (o *Overlay) verify() (Dial, bool) {
+// verifyTarget returns a dial to the address of a peer that dialled this process, once per link.
+// A paused earlier incarnation can still dial, but the later incarnation answers at its address.
+func (o *Overlay) verifyTarget() (Dial, bool) {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
-		if l.dialled || l.verified || o.now.Sub(l.up) < shortLived {
+		if l.dialled || l.verified || o.now.Sub(l.upSince) < minLinkLifetime {
 			continue
 		}
 		l.verified = true
@@ -444,7 +452,7 @@
 			live[r.Member.PeerAddress] = true
 		}
 		if r.Status == Dead {
-			gone[n] = r.statusAt
+			gone[n] = r.statusSince
 		}
 	}
 	for _, n := range sortedByName(gone) {
@@ -461,10 +469,10 @@
 	return out
 }
 
-// pruneDials forgets the histories of entries that nobody speaks of any more.
+// pruneDials removes dial histories that have not been used for maxBackoff.
 func (o *Overlay) pruneDials() {
 	for k, a := range o.dials {
-		if !a.busy && o.now.Sub(a.next) > maxBackoff {
+		if !a.inProgress && o.now.Sub(a.nextDial) > maxBackoff {
 			delete(o.dials, k)
 		}
 	}
--- a/ferry/ferrypeer/member.go
+++ b/ferry/ferrypeer/member.go
@@ -14,17 +14,17 @@
 
 const maxAddressBytes = 128
 
-// Tag identifies one incarnation of one entry in eight bytes.
+// Tag is a 64-bit hash that identifies one incarnation of an entry.
 type Tag uint64
 
-// State is what a member says of itself to callers.
+// State is the availability to callers that a member publishes about itself.
 type State uint8
 
 // The states of a member.
 const (
-	// Ready takes new callers.
+	// Ready means that the member accepts new callers.
 	Ready State = iota + 1
-	// Draining finishes what it has and takes no new callers.
+	// Draining means that the member finishes its current calls and accepts no new callers.
 	Draining
 )
 
@@ -38,18 +38,18 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Status is what the overlay holds of a member.
+// Status is the liveness of a member as determined by the overlay.
 type Status uint8
 
-// The statuses of a member; among records of one heartbeat count the later one in this list wins.
+// The statuses of a member. Of two records with the same heartbeat count, the one with the higher status wins.
 const (
-	// Alive answers its links.
+	// Alive means that the member responds on its links.
 	Alive Status = iota + 1
-	// Suspect did not answer a neighbour and has not refuted it yet.
+	// Suspect means that the member did not respond to a neighbour and has not refuted the suspicion yet.
 	Suspect
-	// Dead did not refute a suspicion in time.
+	// Dead means that the member did not refute a suspicion in time.
 	Dead
-	// Left said that it goes; this is final for an incarnation.
+	// Left means that the member announced its planned stop; this is final for an incarnation.
 	Left
 )
 
@@ -67,15 +67,15 @@
 	return fmt.Sprintf("Status(%d)", uint8(s))
 }
 
-// Load is a member's own summary of how busy it is.
+// Load is the load that a member publishes about itself.
 type Load struct {
-	// Permille is the share of its capacity in use, in thousandths; above 1000 it is overloaded.
+	// Permille is the utilisation in thousandths of the capacity; above 1000 the member is overloaded.
 	Permille uint16 `cbor:"1,keyasint,omitempty" json:"Permille"`
-	// Streams counts the streams it relays now.
+	// Streams is the number of streams currently relayed.
 	Streams uint32 `cbor:"2,keyasint,omitempty" json:"Streams"`
 }
 
-// Member is what identifies one incarnation of an entry and says how to reach it.
+// Member holds the identity and the addresses of one incarnation of an entry.
 type Member struct {
 	Name          ferryid.EntryName    `cbor:"1,keyasint" json:"Name"`
 	Incarnation   ferryid.Incarnation  `cbor:"2,keyasint" json:"Incarnation"`
@@ -85,12 +85,12 @@
 	CallerAddress string               `cbor:"6,keyasint" json:"CallerAddress"`
 }
 
-// Tag returns the eight bytes that stand for this incarnation in messages.
+// Tag returns the hash that identifies this incarnation in messages.
 func (m Member) Tag() Tag {
 	return Tag(xxhash.Sum64String(string(m.Name) + "\x00" + string(m.Incarnation)))
 }
 
-// Check returns an error that says what is wrong with the member, or nil.
+// Check validates the member.
 func (m Member) Check() error {
 	if err := ferryid.CheckName(string(m.Name)); err != nil {
 		return fmt.Errorf("member name: %w", err)
@@ -115,7 +115,7 @@
 	return cmp.Or(m.Started.Compare(o.Started), cmp.Compare(m.Incarnation, o.Incarnation)) > 0
 }
 
-// MemberInfo is one member as this process sees it.
+// MemberInfo is a member with its state, status and load as known to this process.
 type MemberInfo struct {
 	Member
 	State  State
@@ -124,22 +124,22 @@
 	Load   Load
 }
 
-// Live reports whether it is alive or only suspected.
+// Live reports whether the member is alive or suspect.
 func (m MemberInfo) Live() bool { return m.Status == Alive || m.Status == Suspect }
 
-// Usable reports whether new callers and duties may be given to the member.
+// Usable reports whether new callers and roles can be assigned to the member.
 func (m MemberInfo) Usable() bool {
 	return m.Status == Alive && m.State == Ready
 }
 
-// Members is an immutable snapshot of the membership, ordered by name; do not write to its list.
+// Members is an immutable snapshot of the membership, ordered by name; its list must not be modified.
 type Members struct {
 	At   time.Time
 	Self ferryid.EntryName
 	List []MemberInfo
 }
 
-// Get returns the member of that name.
+// Get returns the member with the given name.
 func (ms Members) Get(name ferryid.EntryName) (MemberInfo, bool) {
 	i, ok := slices.BinarySearchFunc(ms.List, name, func(m MemberInfo, n ferryid.EntryName) int {
 		return cmp.Compare(m.Name, n)
@@ -150,7 +150,7 @@
 	return ms.List[i], true
 }
 
-// Live returns the members that are alive or only suspected, draining ones included.
+// Live returns the members that are alive or suspect, including draining ones.
 func (ms Members) Live() []MemberInfo {
 	out := make([]MemberInfo, 0, len(ms.List))
 	for _, m := range ms.List {
--- a/ferry/ferrypeer/message.go
+++ b/ferry/ferrypeer/message.go
@@ -16,10 +16,10 @@
 	maxDigestBytes    = 1 << 17
 )
 
-// Kind says what a message's body is.
+// Kind identifies the type of a message's body.
 type Kind uint8
 
-// The kinds of messages; a release ignores those it does not know.
+// The kinds of messages; unknown kinds are ignored.
 const (
 	KindHeartbeat Kind = 1
 	KindPush      Kind = 2
@@ -41,14 +41,14 @@
 // TopicName names a topic.
 type TopicName string
 
-// Item is one entry of a topic, in the topic's own encoding.
+// Item is an encoded entry of a topic; the encoding is defined by the topic.
 type Item []byte
 
-// Heartbeat shows that the sender's process still works, and whether it holds what the receiver holds.
+// Heartbeat is a liveness signal with a hash for comparing the topics of both ends.
 type Heartbeat struct {
-	// Hash covers the digests of all topics that both ends know and that are not volatile.
+	// Hash covers the digests of all non-volatile topics known to both ends.
 	Hash uint64 `cbor:"1,keyasint"`
-	// Wanted says that the sender's own computation chose this link.
+	// Wanted is set if ChooseLinks at the sender includes this link.
 	Wanted bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -56,11 +56,11 @@
 type Push struct {
 	Topic TopicName `cbor:"1,keyasint"`
 	Items []Item    `cbor:"2,keyasint"`
-	// Repair says that the items answer a digest.
+	// Repair is set if the items are the answer to a digest.
 	Repair bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Summary carries the hash of each topic's digest, in the order of the topics' names that both ends know.
+// Summary carries the digest hashes of the non-volatile topics known to both ends, ordered by topic name.
 type Summary struct {
 	Hashes []uint64 `cbor:"1,keyasint"`
 }
@@ -69,16 +69,16 @@
 type Digest struct {
 	Topic  TopicName `cbor:"1,keyasint"`
 	Digest []byte    `cbor:"2,keyasint"`
-	// Want says that the digest answers another, so no digest is to come back.
+	// Want is set if the digest is the answer to another digest; the receiver must not send its own back.
 	Want bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Tree asks the receiver to push items on this link, or to leave them to digests.
+// Tree requests that the receiver push items on this link eagerly, or only repair it by digests.
 type Tree struct {
 	Eager bool `cbor:"1,keyasint"`
 }
 
-// Purpose says what a connection is for.
+// Purpose is the purpose of a connection.
 type Purpose uint8
 
 // The purposes of a connection.
@@ -94,21 +94,21 @@
 	Member     Member      `cbor:"3,keyasint"`
 	Topics     []TopicName `cbor:"4,keyasint"`
 	Nonce      []byte      `cbor:"5,keyasint"`
-	// Expect is the name that the dialling side means to reach, or empty for a seed.
+	// Expect is the entry name that the dialling side expects, or empty for a seed.
 	Expect ferryid.EntryName `cbor:"6,keyasint,omitempty"`
-	// Refused says why the accepting side will not go on, or is empty.
+	// Refused is the reason why the accepting side refuses the connection, or empty.
 	Refused CloseReason `cbor:"7,keyasint,omitempty"`
 }
 
-// Proof shows that the sender knows the shared key, bound to both hellos of this connection.
+// Proof authenticates the sender by a MAC with the shared key over both hellos of this connection.
 type Proof struct {
 	MAC []byte `cbor:"1,keyasint"`
 }
 
-// AskKind says what a request to a named peer is about; the packages that use it define the values.
+// AskKind identifies the type of an Ask; the values are defined by the packages that use it.
 type AskKind uint16
 
-// Ask is a request to a named incarnation.
+// Ask is a request to one incarnation of an entry.
 type Ask struct {
 	ID   uint64  `cbor:"1,keyasint"`
 	To   Tag     `cbor:"2,keyasint"`
@@ -116,24 +116,24 @@
 	Body []byte  `cbor:"4,keyasint"`
 }
 
-// Answer is the answer to an Ask.
+// Answer is the response to an Ask.
 type Answer struct {
 	ID     uint64       `cbor:"1,keyasint"`
 	Status AnswerStatus `cbor:"2,keyasint"`
 	Body   []byte       `cbor:"3,keyasint,omitempty"`
 }
 
-// AnswerStatus says how an Ask ended at the far side.
+// AnswerStatus is the result of an Ask at the receiver.
 type AnswerStatus uint8
 
-// The ends of an Ask.
+// The results of an Ask.
 const (
 	AnswerOK AnswerStatus = iota + 1
-	// AnswerNotThere means that the address now belongs to another incarnation.
+	// AnswerNotThere means that another incarnation now runs at the address.
 	AnswerNotThere
-	// AnswerUnknownKind means that the far side has no handler for the kind.
+	// AnswerUnknownKind means that the receiver has no handler for the kind.
 	AnswerUnknownKind
-	// AnswerBusy means that the far side has no free slot; the request was not looked at.
+	// AnswerBusy means that the receiver had no free slot; the request was not processed.
 	AnswerBusy
 	// AnswerFailed means that the handler returned an error; the body holds its text.
 	AnswerFailed
--- a/ferry/ferrypeer/node.go
+++ b/ferry/ferrypeer/node.go
@@ -20,81 +20,82 @@
 )
 
 const (
-	inboxSize      = 1024
-	maxPublishing  = maxTopics
-	listEvery      = 10 * time.Second
-	listsPerSecond = 2
-	listTimeout    = 5 * time.Second
-	detailEvery    = 500 * time.Millisecond
-	maxAnswering   = 64
-	maxAskConns    = 16
-	maxAskers      = 128
-	maxHellos      = 256
-	leavePollEvery = 20 * time.Millisecond
+	inboxSize            = 1024
+	maxPublishedTopics   = maxTopics
+	minListInterval      = 10 * time.Second
+	listsPerSecond       = 2
+	listTimeout          = 5 * time.Second
+	snapshotInterval     = 500 * time.Millisecond
+	maxConcurrentAnswers = 64
+	maxOutboundAskConns  = 16
+	maxInboundAskConns   = 128
+	maxConcurrentHellos  = 256
+	leavePollInterval    = 20 * time.Millisecond
 )
 
-// Config is what a Node is made from.
+// Config is the configuration of a Node.
 type Config struct {
-	// Self says who this process is; an empty Started is filled in by New.
+	// Self is the member record of this process; New sets Started if it is empty.
 	Self Member
-	// Seeds are peer addresses (host:port) to turn to while the list or the membership shows nobody.
+	// Seeds are peer addresses (host:port) to dial while neither the instance list nor the membership has peers.
 	Seeds []string
 	Clock clockwork.Clock
-	// TLS, if set, is used for connections to peers, and callers of Handler must have shown a certificate.
+	// TLS, if set, is used for connections to peers, and Handler requires a client certificate.
 	TLS *tls.Config
-	// Lister gives the instance list, or is nil.
+	// Lister is the source of the instance list; it is optional.
 	Lister ferryplatform.Lister
-	// Dial opens connections to peers, or is nil for TCP.
+	// Dial opens connections to peers; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Secret is the key that this entry proves at hello.
+	// Secret is the key that this entry uses for its proof.
 	Secret []byte
-	// OtherSecrets are further keys that a peer may prove, so that a key can be replaced entry by entry.
+	// OtherSecrets are further keys accepted in the proofs of peers, which allows key rotation entry by entry.
 	OtherSecrets [][]byte
 	Log          zerolog.Logger
 	Events       *ferryevent.Log
 	Topics       []Topic
-	// Handlers answer the Asks of peers.
+	// Handlers serve the Asks of peers by kind.
 	Handlers map[AskKind]Handler
-	// OnMembers, if set, is called with each new snapshot of the membership by the overlay's goroutine, and must not block.
+	// OnMembers, if set, is called with each new snapshot of the membership.
+	// It runs on the overlay's goroutine and must not block.
 	OnMembers func(Members)
 }
 
-// Handler answers one Ask; it may be called from many goroutines at once.
+// Handler serves one Ask; it is called concurrently.
 type Handler func(ctx context.Context, from Member, body []byte) ([]byte, error)
 
-// Node is this process's part in the overlay: the core, its connections and the goroutines around them.
+// Node runs the overlay core of this process and its connections.
 type Node struct {
-	cfg      Config
-	overlay  *Overlay
-	volatile map[TopicName]bool
-	client   *http.Client
-	inbox    chan Input
-	publish  *ferryring.Coalesce[TopicName, TopicName]
-	members  atomic.Pointer[Members]
-	self     atomic.Pointer[Member]
-	links    atomic.Pointer[[]ferryid.EntryName]
-	counters counters
-	answers  chan struct{}
-	askers   chan struct{}
-	hellos   chan struct{}
-	left     chan struct{}
-	done     chan struct{}
-
-	mu     sync.Mutex
-	ctx    context.Context
-	ended  bool
-	nextID LinkID
-	conns  map[LinkID]*conn
-	byTag  map[Tag]*conn
-	asks   map[Tag]*conn
-
-	wg        sync.WaitGroup
-	structure uint64
-	detail    uint64
-	detailAt  time.Time
+	cfg             Config
+	overlay         *Overlay
+	volatile        map[TopicName]bool
+	client          *http.Client
+	inbox           chan Input
+	published       *ferryring.Coalesce[TopicName, TopicName]
+	members         atomic.Pointer[Members]
+	self            atomic.Pointer[Member]
+	links           atomic.Pointer[[]ferryid.EntryName]
+	counters        counters
+	answerSlots     chan struct{}
+	inboundAskSlots chan struct{}
+	helloSlots      chan struct{}
+	leaveSent       chan struct{}
+	done            chan struct{}
+
+	mu       sync.Mutex
+	ctx      context.Context
+	ended    bool
+	nextID   LinkID
+	conns    map[LinkID]*conn
+	byTag    map[Tag]*conn
+	askConns map[Tag]*conn
+
+	wg         sync.WaitGroup
+	structure  uint64
+	detail     uint64
+	snapshotAt time.Time
 }
 
-// ReplacedError says that a later incarnation of this process's name has joined, so this one must end.
+// ReplacedError is returned by Run when a later incarnation of this process's name has joined.
 type ReplacedError struct {
 	Name ferryid.EntryName
 }
@@ -103,46 +104,49 @@
 	return fmt.Sprintf("a later incarnation of %s has joined", e.Name)
 }
 
-// New returns a node that does nothing until Run.
+// New returns a node; it is inactive until Run.
 func New(cfg Config) *Node {
 	if cfg.Self.Started == (ferryevent.Timestamp{}) {
 		cfg.Self.Started = cfg.Events.Now()
 	}
 	n := &Node{
 		cfg: cfg, inbox: make(chan Input, inboxSize), volatile: map[TopicName]bool{},
-		publish:  ferryring.NewCoalesce[TopicName, TopicName](maxPublishing),
-		counters: counters{counts: Counts{}},
-		answers:  make(chan struct{}, maxAnswering), askers: make(chan struct{}, maxAskers), hellos: make(chan struct{}, maxHellos), left: make(chan struct{}), done: make(chan struct{}),
-		conns: map[LinkID]*conn{}, byTag: map[Tag]*conn{}, asks: map[Tag]*conn{},
+		published:   ferryring.NewCoalesce[TopicName, TopicName](maxPublishedTopics),
+		counters:    counters{node: Counts{}},
+		answerSlots: make(chan struct{}, maxConcurrentAnswers), inboundAskSlots: make(chan struct{}, maxInboundAskConns), helloSlots: make(chan struct{}, maxConcurrentHellos), leaveSent: make(chan struct{}), done: make(chan struct{}),
+		conns: map[LinkID]*conn{}, byTag: map[Tag]*conn{}, askConns: map[Tag]*conn{},
 	}
 	n.client = &http.Client{Transport: &http.Transport{TLSClientConfig: cfg.TLS, DialContext: cfg.Dial}}
 	n.overlay = NewOverlay(OverlayConfig{Self: cfg.Self, Seeds: cfg.Seeds, Topics: cfg.Topics}, cfg.Clock.Now())
 	for _, t := range n.overlay.topics {
 		n.volatile[t.Name] = t.Volatile
 	}
-	n.show()
+	n.publishSnapshot()
 	return n
 }
 
-// Members returns the newest snapshot of the membership, at most half a second old in its loads.
+// Members returns the latest snapshot of the membership; its loads are at most half a second old.
 func (n *Node) Members() Members { return *n.members.Load() }
 
 // Self returns this process's own member record.
 func (n *Node) Self() Member { return *n.self.Load() }
 
-// Links returns the names of the peers linked now, ordered.
+// Links returns the sorted names of the linked peers.
 func (n *Node) Links() []ferryid.EntryName { return *n.links.Load() }
 
 // Counts returns a copy of the counters since the start, at most half a second old.
-func (n *Node) Counts() Counts { return n.counters.all() }
+func (n *Node) Counts() Counts { return n.counters.total() }
 
-// SetState tells the others this process's state and load; the load is spread when it has moved by 50 thousandths, at a rate that falls with the number of members.
+// SetState publishes the state and load of this process.
+//
+// The load is published after a change of at least 50 thousandths, at a rate that falls with the number of members.
 func (n *Node) SetState(s State, l Load) { n.post(SelfChanged{State: s, Load: l}) }
 
-// Publish says that a topic has fresh items or a new digest; it never blocks.
-func (n *Node) Publish(topic TopicName) { n.publish.Put(topic, topic) }
+// Publish notifies the overlay that a topic has changed items or a new digest; it never blocks.
+func (n *Node) Publish(topic TopicName) { n.published.Put(topic, topic) }
 
-// post hands an input to the overlay's goroutine; it waits while the inbox is full, which slows reading from peers, and gives up when the node ends.
+// post passes an input to the overlay's goroutine.
+// It blocks while the inbox is full, as back-pressure on peers, and returns when the node ends.
 func (n *Node) post(in Input) {
 	select {
 	case n.inbox <- in:
@@ -150,7 +154,7 @@
 	}
 }
 
-// Run takes part in the overlay until the context ends, or returns a *ReplacedError; it may be called once.
+// Run participates in the overlay until the context ends or it returns a *ReplacedError; it may be called once.
 func (n *Node) Run(ctx context.Context) error {
 	if n.cfg.TLS == nil && len(n.cfg.Secret) == 0 {
 		n.cfg.Log.Warn().Msg("peers are not authenticated: neither TLS nor a secret is set")
@@ -161,9 +165,9 @@
 	n.mu.Unlock()
 	if n.cfg.Lister != nil {
 		n.wg.Add(1)
-		go n.watchList(ctx)
+		go n.pollInstances(ctx)
 	}
-	err := n.duty(ctx)
+	err := n.runCore(ctx)
 	cancel()
 	close(n.done)
 	n.closeAll()
@@ -172,9 +176,9 @@
 	return err
 }
 
-// duty alone owns the overlay's core.
-func (n *Node) duty(ctx context.Context) error {
-	ticker := n.cfg.Clock.NewTicker(tickEvery)
+// runCore is the only goroutine that accesses the overlay core.
+func (n *Node) runCore(ctx context.Context) error {
+	ticker := n.cfg.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var in Input = Tick{}
@@ -186,39 +190,39 @@
 			actions = n.overlay.Step(in, n.cfg.Clock.Now())
 		case in = <-n.inbox:
 			actions = n.overlay.Step(in, n.cfg.Clock.Now())
-		case <-n.publish.Ready():
-			for _, t := range n.publish.Take() {
+		case <-n.published.Ready():
+			for _, t := range n.published.Take() {
 				actions = append(actions, n.overlay.Step(Published{Topic: t}, n.cfg.Clock.Now())...)
 			}
 		}
 		for _, a := range actions {
-			if err := n.act(ctx, a); err != nil {
+			if err := n.perform(ctx, a); err != nil {
 				return err
 			}
 		}
 		if _, ok := in.(Leaving); ok {
-			close(n.left)
+			close(n.leaveSent)
 		}
-		n.show()
+		n.publishSnapshot()
 	}
 }
 
-// show publishes a snapshot: at once when the structure changed, else twice a second.
-func (n *Node) show() {
+// publishSnapshot stores a new snapshot: at once after a structural change, otherwise every snapshotInterval.
+func (n *Node) publishSnapshot() {
 	structure, detail := n.overlay.Changes()
 	now := n.cfg.Clock.Now()
-	due := now.Sub(n.detailAt) >= detailEvery
+	due := now.Sub(n.snapshotAt) >= snapshotInterval
 	first := n.members.Load() == nil
 	if due || first {
 		self, links := n.overlay.Self(), n.overlay.Links()
 		n.self.Store(&self)
 		n.links.Store(&links)
-		n.counters.set(n.overlay.Counts())
+		n.counters.setCore(n.overlay.Counts())
 	}
 	if !first && structure == n.structure && (!due || detail == n.detail) {
 		return
 	}
-	n.structure, n.detail, n.detailAt = structure, detail, now
+	n.structure, n.detail, n.snapshotAt = structure, detail, now
 	ms := n.overlay.Members()
 	n.members.Store(&ms)
 	if n.cfg.OnMembers != nil {
@@ -226,7 +230,7 @@
 	}
 }
 
-func (n *Node) act(ctx context.Context, a Action) error {
+func (n *Node) perform(ctx context.Context, a Action) error {
 	switch a := a.(type) {
 	case Dial:
 		n.wg.Add(1)
@@ -243,11 +247,11 @@
 	return nil
 }
 
-// watchList brings the instance list now and then; while the platform is away the last one stays.
-func (n *Node) watchList(ctx context.Context) {
+// pollInstances reads the instance list periodically; the last list is kept while the platform is unavailable.
+func (n *Node) pollInstances(ctx context.Context) {
 	defer n.wg.Done()
 	for reads := uint64(0); ; reads++ {
-		n.readList(ctx)
+		n.readInstances(ctx)
 		every := listInterval(n.liveCount())
 		wait := every/2 + time.Duration(float64(every)*fraction(uint64(n.cfg.Self.Tag())^reads))
 		select {
@@ -258,7 +262,7 @@
 	}
 }
 
-// liveCount is the number of live members, or one while there is no link and so no view of the others.
+// liveCount returns the number of live members, or one while there is no link.
 func (n *Node) liveCount() int {
 	if len(n.Links()) == 0 {
 		return 1
@@ -266,69 +270,72 @@
 	return len(n.Members().Live())
 }
 
-// listInterval is the mean time between two reads of the instance list by one of the live members; all together read at most twice a second.
+// listInterval returns the mean interval between two reads of the instance list by one member.
+// All live members together read it at most listsPerSecond times a second.
 func listInterval(live int) time.Duration {
-	return max(listEvery, time.Duration(live)*time.Second/listsPerSecond)
+	return max(minListInterval, time.Duration(live)*time.Second/listsPerSecond)
 }
 
-func (n *Node) readList(ctx context.Context) {
+func (n *Node) readInstances(ctx context.Context) {
 	ctx, cancel := clockwork.WithTimeout(ctx, n.cfg.Clock, listTimeout)
 	defer cancel()
 	is, err := n.cfg.Lister.Instances(ctx)
 	if err != nil {
-		n.counters.add("ListFailures")
-		n.cfg.Log.Debug().Err(err).Msg("read instance list")
+		n.counters.increment("ListFailures")
+		n.cfg.Log.Debug().Err(err).Msg("read of the instance list failed")
 		return
 	}
 	n.post(Listed{Instances: is})
 }
 
-// Leave tells the peers that this process goes, and returns when that was written to the connections or the context ended; it is called once, and Run's context is ended afterwards.
+// Leave announces the planned stop to the peers and returns when it was written to the connections or ctx ended.
+//
+// It must be called at most once, before the context of Run ends.
 func (n *Node) Leave(ctx context.Context) error {
 	n.post(Leaving{})
 	select {
-	case <-n.left:
+	case <-n.leaveSent:
 	case <-n.done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	for n.queued() > 0 {
+	for n.queuedBytes() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.done:
 			return nil
-		case <-n.cfg.Clock.After(leavePollEvery):
+		case <-n.cfg.Clock.After(leavePollInterval):
 		}
 	}
 	return nil
 }
 
-// counters joins the core's counts with those of the connections.
+// counters combines the counters of the core with those of the connections.
 type counters struct {
-	mu     sync.Mutex
-	core   Counts
-	counts Counts
+	mu   sync.Mutex
+	core Counts
+	node Counts
 }
 
-func (c *counters) add(name string) {
+func (c *counters) increment(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts[name]++
+	c.node[name]++
 }
 
-func (c *counters) set(core Counts) {
+func (c *counters) setCore(core Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core = core
 }
 
-func (c *counters) all() Counts {
+func (c *counters) total() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := Counts{}
-	for _, from := range []Counts{c.core, c.counts} {
+	for _, from := range []Counts{c.core, c.node} {
 		for k, v := range from {
 			out[k] += v
 		}
--- a/ferry/ferrypeer/node_test.go
+++ b/ferry/ferrypeer/node_test.go
@@ -23,12 +23,12 @@
 
 const testAsk ferrypeer.AskKind = 7
 
-// realNode is a Node behind an HTTP server of the memory network.
+// realNode is a Node behind an HTTP server on the in-memory network.
 type realNode struct {
 	*ferrypeer.Node
 	server  *httptest.Server
 	address string
-	end     func()
+	stop    func()
 }
 
 func startNode(t *testing.T, name, domain string, seeds []string, change func(*ferrypeer.Config)) *realNode {
@@ -69,26 +69,26 @@
 		_ = r.Run(ctx)
 	}()
 	synctest.Wait()
-	r.end = func() {
+	r.stop = func() {
 		cancel()
 		<-ended
 		r.server.Close()
 	}
-	t.Cleanup(r.end)
+	t.Cleanup(r.stop)
 	return r
 }
 
-// waitFor waits for a state; the limit, of the bubble's time, only ends a test that has failed.
+// waitFor polls a condition and fails the test after 30 s of the synctest bubble's fake time.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("not within 30 s: %s", what)
+			t.Fatalf("condition not met within 30 s: %s", what)
 		}
 	}
 }
 
-func sees(n *realNode, want int) bool {
+func seesUsable(n *realNode, want int) bool {
 	usable := 0
 	for _, m := range n.Members().List {
 		if m.Usable() {
@@ -98,7 +98,7 @@
 	return usable == want
 }
 
-func startNine(t *testing.T) []*realNode {
+func startNineNodes(t *testing.T) []*realNode {
 	t.Helper()
 	var nodes []*realNode
 	var seeds []string
@@ -109,7 +109,7 @@
 	}
 	waitFor(t, "all nine see all nine", func() bool {
 		for _, n := range nodes {
-			if !sees(n, 9) {
+			if !seesUsable(n, 9) {
 				return false
 			}
 		}
@@ -120,7 +120,7 @@
 
 func TestNineNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes := startNine(t)
+		nodes := startNineNodes(t)
 		ctx := context.Background()
 
 		to := nodes[5].Self()
@@ -143,8 +143,8 @@
 		assert.Equal(t, refused.Detail, "asked to fail")
 
 		assert.NilError(t, nodes[3].Leave(ctx))
-		nodes[3].end()
-		waitFor(t, "the others hold entry-3 as left", func() bool {
+		nodes[3].stop()
+		waitFor(t, "the others have entry-3 as Left", func() bool {
 			for i, n := range nodes {
 				m, ok := n.Members().Get("entry-3")
 				if i != 3 && (!ok || m.Status != ferrypeer.Left) {
@@ -154,8 +154,8 @@
 			return true
 		})
 
-		nodes[4].end()
-		waitFor(t, "the others hold entry-4 as dead", func() bool {
+		nodes[4].stop()
+		waitFor(t, "the others have entry-4 as Dead", func() bool {
 			for i, n := range nodes {
 				m, _ := n.Members().Get("entry-4")
 				if i != 3 && i != 4 && m.Status != ferrypeer.Dead {
@@ -172,12 +172,12 @@
 	})
 }
 
-func TestWrongSecretIsCutOff(t *testing.T) {
+func TestWrongSecretIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startNode(t, "entry-a", "domain-1", nil, nil)
 		b := startNode(t, "entry-b", "domain-1", []string{a.address}, func(c *ferrypeer.Config) { c.Secret = []byte("another") })
 		waitFor(t, "the refusal is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] > 0 })
-		waitFor(t, "the far side counts it too", func() bool { return strings.Contains(fmt.Sprint(b.Counts()), "DialFailed") })
+		waitFor(t, "the dialling side counts it too", func() bool { return strings.Contains(fmt.Sprint(b.Counts()), "DialFailed") })
 		assert.Equal(t, len(a.Members().List), 1)
 		assert.Equal(t, len(b.Members().List), 1)
 	})
--- a/ferry/ferrypeer/overlay.go
+++ b/ferry/ferrypeer/overlay.go
@@ -12,66 +12,68 @@
 )
 
 const (
-	// MaxLinks bounds the links of one process, those others asked for included.
+	// MaxLinks is the maximum number of links of one process, including those dialled by peers.
 	MaxLinks = 32
 
-	tickEvery      = 100 * time.Millisecond
-	heartbeatEvery = time.Second
-	silentAfter    = 4 * time.Second
-	// doubtAfter is a heartbeat, a tick and some delay: nothing heard for longer on a link with a digest offered is worth a dial beside it.
-	doubtAfter       = 1300 * time.Millisecond
-	suspectFor       = 3 * time.Second
-	refreshEvery     = time.Minute
-	refreshWithin    = 4 * time.Minute
-	resyncEvery      = 30 * time.Second
-	chooseEvery      = time.Second
-	expireEvery      = 500 * time.Millisecond
+	tickInterval      = 100 * time.Millisecond
+	heartbeatInterval = time.Second
+	silenceTimeout    = 4 * time.Second
+	// overdueAfter is a heartbeat interval, a tick and some network delay. A link with an unanswered digest offer
+	// and a longer silence is tested by a second dial.
+	overdueAfter     = 1300 * time.Millisecond
+	suspectTimeout   = 3 * time.Second
+	refreshInterval  = time.Minute
+	refreshTimeout   = 4 * time.Minute
+	resyncInterval   = 30 * time.Second
+	chooseInterval   = time.Second
+	expireInterval   = 500 * time.Millisecond
 	unwantedGrace    = 15 * time.Second
-	leastLoadEvery   = 2 * time.Second
+	minLoadInterval  = 2 * time.Second
 	loadsPerSecond   = 20
 	refutesPerSecond = 50
 	loadStepPermille = 50
 )
 
-// OverlayConfig is what an overlay's core is made from.
+// OverlayConfig is the configuration of an Overlay.
 type OverlayConfig struct {
 	Self   Member
 	Seeds  []string
 	Topics []Topic
 }
 
-// Overlay is the pure core of the overlay: inputs and the time go in, actions come out; it is owned by one goroutine.
+// Overlay is the overlay's state machine: it maps inputs and the time to actions and performs no I/O.
+// It is not safe for concurrent use.
 type Overlay struct {
-	cfg    OverlayConfig
-	table  *table
-	topics map[TopicName]*topicState
-	names  []TopicName
-	links  map[LinkID]*link
-	ids    []LinkID
-	byName map[ferryid.EntryName]*link
-	listed map[ferryid.EntryName]listedEntry
-	wanted map[ferryid.EntryName]time.Time
-	dials  map[string]*attempt
+	cfg        OverlayConfig
+	table      *table
+	topics     map[TopicName]*topicState
+	topicNames []TopicName
+	links      map[LinkID]*link
+	sortedIDs  []LinkID
+	byName     map[ferryid.EntryName]*link
+	listed     map[ferryid.EntryName]listedEntry
+	wanted     map[ferryid.EntryName]time.Time
+	dials      map[string]*dialState
 
-	now         time.Time
-	lastStep    time.Time
-	chooseAt    time.Time
-	chosenFor   uint64
-	chooseDirty bool
-	expireAt    time.Time
-	probeAt     time.Time
-	probes      uint64
-	refreshAt   time.Time
-	loadAt      time.Time
-	refuteAt    time.Time
-	resyncAt    time.Time
-	volatileAt  time.Time
-	resyncs     uint64
-	want        SelfChanged
-	leaving     bool
-	replaced    bool
-	counts      Counts
-	out         []Action
+	now             time.Time
+	lastStep        time.Time
+	nextChoice      time.Time
+	chosenStructure uint64
+	chooseDirty     bool
+	nextExpire      time.Time
+	nextProbe       time.Time
+	probes          uint64
+	nextRefresh     time.Time
+	nextLoad        time.Time
+	nextRefute      time.Time
+	nextResync      time.Time
+	nextVolatile    time.Time
+	resyncs         uint64
+	desired         SelfChanged
+	leaving         bool
+	replaced        bool
+	counts          Counts
+	actions         []Action
 }
 
 type listedEntry struct {
@@ -79,10 +81,10 @@
 	address string
 }
 
-// Counts are the overlay's counters by name, among them each CloseReason.
+// Counts holds the overlay's counters by name, including one for each CloseReason.
 type Counts map[string]uint64
 
-// NewOverlay returns a core that knows only itself.
+// NewOverlay returns an overlay whose only member is this process.
 func NewOverlay(cfg OverlayConfig, now time.Time) *Overlay {
 	o := &Overlay{
 		cfg:    cfg,
@@ -92,33 +94,35 @@
 		byName: map[ferryid.EntryName]*link{},
 		listed: map[ferryid.EntryName]listedEntry{},
 		wanted: map[ferryid.EntryName]time.Time{},
-		dials:  map[string]*attempt{},
+		dials:  map[string]*dialState{},
 		counts: Counts{},
 		now:    now, lastStep: now, chooseDirty: true,
-		want: SelfChanged{State: Ready},
+		desired: SelfChanged{State: Ready},
 	}
 	for _, t := range append(o.table.topics(), cfg.Topics...) {
 		o.topics[t.Name] = &topicState{Topic: t}
 	}
-	o.names = slices.Sorted(maps.Keys(o.topics))
-	o.refreshAt = now.Add(o.jitter(refreshEvery, 0))
-	o.resyncAt = now.Add(o.jitter(resyncEvery, 1))
+	o.topicNames = slices.Sorted(maps.Keys(o.topics))
+	o.nextRefresh = now.Add(o.jitter(refreshInterval, 0))
+	o.nextResync = now.Add(o.jitter(resyncInterval, 1))
 	return o
 }
 
-// Topics returns the names of the topics, ordered, as they go into a hello.
-func (o *Overlay) Topics() []TopicName { return o.names }
+// Topics returns the sorted names of the topics, as sent in a hello.
+func (o *Overlay) Topics() []TopicName { return o.topicNames }
 
-// Self returns this process's own member record, whose start may have been moved past an earlier incarnation's.
+// Self returns the member record of this process.
+//
+// Started may have been moved past that of an earlier incarnation whose clock was ahead.
 func (o *Overlay) Self() Member { return *o.table.self.Member }
 
-// Members returns the membership now.
+// Members returns a snapshot of the membership.
 func (o *Overlay) Members() Members { return o.table.snapshot() }
 
-// Changes counts the changes of the membership: of its structure (who, status, state), and of any detail.
+// Changes returns two change counters of the membership: structural (members, status, state) and any change.
 func (o *Overlay) Changes() (structure, detail uint64) { return o.table.structure, o.table.detail }
 
-// Links returns the names of the linked peers, ordered.
+// Links returns the sorted names of the linked peers.
 func (o *Overlay) Links() []ferryid.EntryName {
 	return slices.Sorted(maps.Keys(o.byName))
 }
@@ -132,15 +136,15 @@
 	return out
 }
 
-// Step takes one input at the given time and returns the actions it leads to.
+// Step processes one input at the given time and returns the resulting actions.
 func (o *Overlay) Step(in Input, now time.Time) []Action {
 	o.now, o.table.now = now, now
-	o.out = nil
+	o.actions = nil
 	switch in := in.(type) {
 	case Tick:
 		o.tick()
 	case Listed:
-		o.list(in)
+		o.updateListed(in)
 	case LinkUp:
 		o.linkUp(in)
 	case LinkDown:
@@ -152,29 +156,29 @@
 	case Published:
 		o.publish(in.Topic)
 	case SelfChanged:
-		o.want = in
+		o.desired = in
 	case Leaving:
 		o.leave()
 	}
-	o.drainOwn()
-	return o.out
+	o.queueOwnChanges()
+	return o.actions
 }
 
-func (o *Overlay) do(a Action) { o.out = append(o.out, a) }
+func (o *Overlay) emit(a Action) { o.actions = append(o.actions, a) }
 
 func (o *Overlay) count(name string) { o.counts[name]++ }
 
 func (o *Overlay) note(kind string, subject ferryid.EntryName, detail string) {
-	o.do(Note{Kind: kind, Subject: string(subject), Detail: detail})
+	o.emit(Note{Kind: kind, Subject: string(subject), Detail: detail})
 }
 
-// jitter returns a duration below d that differs between processes and between the given numbers, and is the same each time.
+// jitter returns a deterministic pseudo-random duration in [0, d) that depends on the process's name and n.
 func (o *Overlay) jitter(d time.Duration, n uint64) time.Duration {
 	return time.Duration(float64(d) * fraction(xxhash.Sum64String(string(o.cfg.Self.Name))^mix(n+1)))
 }
 
 func (o *Overlay) tick() {
-	o.wakeUp()
+	o.compensatePause()
 	if o.replaced || o.leaving {
 		o.flush()
 		return
@@ -183,35 +187,36 @@
 		o.stopReplaced()
 		return
 	}
-	o.closeSilent()
-	o.dialDoubtful()
-	if len(o.links) > 0 && !o.now.Before(o.expireAt) {
-		o.expireAt = o.now.Add(expireEvery)
-		o.table.expire(suspectFor, refreshWithin)
+	o.closeSilentLinks()
+	o.dialOverdue()
+	if len(o.links) > 0 && !o.now.Before(o.nextExpire) {
+		o.nextExpire = o.now.Add(expireInterval)
+		o.table.expire(suspectTimeout, refreshTimeout)
 	}
-	o.speakOfSelf()
-	o.chooseAgain()
-	o.closeUnwanted()
+	o.refreshSelf()
+	o.updateWanted()
+	o.closeUnwantedLinks()
 	o.dialWanted()
 	o.probe()
-	o.heartbeats()
+	o.sendHeartbeats()
 	o.resync()
-	o.drainOwn()
+	o.queueOwnChanges()
 	o.flush()
 }
 
-// wakeUp keeps a process that did not run for a while from taking its own pause for everyone else's silence.
-func (o *Overlay) wakeUp() {
+// compensatePause detects that this process was paused and shifts its timers,
+// so that the pause is not mistaken for silence of the peers.
+func (o *Overlay) compensatePause() {
 	gap := o.now.Sub(o.lastStep)
 	o.lastStep = o.now
-	if gap < silentAfter/2 {
+	if gap < silenceTimeout/2 {
 		return
 	}
 	o.count("Pauses")
 	o.note("PeerPaused", o.cfg.Self.Name, gap.String())
 	o.table.shift(gap)
 	for _, l := range o.links {
-		l.heard = l.heard.Add(gap)
+		l.lastReceived = l.lastReceived.Add(gap)
 	}
 }
 
@@ -220,46 +225,47 @@
 	for _, id := range o.linkIDs() {
 		o.closeLink(o.links[id], CloseReplaced)
 	}
-	o.do(Replaced{})
+	o.emit(Replaced{})
 }
 
-// speakOfSelf refutes accusations, and refreshes the own record when it is due or its state or load moved.
-func (o *Overlay) speakOfSelf() {
+// refreshSelf refutes suspicions of this process and publishes its own record when it is due or has changed.
+func (o *Overlay) refreshSelf() {
 	t := o.table
-	t.self.Load = o.want.Load
-	if t.accusedBeat >= t.self.Beat {
+	t.self.Load = o.desired.Load
+	if t.suspectedBeat >= t.self.Beat {
 		o.refute()
 		return
 	}
-	if t.self.State != o.want.State {
-		t.self.State = o.want.State
+	if t.self.State != o.desired.State {
+		t.self.State = o.desired.State
 		t.announce(true)
-		o.note("PeerState", o.cfg.Self.Name, o.want.State.String())
+		o.note("PeerState", o.cfg.Self.Name, o.desired.State.String())
 		return
 	}
 	moved := absDiff(t.self.Load.Permille, t.rows[o.cfg.Self.Name].Load.Permille) >= loadStepPermille
-	if o.now.Before(o.refreshAt) && (!moved || o.now.Before(o.loadAt)) {
+	if o.now.Before(o.nextRefresh) && (!moved || o.now.Before(o.nextLoad)) {
 		return
 	}
 	t.announce(false)
-	o.refreshAt = o.now.Add(refreshEvery/2 + o.jitter(refreshEvery/2, t.self.Beat))
-	every := max(leastLoadEvery, time.Duration(t.live())*time.Second/loadsPerSecond)
-	o.loadAt = o.now.Add(every/2 + o.jitter(every, t.self.Beat))
+	o.nextRefresh = o.now.Add(refreshInterval/2 + o.jitter(refreshInterval/2, t.self.Beat))
+	every := max(minLoadInterval, time.Duration(t.liveCount())*time.Second/loadsPerSecond)
+	o.nextLoad = o.now.Add(every/2 + o.jitter(every, t.self.Beat))
 }
 
-// refute answers an accusation after a delay that grows with the live count, so that a healed cut brings no stampede.
+// refute refutes a suspicion after a random delay that grows with the number of live members,
+// which avoids a burst of refutations after a network partition has healed.
 func (o *Overlay) refute() {
 	t := o.table
-	if o.refuteAt.IsZero() {
-		spread := time.Duration(t.live()) * time.Second / refutesPerSecond
-		o.refuteAt = o.now.Add(o.jitter(min(spread, suspectFor/2), t.accusedBeat))
+	if o.nextRefute.IsZero() {
+		spread := time.Duration(t.liveCount()) * time.Second / refutesPerSecond
+		o.nextRefute = o.now.Add(o.jitter(min(spread, suspectTimeout/2), t.suspectedBeat))
 		return
 	}
-	if o.now.Before(o.refuteAt) {
+	if o.now.Before(o.nextRefute) {
 		return
 	}
-	o.refuteAt = time.Time{}
-	t.self.Beat = t.accusedBeat
+	o.nextRefute = time.Time{}
+	t.self.Beat = t.suspectedBeat
 	t.announce(true)
 	o.count("Refutations")
 }
@@ -270,19 +276,19 @@
 
 func (o *Overlay) leave() {
 	o.leaving = true
-	// There is no later digest for a peer that asked not to be pushed to.
+	// A lazy link would only get the Left record by a later digest, which this process no longer sends.
 	for _, l := range o.links {
 		l.eager = true
 	}
 	o.table.self.Status = Left
-	o.table.self.Until = o.now.Add(tombstoneFor).Unix()
+	o.table.self.Until = o.now.Add(tombstoneTTL).Unix()
 	o.table.announce(true)
-	o.drainOwn()
+	o.queueOwnChanges()
 	o.flush()
 }
 
-// linkIDs returns the links' ids, ordered; the slice stays as it is while links come and go.
-func (o *Overlay) linkIDs() []LinkID { return o.ids }
+// linkIDs returns the sorted IDs of the links; the slice is copied on write, so it can be iterated during changes.
+func (o *Overlay) linkIDs() []LinkID { return o.sortedIDs }
 
 func sortedByName(m map[ferryid.EntryName]time.Time) []ferryid.EntryName {
 	return slices.SortedFunc(maps.Keys(m), cmp.Compare)
--- a/ferry/ferrypeer/pull_test.go
+++ b/ferry/ferrypeer/pull_test.go
@@ -9,7 +9,8 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// A digest is pulled from one peer only, but another one that comes while the first pull is unanswered is pulled at once.
+// TestEachDigestIsPulledOnce checks that a digest is pulled from one peer only, and that a different digest is pulled
+// at once even if the first pull has not been answered.
 func TestEachDigestIsPulledOnce(t *testing.T) {
 	const topic ferrypeer.TopicName = "documents"
 	own := ferrypeer.Member{Name: "entry-0", Incarnation: "1"}
@@ -28,10 +29,10 @@
 		digest string
 		pulls  int
 	}{
-		{"a digest of one peer", 1, "five", 1},
-		{"the same of another", 2, "five", 0},
-		{"a later one while the pull is unanswered", 2, "six", 1},
-		{"the later one again", 1, "six", 0},
+		{"first digest from one peer", 1, "five", 1},
+		{"same digest from another peer", 2, "five", 0},
+		{"later digest while the pull is unanswered", 2, "six", 1},
+		{"later digest again", 1, "six", 0},
 	} {
 		pulls := 0
 		m := &ferrypeer.Digest{Topic: topic, Digest: []byte(tt.digest)}
--- a/ferry/ferrypeer/secret_test.go
+++ b/ferry/ferrypeer/secret_test.go
@@ -9,7 +9,8 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// A key is replaced in rounds, in each of which entries of the round before and of this one must meet.
+// TestSecretIsReplacedEntryByEntry rotates a key in rounds. In each round, entries that still have the keys of the
+// previous round must be able to connect to entries that have the new ones.
 func TestSecretIsReplacedEntryByEntry(t *testing.T) {
 	type keys []string
 	with := func(ks keys) func(*ferrypeer.Config) {
@@ -24,24 +25,24 @@
 	tests := []struct {
 		name          string
 		before, after keys
-		meet          bool
+		connects      bool
 	}{
 		{"the new key is added", keys{"old"}, keys{"old", "new"}, true},
 		{"the new key comes first", keys{"old", "new"}, keys{"new", "old"}, true},
-		{"the old key goes", keys{"new", "old"}, keys{"new"}, true},
-		{"a round left out", keys{"old"}, keys{"new", "old"}, false},
+		{"the old key is removed", keys{"new", "old"}, keys{"new"}, true},
+		{"a round is skipped", keys{"old"}, keys{"new", "old"}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := startNode(t, "entry-a", "domain-1", nil, with(tt.before))
 				b := startNode(t, "entry-b", "domain-1", []string{a.address}, with(tt.after))
-				if tt.meet {
-					waitFor(t, "both see both", func() bool { return sees(a, 2) && sees(b, 2) })
+				if tt.connects {
+					waitFor(t, "both see both", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
 					return
 				}
 				waitFor(t, "the refusal is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] > 0 })
-				assert.Assert(t, sees(a, 1) && sees(b, 1))
+				assert.Assert(t, seesUsable(a, 1) && seesUsable(b, 1))
 			})
 		})
 	}
--- a/ferry/ferrypeer/silence_test.go
+++ b/ferry/ferrypeer/silence_test.go
@@ -9,8 +9,9 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// A document passes links that went silent before it came, though they are replaced only later; whoever still lives is not accused.
-func TestDocumentPassesSilentLinks(t *testing.T) {
+// TestDocumentBypassesSilentLinks publishes a document after all links went silent, before they are replaced.
+// The document must reach all members within the limit, and no live member may be suspected in the end.
+func TestDocumentBypassesSilentLinks(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		before time.Duration
@@ -20,7 +21,7 @@
 		{"silent for a while", 1500 * time.Millisecond, 300 * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(7)
+			w := newFaultFleet(7)
 			for name, c := range w.Cores() {
 				for pick := range c.Overlay.Links() {
 					w.Silence(name, pick)
@@ -36,13 +37,13 @@
 				}
 				return true
 			})
-			t.Logf("everywhere after %s", took)
-			assert.Assert(t, ok && took <= tt.limit, "took %s", took)
+			t.Logf("replicated to all members after %s", took)
+			assert.Assert(t, ok && took <= tt.limit, "replication took %s", took)
 			w.Run(15 * time.Second)
-			assert.Equal(t, w.settled(), "")
+			assert.Equal(t, w.divergence(), "")
 			for name, c := range w.Cores() {
 				for _, m := range c.Overlay.Members().List {
-					assert.Equal(t, m.Status, ferrypeer.Alive, "%s holds %s", name, m.Name)
+					assert.Equal(t, m.Status, ferrypeer.Alive, "status at %s of %s", name, m.Name)
 				}
 			}
 		})
--- a/ferry/ferrypeer/silent_test.go
+++ b/ferry/ferrypeer/silent_test.go
@@ -14,7 +14,7 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// mutedConn loses what is written to it, and hears nothing more, while muted is set.
+// mutedConn discards writes while muted is set.
 type mutedConn struct {
 	net.Conn
 	muted *atomic.Bool
@@ -27,8 +27,8 @@
 	return c.Conn.Write(b)
 }
 
-// TestEndPastSilentPeer ends a node whose connection to a peer has fallen silent: a planned stop must not wait for that peer.
-func TestEndPastSilentPeer(t *testing.T) {
+// TestStopWithSilentPeer checks that a planned stop does not wait for a peer whose connection has gone silent.
+func TestStopWithSilentPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		muted := &atomic.Bool{}
 		mute := func(cfg *ferrypeer.Config) {
@@ -39,10 +39,10 @@
 		}
 		first := startNode(t, "entry-0", "domain-0", nil, mute)
 		second := startNode(t, "entry-1", "domain-1", []string{first.address}, mute)
-		waitFor(t, "both see both", func() bool { return sees(first, 2) && sees(second, 2) })
+		waitFor(t, "both see both", func() bool { return seesUsable(first, 2) && seesUsable(second, 2) })
 		muted.Store(true)
 		began := time.Now()
-		second.end()
-		assert.Assert(t, time.Since(began) < time.Second, "it took %s", time.Since(began))
+		second.stop()
+		assert.Assert(t, time.Since(began) < time.Second, "the stop took %s", time.Since(began))
 	})
 }
--- a/ferry/ferrypeer/spread.go
+++ b/ferry/ferrypeer/spread.go
@@ -11,45 +11,46 @@
 const (
 	mismatchesToRepair = 2
 	minEagerLinks      = 2
-	// smallEagerLinks is that number in fleets of up to smallFleet members: with so few, two links each can leave groups apart until a
-	// repair joins them, and twice as many copies cost little.
-	smallEagerLinks = 4
-	smallFleet      = 32
-	// leastFarEager is how many links into other failure domains go on pushing, so that no domain is left to repairs.
-	leastFarEager   = 1
-	maxPendingItems = 4096
-	maxPushBytes    = 64 << 10
-	pullFor         = 2 * time.Second
-	volatileEvery   = 500 * time.Millisecond
+	// smallFleetEagerLinks replaces minEagerLinks in fleets of up to smallFleetMembers members. With so few members,
+	// two eager links each can leave disconnected groups until a repair, and the extra copies are cheap.
+	smallFleetEagerLinks = 4
+	smallFleetMembers    = 32
+	// minEagerCrossDomain keeps eager links into other failure domains, so that no domain depends on repairs alone.
+	minEagerCrossDomain = 1
+	maxPendingItems     = 4096
+	maxPushBytes        = 64 << 10
+	pullTimeout         = 2 * time.Second
+	volatileInterval    = 500 * time.Millisecond
 )
 
-// topicState is a topic with what the overlay keeps about it.
+// topicState is a topic with its digest cache and pull state.
 type topicState struct {
 	Topic
-	hash    uint64
-	hashAt  time.Time
-	pulling time.Time
-	// pulled is the hash of the digest that was last answered with a pull.
-	pulled uint64
+	hash         uint64
+	hashAt       time.Time
+	pullDeadline time.Time
+	// pulledHash is the hash of the digest last answered with a pull.
+	pulledHash uint64
 }
 
-func (t *topicState) offered() bool { return t.Fresh == nil }
+func (t *topicState) pullOnly() bool { return t.Fresh == nil }
 
-// pull reports whether a peer with this digest is to be asked for what it has: each digest once while its answer may be under way.
-func (t *topicState) pull(digest []byte, now time.Time) bool {
-	if !t.offered() {
+// shouldPull reports whether to request the items of a peer with this digest.
+// Each digest is pulled once until pullTimeout has passed without an answer.
+func (t *topicState) shouldPull(digest []byte, now time.Time) bool {
+	if !t.pullOnly() {
 		return true
 	}
 	h := xxhash.Sum64(digest)
-	if h == t.pulled && now.Before(t.pulling) {
+	if h == t.pulledHash && now.Before(t.pullDeadline) {
 		return false
 	}
-	t.pulled = h
-	t.pulling = now.Add(pullFor)
+	t.pulledHash = h
+	t.pullDeadline = now.Add(pullTimeout)
 	return true
 }
 
-// hashOf returns the hash of a topic's digest, computed at most once a step.
+// hashOf returns the hash of a topic's digest; it is computed at most once per step.
 func (o *Overlay) hashOf(t *topicState) uint64 {
 	if !t.hashAt.Equal(o.now) {
 		t.hash = xxhash.Sum64(t.Digest())
@@ -58,9 +59,9 @@
 	return t.hash
 }
 
-func (o *Overlay) common(theirs []TopicName) []TopicName {
+func (o *Overlay) commonTopics(theirs []TopicName) []TopicName {
 	var out []TopicName
-	for _, n := range o.names {
+	for _, n := range o.topicNames {
 		if slices.Contains(theirs, n) {
 			out = append(out, n)
 		}
@@ -68,8 +69,8 @@
 	return out
 }
 
-// repaired are a link's topics whose digests are compared with each heartbeat.
-func (o *Overlay) repaired(l *link) []*topicState {
+// comparedTopics returns the non-volatile topics of a link, which are compared on each heartbeat.
+func (o *Overlay) comparedTopics(l *link) []*topicState {
 	var out []*topicState
 	for _, n := range l.topics {
 		if t := o.topics[n]; !t.Volatile {
@@ -79,9 +80,9 @@
 	return out
 }
 
-func (o *Overlay) combined(l *link) uint64 {
+func (o *Overlay) combinedHash(l *link) uint64 {
 	b := make([]byte, 0, 8*len(l.topics))
-	for _, t := range o.repaired(l) {
+	for _, t := range o.comparedTopics(l) {
 		b = binary.BigEndian.AppendUint64(b, o.hashOf(t))
 	}
 	return xxhash.Sum64(b)
@@ -89,31 +90,31 @@
 
 func (o *Overlay) summary(l *link) *Summary {
 	m := &Summary{Hashes: []uint64{}}
-	for _, t := range o.repaired(l) {
+	for _, t := range o.comparedTopics(l) {
 		m.Hashes = append(m.Hashes, o.hashOf(t))
 	}
 	return m
 }
 
-func (o *Overlay) heartbeats() {
+func (o *Overlay) sendHeartbeats() {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
-		if o.now.Before(l.beatAt) {
+		if o.now.Before(l.nextHeartbeat) {
 			continue
 		}
-		l.beatAt = o.now.Add(heartbeatEvery)
+		l.nextHeartbeat = o.now.Add(heartbeatInterval)
 		_, wanted := o.wanted[l.peer.Name]
-		o.do(Send{Link: l.id, Message: &Heartbeat{Hash: o.combined(l), Wanted: wanted}})
+		o.emit(Send{Link: l.id, Message: &Heartbeat{Hash: o.combinedHash(l), Wanted: wanted}})
 	}
 }
 
-// resync compares the volatile topics with one link after another.
+// resync compares the volatile topics over one link at a time, in rotation.
 func (o *Overlay) resync() {
-	if o.now.Before(o.resyncAt) || len(o.links) == 0 {
+	if o.now.Before(o.nextResync) || len(o.links) == 0 {
 		return
 	}
 	o.resyncs++
-	o.resyncAt = o.now.Add(resyncEvery/2 + o.jitter(resyncEvery, o.resyncs))
+	o.nextResync = o.now.Add(resyncInterval/2 + o.jitter(resyncInterval, o.resyncs))
 	ids := o.linkIDs()
 	o.syncVolatile(o.links[ids[int(o.resyncs)%len(ids)]])
 }
@@ -121,7 +122,7 @@
 func (o *Overlay) syncVolatile(l *link) {
 	for _, n := range l.topics {
 		if t := o.topics[n]; t.Volatile {
-			o.do(Send{Link: l.id, Message: &Digest{Topic: n, Digest: t.Digest()}})
+			o.emit(Send{Link: l.id, Message: &Digest{Topic: n, Digest: t.Digest()}})
 		}
 	}
 }
@@ -131,25 +132,25 @@
 	if l == nil {
 		return
 	}
-	l.heard = o.now
-	l.offered = false
+	l.lastReceived = o.now
+	l.digestOffered = false
 	switch m := in.Message.(type) {
 	case *Heartbeat:
-		o.heartbeat(l, m)
+		o.handleHeartbeat(l, m)
 	case *Push:
-		o.push(l, m)
+		o.handlePush(l, m)
 	case *Summary:
-		o.compare(l, m)
+		o.handleSummary(l, m)
 	case *Digest:
-		o.answerDigest(l, m)
+		o.handleDigest(l, m)
 	case *Tree:
 		l.eager = m.Eager
 	}
 }
 
-func (o *Overlay) heartbeat(l *link, m *Heartbeat) {
-	l.peerWants = m.Wanted
-	if m.Hash == o.combined(l) {
+func (o *Overlay) handleHeartbeat(l *link, m *Heartbeat) {
+	l.wantedByPeer = m.Wanted
+	if m.Hash == o.combinedHash(l) {
 		l.mismatches = 0
 		return
 	}
@@ -157,20 +158,20 @@
 	if l.mismatches >= mismatchesToRepair {
 		l.mismatches = 0
 		o.count("Repairs")
-		o.do(Send{Link: l.id, Message: o.summary(l)})
+		o.emit(Send{Link: l.id, Message: o.summary(l)})
 	}
 }
 
-func (o *Overlay) compare(l *link, m *Summary) {
-	for i, t := range o.repaired(l) {
+func (o *Overlay) handleSummary(l *link, m *Summary) {
+	for i, t := range o.comparedTopics(l) {
 		if i < len(m.Hashes) && m.Hashes[i] != o.hashOf(t) {
-			o.do(Send{Link: l.id, Message: &Digest{Topic: t.Name, Digest: t.Digest()}})
+			o.emit(Send{Link: l.id, Message: &Digest{Topic: t.Name, Digest: t.Digest()}})
 		}
 	}
 }
 
-// answerDigest sends what the peer lacks, and the own digest back unless the peer's was already an answer.
-func (o *Overlay) answerDigest(l *link, m *Digest) {
+// handleDigest sends the items that the peer lacks, and its own digest unless the peer's was already an answer.
+func (o *Overlay) handleDigest(l *link, m *Digest) {
 	t := o.topics[m.Topic]
 	if t == nil {
 		return
@@ -179,22 +180,22 @@
 	if slices.Equal(own, m.Digest) {
 		return
 	}
-	o.send(l, t.Name, t.Missing(m.Digest), true)
-	if m.Want || !t.pull(m.Digest, o.now) {
+	o.sendItems(l, t.Name, t.Missing(m.Digest), true)
+	if m.Want || !t.shouldPull(m.Digest, o.now) {
 		return
 	}
-	o.do(Send{Link: l.id, Message: &Digest{Topic: t.Name, Digest: own, Want: true}})
+	o.emit(Send{Link: l.id, Message: &Digest{Topic: t.Name, Digest: own, Want: true}})
 }
 
-// push applies items and passes on what was new; a link that brings nothing new is left to digests.
-func (o *Overlay) push(l *link, m *Push) {
+// handlePush applies the items and forwards the changed ones; a link that delivers only duplicates is made lazy.
+func (o *Overlay) handlePush(l *link, m *Push) {
 	t := o.topics[m.Topic]
 	if t == nil {
 		return
 	}
 	items := m.Items
 	if o.outdated(l) {
-		items = o.ofItself(l, m)
+		items = o.ownRecords(l, m)
 	}
 	var changed []Item
 	for _, it := range items {
@@ -209,19 +210,20 @@
 		}
 	}
 	t.hashAt = time.Time{}
-	if t.offered() {
+	if t.pullOnly() {
 		if len(changed) > 0 {
-			t.pulling = time.Time{}
-			o.offer(t, l)
+			t.pullDeadline = time.Time{}
+			o.offerDigest(t, l)
 		}
 		return
 	}
-	o.queue(t, changed, l)
-	o.shapeTree(l, m, len(changed))
+	o.queueItems(t, changed, l)
+	o.adjustEager(l, m, len(changed))
 }
 
-// ofItself leaves of an outdated incarnation's items only what it says of itself, by which a restart whose clock is behind becomes known.
-func (o *Overlay) ofItself(l *link, m *Push) []Item {
+// ownRecords returns the items of an outdated incarnation's push that are its own records and drops the others.
+// The own record reveals a restarted process whose clock is behind.
+func (o *Overlay) ownRecords(l *link, m *Push) []Item {
 	var out []Item
 	o.count("OutdatedPushes")
 	if m.Topic != topicMembers {
@@ -235,50 +237,50 @@
 	return out
 }
 
-func (o *Overlay) shapeTree(l *link, m *Push, changed int) {
+func (o *Overlay) adjustEager(l *link, m *Push, changed int) {
 	switch {
 	case m.Repair && changed > 0 && !l.eager:
 		l.eager = true
-		o.do(Send{Link: l.id, Message: &Tree{Eager: true}})
-	case !m.Repair && changed == 0 && l.eager && o.eagerLinks() > o.leastEager():
-		spare := o.spare(l)
-		spare.eager = false
-		o.do(Send{Link: spare.id, Message: &Tree{Eager: false}})
+		o.emit(Send{Link: l.id, Message: &Tree{Eager: true}})
+	case !m.Repair && changed == 0 && l.eager && o.countEager() > o.minEager():
+		lazy := o.lazyCandidate(l)
+		lazy.eager = false
+		o.emit(Send{Link: lazy.id, Message: &Tree{Eager: false}})
 	}
 }
 
-// spare returns the link that is left to digests when this one brings nothing new: rather one into another failure domain, as long as
-// another such link goes on, since bytes between domains cost more.
-func (o *Overlay) spare(l *link) *link {
-	if o.far(l) {
+// lazyCandidate returns the link to make lazy when l delivers only duplicates. Traffic between failure domains
+// costs more, so a cross-domain link is preferred as long as minEagerCrossDomain others stay eager.
+func (o *Overlay) lazyCandidate(l *link) *link {
+	if o.crossDomain(l) {
 		return l
 	}
 	var far []*link
 	for _, id := range o.linkIDs() {
-		if f := o.links[id]; f.eager && o.far(f) {
+		if f := o.links[id]; f.eager && o.crossDomain(f) {
 			far = append(far, f)
 		}
 	}
-	if len(far) <= leastFarEager {
+	if len(far) <= minEagerCrossDomain {
 		return l
 	}
 	return far[0]
 }
 
-// far reports whether a link leads into another failure domain.
-func (o *Overlay) far(l *link) bool {
+// crossDomain reports whether the peer of a link is in another failure domain.
+func (o *Overlay) crossDomain(l *link) bool {
 	return l.peer.FailureDomain != o.table.self.Member.FailureDomain
 }
 
-// leastEager is the number of links that go on pushing whatever they bring.
-func (o *Overlay) leastEager() int {
-	if len(o.table.rows) <= smallFleet {
-		return smallEagerLinks
+// minEager returns the minimum number of eager links.
+func (o *Overlay) minEager() int {
+	if len(o.table.rows) <= smallFleetMembers {
+		return smallFleetEagerLinks
 	}
 	return minEagerLinks
 }
 
-func (o *Overlay) eagerLinks() int {
+func (o *Overlay) countEager() int {
 	n := 0
 	for _, l := range o.links {
 		if l.eager {
@@ -294,15 +296,15 @@
 		return
 	}
 	t.hashAt = time.Time{}
-	if t.offered() {
-		o.offer(t, nil)
+	if t.pullOnly() {
+		o.offerDigest(t, nil)
 		return
 	}
-	o.queue(t, t.Fresh(), nil)
+	o.queueItems(t, t.Fresh(), nil)
 }
 
-// drainOwn queues what the membership itself changed.
-func (o *Overlay) drainOwn() {
+// queueOwnChanges queues the changed records of the membership topics.
+func (o *Overlay) queueOwnChanges() {
 	for _, n := range []TopicName{topicMembers, topicBeats} {
 		t := o.topics[n]
 		items := t.Fresh()
@@ -310,28 +312,29 @@
 			continue
 		}
 		t.hashAt = time.Time{}
-		o.queue(t, items, nil)
+		o.queueItems(t, items, nil)
 	}
 }
 
-// offer tells all links but one of a topic's new digest at once.
-func (o *Overlay) offer(t *topicState, but *link) {
+// offerDigest sends a topic's new digest on all links except one.
+func (o *Overlay) offerDigest(t *topicState, except *link) {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
-		if l != but && slices.Contains(l.topics, t.Name) {
-			o.do(Send{Link: id, Message: &Digest{Topic: t.Name, Digest: t.Digest()}})
-			l.offered = true
+		if l != except && slices.Contains(l.topics, t.Name) {
+			o.emit(Send{Link: id, Message: &Digest{Topic: t.Name, Digest: t.Digest()}})
+			l.digestOffered = true
 		}
 	}
 }
 
-// queue leaves items for the next flush of each eager link; a full queue drops them, and digests repair that.
-func (o *Overlay) queue(t *topicState, items []Item, but *link) {
+// queueItems adds items to the pending queue of each eager link for the next flush.
+// Items beyond maxPendingItems are dropped and repaired by digests.
+func (o *Overlay) queueItems(t *topicState, items []Item, except *link) {
 	if len(items) == 0 {
 		return
 	}
 	for _, l := range o.links {
-		if l == but || !l.eager || !slices.Contains(l.topics, t.Name) {
+		if l == except || !l.eager || !slices.Contains(l.topics, t.Name) {
 			continue
 		}
 		room := max(0, maxPendingItems-len(l.pending[t.Name]))
@@ -342,11 +345,11 @@
 	}
 }
 
-// flush sends what is queued; volatile topics wait longer, so that more items share a message.
+// flush sends the pending items; volatile topics are flushed every volatileInterval, to batch more items per message.
 func (o *Overlay) flush() {
-	due := !o.now.Before(o.volatileAt) || o.leaving
+	due := !o.now.Before(o.nextVolatile) || o.leaving
 	if due {
-		o.volatileAt = o.now.Add(volatileEvery)
+		o.nextVolatile = o.now.Add(volatileInterval)
 	}
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
@@ -356,21 +359,21 @@
 			}
 			if items := l.pending[n]; len(items) > 0 {
 				delete(l.pending, n)
-				o.send(l, n, items, false)
+				o.sendItems(l, n, items, false)
 			}
 		}
 	}
 }
 
-// send cuts items into messages of bounded size.
-func (o *Overlay) send(l *link, topic TopicName, items []Item, repair bool) {
+// sendItems splits items into messages of bounded size.
+func (o *Overlay) sendItems(l *link, topic TopicName, items []Item, repair bool) {
 	for len(items) > 0 {
 		n, bytes := 0, 0
 		for n < len(items) && n < maxItems && (n == 0 || bytes+len(items[n]) <= maxPushBytes) {
 			bytes += len(items[n])
 			n++
 		}
-		o.do(Send{Link: l.id, Message: &Push{Topic: topic, Items: items[:n:n], Repair: repair}})
+		o.emit(Send{Link: l.id, Message: &Push{Topic: topic, Items: items[:n:n], Repair: repair}})
 		items = items[n:]
 	}
 }
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -11,7 +11,7 @@
 
 const (
 	maxMembers     = 4096
-	tombstoneFor   = 10 * time.Minute
+	tombstoneTTL   = 10 * time.Minute
 	tombstoneGrace = time.Minute
 	digestMaxAge   = 10 * time.Second
 	joinGrace      = 5 * time.Second
@@ -21,19 +21,19 @@
 	topicBeats   TopicName = "beats"
 )
 
-// Record is what is spread of a member: whole, or without Member to those who know its tag.
+// Record is the replicated record of a member; compact records omit Member and are resolved by Tag.
 type Record struct {
 	Tag    Tag     `cbor:"1,keyasint"`
 	Member *Member `cbor:"2,keyasint,omitempty"`
 	Beat   uint64  `cbor:"3,keyasint"`
 	Status Status  `cbor:"4,keyasint"`
 	State  State   `cbor:"5,keyasint"`
-	// Until is when the record of a dead or left member is forgotten, in Unix seconds.
+	// Until is the expiry of a dead or left member's record, in Unix seconds.
 	Until int64 `cbor:"6,keyasint,omitempty"`
 	Load  Load  `cbor:"7,keyasint"`
 }
 
-// Check returns an error that says what is wrong with the record, or nil.
+// Check validates the record.
 func (r Record) Check() error {
 	if r.Status < Alive || r.Status > Left {
 		return fmt.Errorf("record with unknown status %d", r.Status)
@@ -50,7 +50,7 @@
 	return r.Member.Check()
 }
 
-// supersedes orders records of one incarnation: leaving is final, then the heartbeat count, then the status.
+// supersedes orders records of one incarnation: Left is final, then the heartbeat count, then the status.
 func (r Record) supersedes(o Record) bool {
 	if o.Status == Left {
 		return false
@@ -67,33 +67,33 @@
 
 type row struct {
 	Record
-	beatAt   time.Time
-	statusAt time.Time
+	lastBeat    time.Time
+	statusSince time.Time
 }
 
-// table is the membership as one process holds it; merging records in any order ends in the same table.
+// table is one process's replica of the membership; merging is commutative, so the order of records does not matter.
 type table struct {
-	self Record
-	now  time.Time
-	born time.Time
-	// joined is when the first link came up, and paused says that this process did not run for a while.
-	joined time.Time
-	paused bool
-	rows   map[ferryid.EntryName]*row
-	byTag  map[Tag]ferryid.EntryName
+	self      Record
+	now       time.Time
+	createdAt time.Time
+	// firstLinkAt is when the first link came up; paused is set after this process was paused.
+	firstLinkAt time.Time
+	paused      bool
+	rows        map[ferryid.EntryName]*row
+	byTag       map[Tag]ferryid.EntryName
 
 	structure uint64
 	detail    uint64
 
 	members, beats cachedDigest
-	freshMembers   []Item
-	freshBeats     []Item
+	changedMembers []Item
+	changedBeats   []Item
 
-	accusedBeat uint64
-	replaced    bool
-	conflicts   uint64
-	deaths      uint64
-	refused     uint64
+	suspectedBeat uint64
+	replaced      bool
+	conflicts     uint64
+	deaths        uint64
+	refused       uint64
 }
 
 type cachedDigest struct {
@@ -103,10 +103,10 @@
 }
 
 func newTable(self Member, now time.Time) *table {
-	t := &table{now: now, born: now, rows: map[ferryid.EntryName]*row{}, byTag: map[Tag]ferryid.EntryName{}}
+	t := &table{now: now, createdAt: now, rows: map[ferryid.EntryName]*row{}, byTag: map[Tag]ferryid.EntryName{}}
 	t.self = Record{Tag: self.Tag(), Member: &self, Beat: 1, Status: Alive, State: Ready}
 	t.put(t.self)
-	t.freshMembers = append(t.freshMembers, encodeRecord(t.self))
+	t.changedMembers = append(t.changedMembers, encodeRecord(t.self))
 	return t
 }
 
@@ -126,14 +126,14 @@
 	return r, r.Check()
 }
 
-// put stores a record that won, and notes what has to be computed anew.
+// put stores a record that won the merge and invalidates the cached digests.
 func (t *table) put(r Record) {
 	old := t.rows[r.Member.Name]
-	n := &row{Record: r, beatAt: t.now, statusAt: t.now}
+	n := &row{Record: r, lastBeat: t.now, statusSince: t.now}
 	t.beats.dirty = true
 	t.detail++
 	if old != nil && old.Tag == r.Tag && old.Status == r.Status {
-		n.statusAt = old.statusAt
+		n.statusSince = old.statusSince
 	}
 	if old == nil || old.Tag != r.Tag || old.Status != r.Status || old.State != r.State {
 		t.structure++
@@ -152,7 +152,7 @@
 	t.byTag[r.Tag] = r.Member.Name
 }
 
-// merge takes a record from a peer or from this process's own observation and reports whether it changed the table.
+// merge merges a record from a peer or from this process's own observation and reports whether the table changed.
 func (t *table) merge(r Record) bool {
 	if r.Member == nil {
 		return t.mergeCompact(r)
@@ -199,7 +199,7 @@
 	return t.merge(r)
 }
 
-// insert takes a record of an entry not known before; a record about to be forgotten is not learned again.
+// insert adds the record of an unknown entry; a record about to expire is not added again.
 func (t *table) insert(r Record) bool {
 	if r.gone() && r.Until < t.now.Add(tombstoneGrace).Unix() {
 		return false
@@ -234,11 +234,13 @@
 	t.detail++
 }
 
-// mergeSelf judges what others say of this process: an accusation is refuted, a later incarnation replaces it, and an earlier one whose clock was ahead is passed while joining.
+// mergeSelf processes records with this process's name.
+// A suspicion is refuted later, and a later incarnation replaces this process. While joining, a later start must
+// be that of an earlier incarnation whose clock was ahead, so Started is moved past it.
 func (t *table) mergeSelf(r Record) {
 	if r.Tag == t.self.Tag {
 		if r.Status != Alive && t.self.Status != Left && r.Beat >= t.self.Beat {
-			t.accusedBeat = max(t.accusedBeat, r.Beat)
+			t.suspectedBeat = max(t.suspectedBeat, r.Beat)
 		}
 		return
 	}
@@ -257,69 +259,71 @@
 	t.announce(true)
 }
 
-// joining reports whether this process is so new that an incarnation with a later start must be an earlier one whose clock was ahead.
+// joining reports whether this process started so recently that an incarnation with a later start must be an
+// earlier one whose clock was ahead.
 func (t *table) joining() bool {
-	if t.paused || t.now.Sub(t.born) > startGrace {
+	if t.paused || t.now.Sub(t.createdAt) > startGrace {
 		return false
 	}
-	return t.joined.IsZero() || t.now.Sub(t.joined) <= joinGrace
+	return t.firstLinkAt.IsZero() || t.now.Sub(t.firstLinkAt) <= joinGrace
 }
 
-// announce raises the own heartbeat count and queues the own record, whole if others may not know it.
+// announce increments the heartbeat count of this process and queues its record: the full record if peers may not
+// know it, a compact one otherwise.
 func (t *table) announce(whole bool) {
 	t.self.Beat++
 	t.put(t.self)
 	r := t.self
 	if whole {
-		t.freshMembers = append(t.freshMembers, encodeRecord(r))
+		t.changedMembers = append(t.changedMembers, encodeRecord(r))
 		return
 	}
 	r.Member = nil
-	t.freshBeats = append(t.freshBeats, encodeRecord(r))
+	t.changedBeats = append(t.changedBeats, encodeRecord(r))
 }
 
-// judge changes the status of another member by this process's own observation and queues it for the others.
-func (t *table) judge(name ferryid.EntryName, s Status) {
+// setStatus changes the status of another member by this process's own observation and queues the record.
+func (t *table) setStatus(name ferryid.EntryName, s Status) {
 	old := t.rows[name]
 	if old == nil || name == t.self.Member.Name {
 		return
 	}
 	r := old.Record
 	r.Status = s
-	r.Until = t.now.Add(tombstoneFor).Unix()
+	r.Until = t.now.Add(tombstoneTTL).Unix()
 	if !r.supersedes(old.Record) {
 		return
 	}
 	t.put(r)
 	r.Member = nil
-	t.freshMembers = append(t.freshMembers, encodeRecord(r))
+	t.changedMembers = append(t.changedMembers, encodeRecord(r))
 }
 
-// expire turns suspects and members without a refresh into dead ones, and forgets old records.
-func (t *table) expire(suspectFor, refreshWithin time.Duration) {
+// expire marks suspects as dead and members without a refresh as suspect, and removes expired records.
+func (t *table) expire(suspectTimeout, refreshTimeout time.Duration) {
 	for name, r := range t.rows {
 		switch {
 		case name == t.self.Member.Name:
 		case r.gone() && t.now.Unix() >= r.Until:
 			t.remove(r)
-		case r.Status == Suspect && t.now.Sub(r.statusAt) >= suspectFor:
-			t.judge(name, Dead)
-		case r.Status == Alive && t.now.Sub(r.beatAt) >= refreshWithin:
-			t.judge(name, Suspect)
+		case r.Status == Suspect && t.now.Sub(r.statusSince) >= suspectTimeout:
+			t.setStatus(name, Dead)
+		case r.Status == Alive && t.now.Sub(r.lastBeat) >= refreshTimeout:
+			t.setStatus(name, Suspect)
 		}
 	}
 }
 
-// shift moves what was last heard forward by the time in which this process did not run.
+// shift moves the timestamps of all rows forward by the duration of a pause of this process.
 func (t *table) shift(d time.Duration) {
 	t.paused = true
 	for _, r := range t.rows {
-		r.beatAt = r.beatAt.Add(d)
-		r.statusAt = r.statusAt.Add(d)
+		r.lastBeat = r.lastBeat.Add(d)
+		r.statusSince = r.statusSince.Add(d)
 	}
 }
 
-func (t *table) live() int {
+func (t *table) liveCount() int {
 	n := 0
 	for _, r := range t.rows {
 		if !r.gone() {
@@ -338,8 +342,8 @@
 	return ms
 }
 
-// spread reports whether the record takes part in digests; one about to be forgotten does not.
-func (t *table) spread(r *row) bool {
+// inDigest reports whether the record is included in digests; a record about to expire is not.
+func (t *table) inDigest(r *row) bool {
 	return !r.gone() || r.Until >= t.now.Add(tombstoneGrace).Unix()
 }
 
@@ -389,29 +393,29 @@
 	return t.merge(r), nil
 }
 
-func alive(r *row) bool { return r.Status == Alive }
+func isAlive(r *row) bool { return r.Status == Alive }
 
-func compact(r Record) Item {
+func encodeCompact(r Record) Item {
 	r.Member = nil
 	return encodeRecord(r)
 }
 
-// topics returns the two topics of the membership: who is there, and their heartbeat counts with loads.
+// topics returns the two topics of the membership: the member records, and the heartbeat counts with loads.
 func (t *table) topics() []Topic {
 	return []Topic{
 		{
 			Name:    topicMembers,
-			Digest:  func() []byte { return t.digest(&t.members, memberPair, t.spread) },
-			Missing: func(d []byte) []Item { return t.missing(d, memberPair, t.spread, encodeRecord) },
+			Digest:  func() []byte { return t.digest(&t.members, memberPair, t.inDigest) },
+			Missing: func(d []byte) []Item { return t.missing(d, memberPair, t.inDigest, encodeRecord) },
 			Apply:   t.apply,
-			Fresh:   func() []Item { return takeItems(&t.freshMembers) },
+			Fresh:   func() []Item { return takeItems(&t.changedMembers) },
 		},
 		{
 			Name:     topicBeats,
-			Digest:   func() []byte { return t.digest(&t.beats, beatPair, alive) },
-			Missing:  func(d []byte) []Item { return t.missing(d, beatPair, alive, compact) },
+			Digest:   func() []byte { return t.digest(&t.beats, beatPair, isAlive) },
+			Missing:  func(d []byte) []Item { return t.missing(d, beatPair, isAlive, encodeCompact) },
 			Apply:    t.apply,
-			Fresh:    func() []Item { return takeItems(&t.freshBeats) },
+			Fresh:    func() []Item { return takeItems(&t.changedBeats) },
 			Volatile: true,
 		},
 	}
--- a/ferry/ferrypeer/tap_test.go
+++ b/ferry/ferrypeer/tap_test.go
@@ -11,26 +11,26 @@
 	"cactusferry.dev/ferry/ferrynettest"
 )
 
-// tap passes WebSocket messages on to a node and keeps what the dialling side sent.
+// tap is a WebSocket proxy in front of a node that records the frames of the dialling side.
 type tap struct {
-	t       *testing.T
-	target  string
-	address string
-	mu      sync.Mutex
-	frames  map[*websocket.Conn][][]byte
-	outs    []*websocket.Conn
+	t         *testing.T
+	target    string
+	address   string
+	mu        sync.Mutex
+	frames    map[*websocket.Conn][][]byte
+	upstreams []*websocket.Conn
 }
 
 func newTap(t *testing.T, target string) *tap {
 	t.Helper()
 	p := &tap{t: t, target: target, frames: map[*websocket.Conn][][]byte{}}
-	server := ferrynettest.Serve(http.HandlerFunc(p.pass))
+	server := ferrynettest.Serve(http.HandlerFunc(p.proxy))
 	t.Cleanup(server.Close)
 	p.address = server.Listener.Addr().String()
 	return p
 }
 
-func (p *tap) pass(w http.ResponseWriter, r *http.Request) {
+func (p *tap) proxy(w http.ResponseWriter, r *http.Request) {
 	in, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return
@@ -41,10 +41,10 @@
 		return
 	}
 	p.mu.Lock()
-	p.outs = append(p.outs, out)
+	p.upstreams = append(p.upstreams, out)
 	p.mu.Unlock()
 	go p.copy(r.Context(), in, out, func([]byte) {})
-	p.copy(r.Context(), out, in, func(frame []byte) { p.keep(in, frame) })
+	p.copy(r.Context(), out, in, func(frame []byte) { p.record(in, frame) })
 }
 
 func (p *tap) copy(ctx context.Context, to, from *websocket.Conn, seen func([]byte)) {
@@ -64,13 +64,13 @@
 	}
 }
 
-func (p *tap) keep(of *websocket.Conn, frame []byte) {
+func (p *tap) record(of *websocket.Conn, frame []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.frames[of] = append(p.frames[of], frame)
 }
 
-// firstFrames returns the first frames of a connection that had more than so many, and so finished its hello.
+// firstFrames returns the first n frames of a connection with more than n frames, whose handshake is thus complete.
 func (p *tap) firstFrames(n int) [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,11 +82,11 @@
 	return nil
 }
 
-// inject sends a frame to the node as if the peer had, on each connection that the peer opened; those it has closed since do not matter.
+// inject sends a frame to the node on each connection opened by the peer; errors of closed connections are ignored.
 func (p *tap) inject(frame []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, out := range p.outs {
+	for _, out := range p.upstreams {
 		_ = out.Write(context.Background(), websocket.MessageBinary, frame)
 	}
 }
--- a/ferry/ferrypeer/tls_test.go
+++ b/ferry/ferrypeer/tls_test.go
@@ -20,7 +20,7 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// selfSigned returns a certificate for 127.0.0.1 that is its own authority.
+// selfSigned returns a self-signed certificate for 127.0.0.1 and a pool with it as the only authority.
 func selfSigned(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -52,7 +52,7 @@
 		}
 		a := startNode(t, "entry-a", "domain-1", nil, withTLS)
 		b := startNode(t, "entry-b", "domain-1", []string{a.address}, withTLS)
-		waitFor(t, "both see both", func() bool { return sees(a, 2) && sees(b, 2) })
+		waitFor(t, "both see both", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
 
 		client := &http.Client{Transport: &http.Transport{DialContext: ferrynettest.Dial, TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1", MinVersion: tls.VersionTLS13}}}
 		defer client.CloseIdleConnections()
@@ -60,6 +60,6 @@
 		assert.NilError(t, err)
 		assert.NilError(t, res.Body.Close())
 		assert.Equal(t, res.StatusCode, http.StatusUnauthorized)
-		waitFor(t, "the stranger is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] == 1 })
+		waitFor(t, "the refusal is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] == 1 })
 	})
 }
--- a/ferry/ferrypeer/topic.go
+++ b/ferry/ferrypeer/topic.go
@@ -7,29 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Topic is state that another package spreads over the overlay; its functions are called by the overlay's own goroutine and must not block.
+// Topic is state of another package that is replicated over the overlay.
+// Its functions are called on the overlay's goroutine and must not block.
 type Topic struct {
 	Name TopicName
-	// Digest describes what is held: equal content gives equal bytes, at most 128 KiB.
+	// Digest returns a digest of the local content: equal content gives equal bytes, at most 128 KiB.
 	Digest func() []byte
-	// Missing returns the items that a peer with the given digest lacks; an unreadable digest means all.
+	// Missing returns the items that a peer with the given digest lacks; for an invalid digest it returns all items.
 	Missing func(digest []byte) []Item
-	// Apply takes an item from a peer and reports whether it changed what is held; an error cuts the peer off.
+	// Apply merges an item from a peer and reports whether the content changed; on an error the peer is disconnected.
 	Apply func(Item) (bool, error)
-	// Fresh removes and returns the items that changed here since the last call; nil means that a change is offered by digest and pulled once, which suits large items.
+	// Fresh returns the items changed locally since the last call. If it is nil, changes are offered by digest
+	// and pulled once, which suits large items.
 	Fresh func() []Item
-	// Volatile items are refreshed by their writers, so digests are only compared when a link comes up and every half minute.
+	// Volatile items are refreshed by their writers, so digests are compared only when a link comes up and every 30 s.
 	Volatile bool
 }
 
 const pairBytes = 8
 
-// pair is one entry of a digest: half a hash of the key, half a hash of the version.
+// pair is one entry of a digest: 32-bit hashes of the key and of the version.
 type pair struct {
 	key, version uint32
 }
 
-// pairOf returns the digest entry of a key and a version.
+// pairOf returns the digest entry for a key and a version.
 func pairOf(key string, version uint64) pair {
 	return pair{key: uint32(xxhash.Sum64String(key)), version: uint32(mix(version))}
 }
@@ -46,7 +48,7 @@
 	return out
 }
 
-// decodePairs reads a digest; bytes that do not fill an entry are ignored.
+// decodePairs decodes a digest; a trailing incomplete entry is ignored.
 func decodePairs(b []byte) map[pair]bool {
 	out := make(map[pair]bool, len(b)/pairBytes)
 	for len(b) >= pairBytes {
--- a/ferry/ferrypeertest/doc.go
+++ b/ferry/ferrypeertest/doc.go
@@ -1,2 +1,3 @@
-// Package ferrypeertest joins many overlay cores of ferrypeer in one process by in-memory links on a passed-in clock, with the faults that links and processes have.
+// Package ferrypeertest simulates a fleet of ferrypeer overlay cores in one process, with in-memory links, a fake
+// clock, and fault injection for links and processes.
 package ferrypeertest
--- a/ferry/ferrypeertest/fault.go
+++ b/ferry/ferrypeertest/fault.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// Crash ends a core; its connections are reset.
+// Crash stops a core and resets its connections.
 func (f *Fleet) Crash(name ferryid.EntryName) {
 	c := f.cores[name]
 	if c == nil {
@@ -19,62 +19,63 @@
 	}
 	c.crashed = true
 	delete(f.cores, name)
-	if f.at[c.Member.PeerAddress] == c {
-		delete(f.at, c.Member.PeerAddress)
+	if f.byAddress[c.Member.PeerAddress] == c {
+		delete(f.byAddress, c.Member.PeerAddress)
 	}
-	f.relist()
+	f.recordListing()
 }
 
-// Leave lets a core say that it goes, and ends it.
+// Leave stops a core after it has announced its planned stop.
 func (f *Fleet) Leave(name ferryid.EntryName) {
 	c := f.cores[name]
 	if c == nil {
 		return
 	}
 	c.step(ferrypeer.Leaving{})
-	f.after(tickEvery, func() {
+	f.schedule(tickInterval, func() {
 		if f.cores[name] == c {
 			f.Crash(name)
 		}
 	})
 }
 
-// Freeze stops a core without a word; what comes for it waits.
+// Freeze suspends a core; its inputs are queued.
 func (f *Fleet) Freeze(name ferryid.EntryName) {
 	if c := f.cores[name]; c != nil {
 		c.frozen = true
 	}
 }
 
-// Thaw lets a frozen core run on.
+// Thaw resumes a frozen core.
 func (f *Fleet) Thaw(name ferryid.EntryName) {
 	if c := f.cores[name]; c != nil {
 		c.Thaw()
 	}
 }
 
-// Thaw lets the core run on, also if another has taken its name meanwhile; its clock is noticed before what waits is read.
+// Thaw resumes the core, even if another one runs under its name by now.
+// A Tick is processed before the queued inputs, so that the core detects its pause first.
 func (c *Core) Thaw() {
 	c.frozen = false
 	c.step(ferrypeer.Tick{})
-	waiting := c.waiting
-	c.waiting = nil
-	for _, in := range waiting {
+	queued := c.queued
+	c.queued = nil
+	for _, in := range queued {
 		c.step(in)
 	}
 }
 
-// Cut puts the failure domains into the numbered part; nothing passes between parts, and all domains start in part 0.
+// Cut moves the failure domains into the given network partition; initially all domains are in partition 0.
 func (f *Fleet) Cut(part int, domains ...ferryid.DomainName) {
 	for _, d := range domains {
-		f.cut[d] = part
+		f.partition[d] = part
 	}
 }
 
-// Heal joins all parts again.
-func (f *Fleet) Heal() { clear(f.cut) }
+// Heal ends all network partitions.
+func (f *Fleet) Heal() { clear(f.partition) }
 
-// Silence makes one of a core's connections lose everything from now on, with neither end told; it returns the peer's name.
+// Silence makes one connection of a core drop all messages without closing it, and returns the name of its peer.
 func (f *Fleet) Silence(name ferryid.EntryName, pick int) ferryid.EntryName {
 	c := f.cores[name]
 	if c == nil || len(c.conns) == 0 {
--- a/ferry/ferrypeertest/fleet.go
+++ b/ferry/ferrypeertest/fleet.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	tickEvery      = 100 * time.Millisecond
-	listEvery      = 10 * time.Second
-	sameDomain     = 200 * time.Microsecond
-	otherDomain    = 500 * time.Microsecond
-	dialTimeout    = 2 * time.Second
-	frameOverhead  = 60
-	acknowledgment = 52
+	tickInterval          = 100 * time.Millisecond
+	listInterval          = 10 * time.Second
+	latencyWithinDomain   = 200 * time.Microsecond
+	latencyBetweenDomains = 500 * time.Microsecond
+	dialTimeout           = 2 * time.Second
+	frameOverhead         = 60
+	ackOverhead           = 52
 )
 
-// Traffic is what one core has sent and received, frames with their headers and acknowledgements.
+// Traffic counts the messages and bytes sent and received by a core, including headers and acknowledgements.
 type Traffic struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-// Core is one overlay core within a fleet.
+// Core is one overlay core of a fleet.
 type Core struct {
 	Overlay  *ferrypeer.Overlay
 	Member   ferrypeer.Member
@@ -41,7 +41,7 @@
 	fleet   *Fleet
 	crashed bool
 	frozen  bool
-	waiting []ferrypeer.Input
+	queued  []ferrypeer.Input
 	conns   map[ferrypeer.LinkID]*conn
 }
 
@@ -58,41 +58,41 @@
 	return c.ends[0]
 }
 
-// Fleet is a set of cores; it is not safe for concurrent use.
+// Fleet is a simulated set of connected cores; it is not safe for concurrent use.
 type Fleet struct {
-	// Clock is the clock that the fleet advances.
+	// Clock is the simulated time; it is advanced by Run and RunUntil.
 	Clock *clockwork.FakeClock
-	// Events gives timestamps to topics that need them.
+	// Events is a source of timestamps for topics.
 	Events *ferryevent.Log
-	// Measure says whether messages are encoded to count their bytes.
+	// Measure enables the encoding of messages, which is needed to count their bytes.
 	Measure bool
-	// ListLag is how old the instance list is that cores get; below zero they get none.
+	// ListLag is the age of the instance list delivered to the cores; if it is negative, no list is delivered.
 	ListLag time.Duration
 
-	cores   map[ferryid.EntryName]*Core
-	at      map[string]*Core
-	cut     map[ferryid.DomainName]int
-	events  eventHeap
-	seq     uint64
-	nextID  ferrypeer.LinkID
-	history []listing
+	cores     map[ferryid.EntryName]*Core
+	byAddress map[string]*Core
+	partition map[ferryid.DomainName]int
+	events    eventHeap
+	seq       uint64
+	nextID    ferrypeer.LinkID
+	history   []instanceListing
 }
 
-type listing struct {
+type instanceListing struct {
 	at        time.Time
 	instances ferryplatform.Instances
 }
 
-// New returns an empty fleet at the given time.
+// New returns an empty fleet whose clock starts at the given time.
 func New(start time.Time) *Fleet {
 	clock := clockwork.NewFakeClockAt(start)
 	return &Fleet{
 		Clock: clock, Events: ferryevent.NewLog(clock, "fleet", 1), ListLag: -1,
-		cores: map[ferryid.EntryName]*Core{}, at: map[string]*Core{}, cut: map[ferryid.DomainName]int{},
+		cores: map[ferryid.EntryName]*Core{}, byAddress: map[string]*Core{}, partition: map[ferryid.DomainName]int{},
 	}
 }
 
-// MemberOf returns a member with an address of its own for a name in a failure domain.
+// MemberOf returns a member with the given name, failure domain and incarnation, and addresses derived from the name.
 func (f *Fleet) MemberOf(name, domain string, incarnation int) ferrypeer.Member {
 	return ferrypeer.Member{
 		Name: ferryid.EntryName(name), FailureDomain: ferryid.DomainName(domain),
@@ -101,7 +101,7 @@
 	}
 }
 
-// Add starts a core; it takes over its peer address from whoever had it.
+// Add starts a core; it takes over its peer address from any previous core there.
 func (f *Fleet) Add(m ferrypeer.Member, seeds []string, topics []ferrypeer.Topic) *Core {
 	cfg := ferrypeer.OverlayConfig{Self: m, Seeds: seeds, Topics: topics}
 	c := &Core{
@@ -112,22 +112,22 @@
 		c.Topics[t.Name] = t
 	}
 	f.cores[m.Name] = c
-	f.at[m.PeerAddress] = c
-	f.relist()
+	f.byAddress[m.PeerAddress] = c
+	f.recordListing()
 	f.nextID++
 	phase := time.Duration(f.nextID*7919%100) * time.Millisecond
-	f.after(phase, func() { f.tick(c) })
-	f.after(phase, func() { f.list(c) })
+	f.schedule(phase, func() { f.tick(c) })
+	f.schedule(phase, func() { f.deliverListing(c) })
 	return c
 }
 
-// Core returns the running core of that name, or nil.
+// Core returns the running core with the given name, or nil.
 func (f *Fleet) Core(name ferryid.EntryName) *Core { return f.cores[name] }
 
 // Cores returns the running cores by name.
 func (f *Fleet) Cores() map[ferryid.EntryName]*Core { return f.cores }
 
-func (f *Fleet) relist() {
+func (f *Fleet) recordListing() {
 	var is ferryplatform.Instances
 	for _, c := range f.cores {
 		m := c.Member
@@ -136,14 +136,14 @@
 			FailureDomain: m.FailureDomain, Incarnation: m.Incarnation, State: ferryplatform.StateLive,
 		})
 	}
-	f.history = append(f.history, listing{at: f.Clock.Now(), instances: is})
+	f.history = append(f.history, instanceListing{at: f.Clock.Now(), instances: is})
 }
 
-func (f *Fleet) list(c *Core) {
+func (f *Fleet) deliverListing(c *Core) {
 	if c.crashed {
 		return
 	}
-	f.after(listEvery, func() { f.list(c) })
+	f.schedule(listInterval, func() { f.deliverListing(c) })
 	if f.ListLag < 0 {
 		return
 	}
@@ -160,13 +160,13 @@
 	if c.crashed {
 		return
 	}
-	f.after(tickEvery, func() { f.tick(c) })
+	f.schedule(tickInterval, func() { f.tick(c) })
 	if !c.frozen {
 		c.step(ferrypeer.Tick{})
 	}
 }
 
-// Step gives one input to the core and carries out its actions.
+// Step passes one input to the core and performs the resulting actions.
 func (c *Core) Step(in ferrypeer.Input) { c.step(in) }
 
 func (c *Core) step(in ferrypeer.Input) {
@@ -175,16 +175,16 @@
 		return
 	case c.frozen:
 		if _, ok := in.(ferrypeer.Listed); !ok {
-			c.waiting = append(c.waiting, in)
+			c.queued = append(c.queued, in)
 		}
 		return
 	}
 	for _, a := range c.Overlay.Step(in, c.fleet.Clock.Now()) {
-		c.fleet.act(c, a)
+		c.fleet.perform(c, a)
 	}
 }
 
-func (f *Fleet) act(c *Core, a ferrypeer.Action) {
+func (f *Fleet) perform(c *Core, a ferrypeer.Action) {
 	switch a := a.(type) {
 	case ferrypeer.Dial:
 		f.dial(c, a)
@@ -197,27 +197,27 @@
 	}
 }
 
-// apart reports whether a cut lies between two failure domains.
-func (f *Fleet) apart(a, b *Core) bool {
-	return f.cut[a.Member.FailureDomain] != f.cut[b.Member.FailureDomain]
+// partitioned reports whether the failure domains of two cores are in different network partitions.
+func (f *Fleet) partitioned(a, b *Core) bool {
+	return f.partition[a.Member.FailureDomain] != f.partition[b.Member.FailureDomain]
 }
 
 func (f *Fleet) latency(a, b *Core) time.Duration {
 	if a.Member.FailureDomain == b.Member.FailureDomain {
-		return sameDomain
+		return latencyWithinDomain
 	}
-	return otherDomain
+	return latencyBetweenDomains
 }
 
 func (f *Fleet) dial(c *Core, d ferrypeer.Dial) {
-	to := f.at[d.Address]
-	failed := func(after time.Duration, why ferrypeer.CloseReason) {
-		f.after(after, func() { c.step(ferrypeer.DialFailed{Key: d.Key, Reason: why}) })
+	to := f.byAddress[d.Address]
+	failed := func(after time.Duration, reason ferrypeer.CloseReason) {
+		f.schedule(after, func() { c.step(ferrypeer.DialFailed{Key: d.Key, Reason: reason}) })
 	}
 	switch {
 	case to == nil || to.crashed:
-		failed(otherDomain, ferrypeer.CloseUnreachable)
-	case f.apart(c, to):
+		failed(latencyBetweenDomains, ferrypeer.CloseUnreachable)
+	case f.partitioned(c, to):
 		failed(dialTimeout, ferrypeer.CloseUnreachable)
 	case to.frozen:
 		failed(dialTimeout, ferrypeer.CloseSilent)
@@ -231,7 +231,7 @@
 func (f *Fleet) connect(c, to *Core, d ferrypeer.Dial) {
 	f.nextID++
 	n := &conn{id: f.nextID, ends: [2]*Core{c, to}}
-	f.after(2*f.latency(c, to), func() {
+	f.schedule(2*f.latency(c, to), func() {
 		if to.crashed || c.crashed {
 			c.step(ferrypeer.DialFailed{Key: d.Key, Reason: ferrypeer.CloseUnreachable})
 			return
@@ -253,8 +253,8 @@
 	c.Traffic.Bytes += size
 	c.ByKind[kindOf(a.Message)] += size
 	to := n.other(c)
-	f.after(f.latency(c, to), func() {
-		if n.silent || f.apart(c, to) || to.conns[a.Link] != n {
+	f.schedule(f.latency(c, to), func() {
+		if n.silent || f.partitioned(c, to) || to.conns[a.Link] != n {
 			return
 		}
 		to.Traffic.Messages++
@@ -281,18 +281,18 @@
 	if err != nil {
 		panic(err)
 	}
-	return uint64(len(b) + frameOverhead + acknowledgment)
+	return uint64(len(b) + frameOverhead + ackOverhead)
 }
 
-// closeConn closes a connection at one end and resets it at the other, unless nothing passes between them.
+// closeConn closes a connection at one end and resets it at the other, unless it is silent or partitioned.
 func (f *Fleet) closeConn(c *Core, n *conn) {
 	if n == nil {
 		return
 	}
 	delete(c.conns, n.id)
 	to := n.other(c)
-	f.after(f.latency(c, to), func() {
-		if to.conns[n.id] != n || n.silent || f.apart(c, to) {
+	f.schedule(f.latency(c, to), func() {
+		if to.conns[n.id] != n || n.silent || f.partitioned(c, to) {
 			return
 		}
 		delete(to.conns, n.id)
@@ -300,7 +300,7 @@
 	})
 }
 
-// Run advances the clock by d and carries out what falls due.
+// Run advances the clock by d and runs the events that become due.
 func (f *Fleet) Run(d time.Duration) {
 	until := f.Clock.Now().Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(until) {
@@ -311,7 +311,8 @@
 	f.Clock.Advance(until.Sub(f.Clock.Now()))
 }
 
-// RunUntil advances the clock in steps until the condition holds, at most by limit, and returns the time it took.
+// RunUntil advances the clock in steps until the condition holds or limit has passed.
+// It returns the simulated time that passed and whether the condition holds.
 func (f *Fleet) RunUntil(step, limit time.Duration, holds func() bool) (time.Duration, bool) {
 	for took := time.Duration(0); took <= limit; took += step {
 		if holds() {
@@ -322,7 +323,7 @@
 	return limit, false
 }
 
-func (f *Fleet) after(d time.Duration, do func()) {
+func (f *Fleet) schedule(d time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.events, event{at: f.Clock.Now().Add(max(0, d)), seq: f.seq, do: do})
 }
@@ -346,10 +347,10 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an event; it is for container/heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop removes the last event; it is for container/heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	n := len(old) - 1
