--- a/ferryd/ferrynode/claim.go
+++ b/ferryd/ferrynode/claim.go
@@ -13,16 +13,16 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// The requests about claims that entries send each other.
+// The kinds of claim requests between entries.
 const (
 	askClaim    ferrypeer.AskKind = 1
 	askWrites   ferrypeer.AskKind = 2
 	askTakeOver ferrypeer.AskKind = 3
 )
 
-const handOverPause = 100 * time.Millisecond
+const handOverRetryInterval = 100 * time.Millisecond
 
-// askHandlers answer peers about claims and limits.
+// askHandlers returns the handlers for requests from peers.
 func (n *Node) askHandlers() map[ferrypeer.AskKind]ferrypeer.Handler {
 	return map[ferrypeer.AskKind]ferrypeer.Handler{
 		askClaim:    n.answerClaim,
@@ -33,7 +33,7 @@
 	}
 }
 
-// claimPeers reaches other incarnations about claims, over the overlay.
+// claimPeers sends claim requests to other incarnations over the overlay.
 type claimPeers struct{ node *Node }
 
 // askPeer sends a request to an incarnation and decodes its answer.
@@ -49,14 +49,14 @@
 	return cbor.Unmarshal(b, out)
 }
 
-// Ask returns what the incarnation knows of a claim.
+// Ask asks the incarnation for its record of a claim.
 func (c claimPeers) Ask(ctx context.Context, id ferryid.Incarnation, q ferryclaim.Question) (ferryclaim.Answer, error) {
 	var a ferryclaim.Answer
 	err := c.askPeer(ctx, id, askClaim, q, &a)
 	return a, merry.Prepend(err, "ask about a claim")
 }
 
-// Forward passes writes on to the owner of their slot.
+// Forward sends writes to the owner of their slot and returns its decisions.
 func (c claimPeers) Forward(ctx context.Context, owner ferryid.Incarnation, ws []ferryclaim.Write) ([]ferryclaim.Decision, error) {
 	var ds []ferryclaim.Decision
 	err := c.askPeer(ctx, owner, askWrites, ws, &ds)
@@ -91,7 +91,7 @@
 	return encode(true), nil
 }
 
-// liveIncarnations are the entries among which a claim's heir and a slot's owner are looked for.
+// liveIncarnations returns the incarnations eligible as heir of claims, owner of a slot or counter of limits.
 func (n *Node) liveIncarnations() []ferryid.Incarnation {
 	var out []ferryid.Incarnation
 	for _, m := range n.peer.Members().List {
@@ -102,31 +102,31 @@
 	return out
 }
 
-// handOver gives what only this incarnation knows to an heir, so that only a crash makes outcomes unknown.
+// handOver transfers claims and tickets to an heir, so that outcomes become unknown only by a crash.
 func (n *Node) handOver(ctx context.Context) error {
 	heirs := ferryclaim.HeirOrder(n.self, n.liveIncarnations())
 	if len(heirs) == 0 {
-		return merry.New("no other entry to hand over to")
+		return merry.New("no live entry to hand over claims and tickets to")
 	}
 	sealed, err := n.claims.HandOver(heirs[0])
 	if err != nil {
 		return err
 	}
 	for {
-		err = n.deliver(ctx, heirs[0], sealed)
+		err = n.sendHandOver(ctx, heirs[0], sealed)
 		if err == nil {
 			n.events.Add("HandedOver", string(heirs[0]), "claims and tickets")
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return merry.Prepend(err, "hand over to "+string(heirs[0]))
-		case <-n.clock.After(handOverPause):
+			return merry.Prepend(err, "hand over claims and tickets to "+string(heirs[0]))
+		case <-n.clock.After(handOverRetryInterval):
 		}
 	}
 }
 
-func (n *Node) deliver(ctx context.Context, heir ferryid.Incarnation, sealed []byte) error {
+func (n *Node) sendHandOver(ctx context.Context, heir ferryid.Incarnation, sealed []byte) error {
 	m, ok := n.memberOf(heir)
 	if !ok {
 		return fmt.Errorf("incarnation %s is not a member", heir)
--- a/ferryd/ferrynode/doc.go
+++ b/ferryd/ferrynode/doc.go
@@ -1,2 +1,2 @@
-// Package ferrynode puts the duties of one entry instance together and runs them.
+// Package ferrynode assembles and runs one entry instance: its listeners, overlay, services and background loops.
 package ferrynode
--- a/ferryd/ferrynode/document.go
+++ b/ferryd/ferrynode/document.go
@@ -9,13 +9,13 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// callerDocuments gives callers' handlers the documents with their present upstreams, and finds customers by index.
+// callerDocuments provides the callers' handlers with the documents, current upstreams and customers.
 type callerDocuments struct {
 	*services
 	holder *ferrydocument.Holder
 }
 
-// Customer returns the customer of the service that a key belongs to.
+// Customer returns the customer of the service with the given API key.
 func (d callerDocuments) Customer(name ferryid.ServiceName, key string) (ferryservice.Customer, bool) {
 	f, ok := d.holder.Get(name)
 	if !ok {
@@ -24,7 +24,7 @@
 	return f.Customer(key)
 }
 
-// BodyLimit returns the largest body that any model service takes from the key's customer.
+// BodyLimit returns the largest body limit in bytes among the model services that accept the key.
 func (d callerDocuments) BodyLimit(key string) (int64, bool) {
 	limit, known := int64(0), false
 	for _, f := range d.holder.All() {
@@ -38,13 +38,13 @@
 	return limit, known
 }
 
-// follow puts each document that comes into force to use.
-func (n *Node) follow(ctx context.Context) {
+// followDocuments activates each document that comes into force.
+func (n *Node) followDocuments(ctx context.Context) {
 	sub := n.holder.Subscribe()
 	defer sub.Close()
 	for {
 		for _, f := range sub.Take() {
-			n.use(ctx, f)
+			n.activate(ctx, f)
 		}
 		select {
 		case <-ctx.Done():
@@ -54,29 +54,29 @@
 	}
 }
 
-// use has callers served by a document; only then does the status name it.
-func (n *Node) use(ctx context.Context, f *ferrydocument.InForce) {
+// activate makes the callers' handlers use a document; the status lists only activated documents.
+func (n *Node) activate(ctx context.Context, f *ferrydocument.InForce) {
 	n.services.setDocument(ctx, &f.Document)
-	n.orderDocument(ctx, f)
+	n.updateOrders(ctx, f)
 	n.limits.setDocument(f)
-	n.used.Store(f.Accepted.Service, f)
+	n.activated.Store(f.Accepted.Service, f)
 	n.log.Info().Str("Service", string(f.Accepted.Service)).Uint64("Generation", uint64(f.Accepted.Generation)).
 		Str("From", f.From).Msg("document in force")
 }
 
-// inUse returns the documents that callers are served by.
-func (n *Node) inUse() []*ferrydocument.InForce {
+// activatedDocuments returns the documents that callers are served by.
+func (n *Node) activatedDocuments() []*ferrydocument.InForce {
 	var out []*ferrydocument.InForce
 	for _, f := range n.holder.All() {
-		if used, ok := n.used.Load(f.Accepted.Service); ok {
-			out = append(out, used.(*ferrydocument.InForce))
+		if active, ok := n.activated.Load(f.Accepted.Service); ok {
+			out = append(out, active.(*ferrydocument.InForce))
 		}
 	}
 	return out
 }
 
-// orderDocument has the engines brought to what the document asks for.
-func (n *Node) orderDocument(ctx context.Context, f *ferrydocument.InForce) {
+// updateOrders sets the target state of the engines from the document.
+func (n *Node) updateOrders(ctx context.Context, f *ferrydocument.InForce) {
 	sv, ok := n.services.get(f.Document.Service)
 	if !ok || f.Document.Kind != ferryservice.KindModel {
 		return
--- a/ferryd/ferrynode/document_test.go
+++ b/ferryd/ferrynode/document_test.go
@@ -12,8 +12,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// versions are a document and two edits of it, long enough for differences.
-func versions(b *bed) []ferryservice.Accepted {
+// documentVersions returns a document and two edits of it, large enough to be sent as deltas.
+func documentVersions(b *testNode) []ferryservice.Accepted {
 	var out []ferryservice.Accepted
 	var last ferryservice.Accepted
 	for _, team := range []string{"herd", "dairy", "parlour"} {
@@ -26,8 +26,8 @@
 	return out
 }
 
-func TestDocumentsSpreadAsDifferences(t *testing.T) {
-	vs := versions(&bed{plainAt: "10.0.0.1:80"})
+func TestDocumentsReplicateAsDeltas(t *testing.T) {
+	vs := documentVersions(&testNode{plainAddress: "10.0.0.1:80"})
 	clock := clockwork.NewFakeClock()
 	ahead, behind := ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil)
 	from, to := documentTopic(ahead), documentTopic(behind)
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestADifferenceWithoutItsBaseIsLeftToTheNextDigest(t *testing.T) {
-	vs := versions(&bed{plainAt: "10.0.0.1:80"})
+func TestDeltaWithoutBaseIsIgnored(t *testing.T) {
+	vs := documentVersions(&testNode{plainAddress: "10.0.0.1:80"})
 	clock := clockwork.NewFakeClock()
 	ahead, behind, fresh := ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil)
 	ahead.Offer(vs[0], "store")
--- a/ferryd/ferrynode/duty.go
+++ b/ferryd/ferrynode/duty.go
@@ -17,21 +17,21 @@
 	tickInterval    = 250 * time.Millisecond
 	refreshInterval = 500 * time.Millisecond
 	readyInterval   = 50 * time.Millisecond
-	tellInterval    = time.Second
+	publishInterval = time.Second
 	intervalJitter  = 0.2
-	// listReaders is how many entries of each failure domain read the instance list every second.
-	listReaders = 2
-	// slowListPerSecond bounds the reads of all other entries together.
-	slowListPerSecond = 10
-	// watchers is how many entries of each failure domain watch the object API.
-	watchers = 2
+	// listReadersPerDomain is the number of entries in each failure domain that read the instance list every second.
+	listReadersPerDomain = 2
+	// otherListReadsPerSecond limits the total rate of list reads by all other entries.
+	otherListReadsPerSecond = 10
+	// watchersPerDomain is the number of entries in each failure domain that watch the object API.
+	watchersPerDomain = 2
 )
 
-// serve opens the listeners.
-func (n *Node) serve(ctx context.Context, fail func(error)) error {
+// startListeners opens and serves the callers' and the peers' listener.
+func (n *Node) startListeners(ctx context.Context, fail func(error)) error {
 	callerKeys, err := n.loadPair(n.cfg.Callers.TLS)
 	if err != nil {
-		return merry.Prepend(err, "callers' listener")
+		return merry.Prepend(err, "load TLS key pair of the callers' listener")
 	}
 	callers, err := n.listen(n.cfg.Callers.Listen, callerKeys)
 	if err != nil {
@@ -45,52 +45,52 @@
 	n.callersHTTP = n.callersServer()
 	go func() { fail(serveHTTP(ctx, n.callersHTTP, callers)) }()
 	go func() { fail(serveHTTP(ctx, n.peersServer(), peers)) }()
-	n.log.Info().Str("Callers", n.cfg.Callers.Listen).Str("Peers", n.cfg.Peers.Listen).Msg("listening")
+	n.log.Info().Str("Callers", n.cfg.Callers.Listen).Str("Peers", n.cfg.Peers.Listen).Msg("listening for callers and peers")
 	return nil
 }
 
-// duties starts each duty on a goroutine of its own.
-func (n *Node) duties(ctx context.Context, fail func(error)) {
-	go n.follow(ctx)
+// startLoops starts the background loops, each in its own goroutine.
+func (n *Node) startLoops(ctx context.Context, fail func(error)) {
+	go n.followDocuments(ctx)
 	go n.publishDocuments(ctx)
 	go func() { fail(n.peer.Run(ctx)) }()
 	go func() { fail(n.watcher.Run(ctx)) }()
 	go func() { fail(n.claims.Run(ctx)) }()
 	go n.every(ctx, listInterval, n.readInstances)
-	go n.every(ctx, tellInterval, n.tellLoad)
-	go n.every(ctx, leaveInterval, n.takeMarks)
+	go n.every(ctx, publishInterval, n.publishLoad)
+	go n.every(ctx, leaveInterval, n.applyMarks)
 	go n.every(ctx, refreshInterval, func(context.Context) { n.services.refreshModels() })
-	go n.every(ctx, metricsInterval, n.tellMetrics)
-	go n.every(ctx, wantInterval, n.wantOrders)
-	go n.every(ctx, ferrylimit.Tick, n.shareLimits)
-	go n.every(ctx, limitSweep, n.sweepLimits)
+	go n.every(ctx, metricsInterval, n.updateMetrics)
+	go n.every(ctx, leaseInterval, n.updateLeases)
+	go n.every(ctx, ferrylimit.Tick, n.updateLimits)
+	go n.every(ctx, limitSweepInterval, n.sweepLimits)
 	go n.every(ctx, loadInterval, n.readLoads)
-	go n.every(ctx, loadInterval, n.readOwn)
+	go n.every(ctx, loadInterval, n.readSubset)
 	go n.every(ctx, tickInterval, func(context.Context) { n.services.tick(n.clock.Now()) })
 	go n.becomeReady(ctx)
 	n.watcher.Watching(true)
 }
 
-// every calls f again and again, at intervals that differ a little between entries.
+// every calls f periodically until the context ends; jitter spreads the calls of different entries.
 func (n *Node) every(ctx context.Context, d time.Duration, f func(context.Context)) {
 	for {
 		f(ctx)
-		n.pause(ctx, time.Duration(float64(d)*(1+intervalJitter*(rand.Float64()-0.5))))
+		n.sleep(ctx, time.Duration(float64(d)*(1+intervalJitter*(rand.Float64()-0.5))))
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// pause waits, or returns when the context ends.
-func (n *Node) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func (n *Node) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-n.clock.After(d):
 	}
 }
 
-// becomeReady waits until configuration is held, or the platform says that there is none yet.
+// becomeReady sets StateReady once a document is in force or the platform reports that none exists.
 func (n *Node) becomeReady(ctx context.Context) {
 	for n.holder.Len() == 0 {
 		if l, err := n.platform.List(ctx, ferryservice.ObjectKind); err == nil && len(l.Objects) == 0 {
@@ -107,24 +107,25 @@
 	}
 }
 
-// listDue spares the platform: a few entries of each failure domain read the list every second, the others in turn.
-func (n *Node) listDue() bool {
+// shouldReadList limits the load on the platform: listReadersPerDomain entries of each failure domain read the list
+// every second, the others at random at otherListReadsPerSecond in total.
+func (n *Node) shouldReadList() bool {
 	ms := n.peer.Members()
 	live := len(ms.Live())
-	if live <= slowListPerSecond || n.list.Load() == nil || ferryduty.HoldsInDomain(ms, dutyList, listReaders) {
+	if live <= otherListReadsPerSecond || n.list.Load() == nil || ferryduty.HoldsInDomain(ms, dutyList, listReadersPerDomain) {
 		return true
 	}
-	return rand.IntN(live) < slowListPerSecond
+	return rand.IntN(live) < otherListReadsPerSecond
 }
 
-// readInstances takes a new instance list; without one the last stays in use.
+// readInstances reads the instance list; on an error the last list stays in use.
 func (n *Node) readInstances(ctx context.Context) {
-	if !n.listDue() {
+	if !n.shouldReadList() {
 		return
 	}
 	list, err := n.platform.Instances(ctx)
 	if err != nil {
-		n.log.Debug().Err(err).Msg("no instance list")
+		n.log.Debug().Err(err).Msg("instance list not read; the last one stays in use")
 		return
 	}
 	n.list.Store(&list)
--- a/ferryd/ferrynode/engine.go
+++ b/ferryd/ferrynode/engine.go
@@ -12,18 +12,18 @@
 	"cactusferry.dev/ferry/ferryroute"
 )
 
-// observedEngines tells the table how streams fare on their engines, and notes engines that say themselves that they leave, so
-// that all entries hear of it.
+// observedEngines records the results of streams in the routing table of their engines.
+// It reports engines that announce their planned stop to all entries.
 type observedEngines struct {
 	*ferryengine.Client
-	table   *ferryroute.Table
-	clock   clockwork.Clock
-	leaving func(ferryid.UpstreamName)
+	table     *ferryroute.Table
+	clock     clockwork.Clock
+	onLeaving func(ferryid.UpstreamName)
 }
 
-// Run starts an epoch and watches how it ends.
+// Run starts an epoch and records its result.
 func (o *observedEngines) Run(ctx context.Context, req ferryengine.RunRequest) (ferryengine.Stream, error) {
-	s := &observedStream{engines: o, ctx: ctx, stages: o.dispatch(&req)}
+	s := &observedStream{engines: o, ctx: ctx, stages: o.startDispatches(&req)}
 	stream, err := o.Client.Run(ctx, req)
 	var refused *ferryengine.RefusedError
 	var dispatch *ferryengine.DispatchError
@@ -32,18 +32,18 @@
 		s.Stream = stream
 		return s, nil
 	case errors.As(err, &refused) && refused.Kind == ferryoutcome.KindDraining:
-		o.left(req.Stages[0].Address)
+		o.reportLeaving(req.Stages[0].Address)
 	case errors.As(err, &dispatch) && dispatch.Phase == ferryoutcome.PhaseNotConnected && ctx.Err() == nil:
-		s.failed(req.Stages[0].Address, ferryroute.FailureConnection)
+		s.fail(req.Stages[0].Address, ferryroute.FailureConnection)
 	case errors.As(err, &dispatch) && ctx.Err() == nil:
-		s.failed(req.Stages[0].Address, ferryroute.FailureAnswer)
+		s.fail(req.Stages[0].Address, ferryroute.FailureAnswer)
 	}
 	s.cancel()
 	return nil, err
 }
 
-// dispatch counts the stream on the engines of all its stages.
-func (o *observedEngines) dispatch(req *ferryengine.RunRequest) []observedStage {
+// startDispatches accounts for the stream on the engines of all its stages.
+func (o *observedEngines) startDispatches(req *ferryengine.RunRequest) []observedStage {
 	tokens := ferryid.Tokens(req.MaxTokens - len(req.Generated))
 	snap, now := o.table.Snapshot(), o.clock.Now()
 	out := make([]observedStage, 0, len(req.Stages))
@@ -55,19 +55,19 @@
 	return out
 }
 
-func (o *observedEngines) left(address string) {
+func (o *observedEngines) reportLeaving(address string) {
 	if name, ok := o.table.Snapshot().NameOf(address); ok {
-		o.leaving(name)
+		o.onLeaving(name)
 	}
 }
 
-// observedStage is a stream's part on one engine.
+// observedStage is one stage of a stream, with its account on the engine.
 type observedStage struct {
 	address  string
 	dispatch *ferryroute.Dispatch
 }
 
-// observedStream is used by one goroutine at a time.
+// observedStream records the progress and failures of a stream; it is not safe for concurrent use.
 type observedStream struct {
 	ferryengine.Stream
 	engines *observedEngines
@@ -76,13 +76,13 @@
 	tokens  ferryid.Tokens
 }
 
-// Next returns the next item and notes how fast tokens come and which stage failed.
+// Next returns the next item and records the token rate and failed stages.
 func (s *observedStream) Next() (ferryengine.Item, error) {
 	it, err := s.Stream.Next()
 	switch {
 	case err != nil && s.ctx.Err() == nil && len(s.stages) > 0:
-		// The end of the items comes after each stage is over, and then this changes nothing.
-		s.failed(s.stages[0].address, ferryroute.FailureAnswer)
+		// At the regular end of the stream all stages have finished already, so fail has no effect.
+		s.fail(s.stages[0].address, ferryroute.FailureAnswer)
 		s.cancel()
 	case err != nil:
 		s.cancel()
@@ -96,7 +96,7 @@
 	return it, err
 }
 
-// Close gives the stream up; what has not ended by then was stopped by this entry or by its caller.
+// Close closes the stream. Stages still running were stopped by this entry or its caller and count as cancelled.
 func (s *observedStream) Close() error {
 	s.cancel()
 	return s.Stream.Close()
@@ -117,19 +117,20 @@
 	}
 }
 
-// stageFailed blames the stage that is named; one that leaves, refuses or has lost the stream's state is sound.
+// stageFailed records the failure of the stage that is named in it.
+// An engine that is draining, refuses or has lost the stream's state does not count as failed.
 func (s *observedStream) stageFailed(f *ferryengine.Failure) {
 	switch f.Kind {
 	case ferryengine.FailureDraining:
-		s.engines.left(f.Stage)
+		s.engines.reportLeaving(f.Stage)
 	case ferryengine.FailureEmpty, ferryengine.FailureRefused:
 	default:
-		s.failed(f.Stage, ferryroute.FailureAnswer)
+		s.fail(f.Stage, ferryroute.FailureAnswer)
 	}
 	s.cancel()
 }
 
-func (s *observedStream) failed(address string, f ferryroute.Failure) {
+func (s *observedStream) fail(address string, f ferryroute.Failure) {
 	now := s.engines.clock.Now()
 	for _, st := range s.stages {
 		if st.address == address {
@@ -138,7 +139,7 @@
 	}
 }
 
-// cancel ends the account of the stages that have neither finished nor failed.
+// cancel closes the accounts of stages that have neither finished nor failed.
 func (s *observedStream) cancel() {
 	now := s.engines.clock.Now()
 	for _, st := range s.stages {
--- a/ferryd/ferrynode/engine_test.go
+++ b/ferryd/ferrynode/engine_test.go
@@ -46,13 +46,13 @@
 TokensPerSecond = 80.0
 `
 
-// cannedStream gives items and then an error.
+// cannedStream returns the given items and then an error.
 type cannedStream struct {
-	items ferryItems
+	items cannedItems
 	err   error
 }
 
-type ferryItems []ferryengine.Item
+type cannedItems []ferryengine.Item
 
 func (s *cannedStream) Next() (ferryengine.Item, error) {
 	if len(s.items) == 0 {
@@ -75,14 +75,14 @@
 	assert.NilError(t, err)
 	s.setDocument(ctx, &d)
 	sv, _ := s.get("herd-llm")
-	return sv, &observedEngines{table: sv.table, clock: clock, leaving: func(ferryid.UpstreamName) {}}, clock
+	return sv, &observedEngines{table: sv.table, clock: clock, onLeaving: func(ferryid.UpstreamName) {}}, clock
 }
 
-// play runs a canned stream over engines a and b to its end.
-func (o *observedEngines) play(ctx context.Context, clock *clockwork.FakeClock, c *cannedStream) {
+// consume reads a canned stream over engines a and b to its end.
+func (o *observedEngines) consume(ctx context.Context, clock *clockwork.FakeClock, c *cannedStream) {
 	req := &ferryengine.RunRequest{MaxTokens: 40}
 	req.Stages = []ferryengine.Stage{{Address: "127.0.0.1:1"}, {Address: "127.0.0.1:2"}}
-	s := &observedStream{Stream: c, engines: o, ctx: ctx, stages: o.dispatch(req)}
+	s := &observedStream{Stream: c, engines: o, ctx: ctx, stages: o.startDispatches(req)}
 	for {
 		if _, err := s.Next(); err != nil {
 			break
@@ -100,7 +100,7 @@
 	return out
 }
 
-func TestBrokenStreamsTakeTheirEngineOut(t *testing.T) {
+func TestFailedStreamsMarkEngineDown(t *testing.T) {
 	const live, down = ferryroute.StateLive, ferryroute.StateDown
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -109,21 +109,21 @@
 	for _, tt := range []struct {
 		name  string
 		ctx   context.Context
-		items ferryItems
+		items cannedItems
 		err   error
 		a, b  ferryroute.State
 		slots int
 	}{
-		{"the first stage breaks off", context.Background(), ferryItems{{Text: "x"}}, io.ErrUnexpectedEOF, down, live, 1},
-		{"the second stage died", context.Background(), ferryItems{{Text: "x"}, died}, io.EOF, live, down, 8},
-		{"the second stage lost the stream", context.Background(), ferryItems{{Text: "x"}, empty}, io.EOF, live, live, 8},
-		{"the caller went away", gone, ferryItems{{Text: "x"}}, context.Canceled, live, live, 8},
-		{"the stream ended well", context.Background(), ferryItems{{Text: "x"}, {Done: true}}, io.EOF, live, live, 8},
+		{"stream breaks off at the first stage", context.Background(), cannedItems{{Text: "x"}}, io.ErrUnexpectedEOF, down, live, 1},
+		{"second stage died", context.Background(), cannedItems{{Text: "x"}, died}, io.EOF, live, down, 8},
+		{"second stage lost the stream", context.Background(), cannedItems{{Text: "x"}, empty}, io.EOF, live, live, 8},
+		{"caller cancelled", gone, cannedItems{{Text: "x"}}, context.Canceled, live, live, 8},
+		{"stream completed", context.Background(), cannedItems{{Text: "x"}, {Done: true}}, io.EOF, live, live, 8},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			sv, o, clock := observedService(t)
 			for range 3 {
-				o.play(tt.ctx, clock, &cannedStream{items: tt.items, err: tt.err})
+				o.consume(tt.ctx, clock, &cannedStream{items: tt.items, err: tt.err})
 			}
 			got := states(sv)
 			assert.Equal(t, got["a"], tt.a)
@@ -138,11 +138,11 @@
 	}
 }
 
-func TestOnlyEngineOfALayerIsTriedAfterItFailed(t *testing.T) {
+func TestOnlyEngineOfLayerIsRetriedAfterFailure(t *testing.T) {
 	sv, o, clock := observedService(t)
 	s := newServices(clock, nil, nil)
 	for range 3 {
-		o.play(context.Background(), clock, &cannedStream{err: io.ErrUnexpectedEOF})
+		o.consume(context.Background(), clock, &cannedStream{err: io.ErrUnexpectedEOF})
 	}
 	assert.Equal(t, states(sv)["a"], ferryroute.StateDown)
 	_, loads := s.planner(sv, sv.doc.Load())
@@ -153,16 +153,16 @@
 	assert.Assert(t, loads[0].Avoid)
 }
 
-func TestSlowEngineIsFound(t *testing.T) {
+func TestSlowEngineIsDetected(t *testing.T) {
 	sv, o, clock := observedService(t)
 	run := func(address string, step time.Duration) {
 		req := &ferryengine.RunRequest{MaxTokens: 40}
 		req.Stages = []ferryengine.Stage{{Address: address}}
-		items := ferryItems{}
+		items := cannedItems{}
 		for range 40 {
 			items = append(items, ferryengine.Item{Text: "x"})
 		}
-		s := &observedStream{Stream: &cannedStream{items: append(items, ferryengine.Item{Done: true}), err: io.EOF}, engines: o, ctx: context.Background(), stages: o.dispatch(req)}
+		s := &observedStream{Stream: &cannedStream{items: append(items, ferryengine.Item{Done: true}), err: io.EOF}, engines: o, ctx: context.Background(), stages: o.startDispatches(req)}
 		for {
 			if _, err := s.Next(); err != nil {
 				return
@@ -179,8 +179,8 @@
 	assert.Equal(t, sv.slots(), 8)
 }
 
-// When a failure domain dies, every stream that runs may be moved once.
-func TestAsManyStreamsAsSlotsMayBeMovedAtOnce(t *testing.T) {
+// TestRetryBurstIsOnePerSlot checks that after the loss of a failure domain every running stream can fail over once.
+func TestRetryBurstIsOnePerSlot(t *testing.T) {
 	sv, _, _ := observedService(t)
 	b := sv.model.Load().runner.Budget
 	for range 3 * 8 {
--- a/ferryd/ferrynode/leave.go
+++ b/ferryd/ferrynode/leave.go
@@ -24,18 +24,18 @@
 	return string(s) + "/" + string(u)
 }
 
-// leavingTopic spreads the marks of leaving upstreams.
+// leavingTopic returns the topic that replicates the marks of leaving upstreams.
 func leavingTopic(ms *ferrydrain.Marks) ferrypeer.Topic {
 	return ferrypeer.Topic{
 		Name:    topicLeaving,
 		Digest:  ms.Digest,
-		Missing: func(digest []byte) []ferrypeer.Item { return items(ms.Missing(digest)) },
+		Missing: func(digest []byte) []ferrypeer.Item { return toItems(ms.Missing(digest)) },
 		Apply:   func(it ferrypeer.Item) (bool, error) { return ms.Apply(it) },
-		Fresh:   func() []ferrypeer.Item { return items(ms.Fresh()) },
+		Fresh:   func() []ferrypeer.Item { return toItems(ms.Fresh()) },
 	}
 }
 
-func items(bs [][]byte) []ferrypeer.Item {
+func toItems(bs [][]byte) []ferrypeer.Item {
 	out := make([]ferrypeer.Item, 0, len(bs))
 	for _, b := range bs {
 		out = append(out, b)
@@ -43,24 +43,24 @@
 	return out
 }
 
-// mark notes that an upstream leaves, here at once and at the peers.
+// mark marks an upstream as leaving, locally and at the peers.
 func (n *Node) mark(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation, from ferrydrain.Source) {
 	n.marks.Mark(s, u, id, from)
-	n.marksChanged()
+	n.publishMarks()
 }
 
-func (n *Node) marksChanged() {
+func (n *Node) publishMarks() {
 	n.peer.Publish(topicLeaving)
-	n.takeMarks(context.Background())
+	n.applyMarks(context.Background())
 }
 
-// markLeaving notes an upstream that said itself that it leaves.
+// markLeaving marks an upstream that announced its planned stop.
 func (n *Node) markLeaving(s ferryid.ServiceName, u ferryid.UpstreamName) {
 	n.mark(s, u, "", ferrydrain.SourceUpstream)
 }
 
-// leave carries out an operator's mark.
-func (n *Node) leave(req ferryadmin.DrainRequest) error {
+// setLeaving sets or clears the leaving mark of an upstream as requested by an operator.
+func (n *Node) setLeaving(req ferryadmin.DrainRequest) error {
 	d, ok := n.services.Document(req.Service)
 	if !ok {
 		return fmt.Errorf("there is no service %q", req.Service)
@@ -74,11 +74,12 @@
 		return nil
 	}
 	n.marks.Clear(req.Service, req.Upstream)
-	n.marksChanged()
+	n.publishMarks()
 	return nil
 }
 
-// markListed turns what the instance list says into marks, for entries that read it less often.
+// markListed marks upstreams that are leaving according to the instance list.
+// The marks also reach entries that read the list less often.
 func (n *Node) markListed(list ferryplatform.Instances) {
 	for _, in := range list {
 		if in.Role == ferryplatform.RoleEntry {
@@ -102,8 +103,8 @@
 	}
 }
 
-// takeMarks puts the marks of all entries to use.
-func (n *Node) takeMarks(context.Context) {
+// applyMarks applies the leaving marks of all entries to the services.
+func (n *Node) applyMarks(context.Context) {
 	for _, key := range n.services.setMarks(n.marks) {
 		n.events.Add("LeavingSeen", key, "no new work from here")
 	}
--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	askLimit     ferrypeer.AskKind = 4
-	limitTimeout                   = time.Second
-	limitSweep                     = time.Minute
+	askLimit           ferrypeer.AskKind = 4
+	limitTimeout                         = time.Second
+	limitSweepInterval                   = time.Minute
 )
 
-// limits holds customers' limits over all entries.
+// limits enforces the customers' rate limits across all entries.
 type limits struct {
 	mu      sync.Mutex
 	rates   map[ferrylimit.Key]ferrylimit.Units
 	shares  *ferrylimit.Shares
 	counter *ferrylimit.Counter
-	used    chan struct{}
+	demand  chan struct{}
 }
 
 func newLimits() *limits {
-	l := &limits{rates: map[ferrylimit.Key]ferrylimit.Units{}, used: make(chan struct{}, 1)}
+	l := &limits{rates: map[ferrylimit.Key]ferrylimit.Units{}, demand: make(chan struct{}, 1)}
 	l.shares = ferrylimit.NewShares(l.rate)
 	l.counter = ferrylimit.NewCounter(l.rate)
 	return l
 }
 
-// rate is a customer's limit in calls a second; the caller holds the lock.
+// rate returns a customer's limit in calls per second; the caller holds l.mu.
 func (l *limits) rate(k ferrylimit.Key) ferrylimit.Units {
 	return l.rates[k]
 }
 
-// setDocument takes a document's limits.
+// setDocument replaces the limits of the document's service.
 func (l *limits) setDocument(f *ferrydocument.InForce) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// allow takes calls from a customer's limit, and says when to come back if there is none left.
+// allow charges a call to the customer's limit. If the limit is exhausted it returns false and the time to wait.
 func (n *Node) allow(d *ferryservice.Document, cu ferryservice.Customer, cost float64) (time.Duration, bool) {
 	if cu.RequestsPerSecond == 0 {
 		return 0, true
@@ -69,14 +69,14 @@
 	k := ferrylimit.Key{Service: d.Service, Customer: cu.Name}
 	ok, after := n.limits.shares.Allow(k, ferrylimit.Units(cost), n.clock.Now())
 	select {
-	case n.limits.used <- struct{}{}:
+	case n.limits.demand <- struct{}{}:
 	default:
 	}
 	return after, ok
 }
 
-// awaitUse waits while there is nothing to ask for or to give back.
-func (l *limits) awaitUse(ctx context.Context) {
+// awaitDemand blocks while there are no shares to request or to return.
+func (l *limits) awaitDemand(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		quiet := l.shares.Quiet()
@@ -86,14 +86,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.used:
+		case <-l.demand:
 		}
 	}
 }
 
-// shareLimits asks the counting entries for what the customers want here, as soon as there is something to ask.
-func (n *Node) shareLimits(ctx context.Context) {
-	n.limits.awaitUse(ctx)
+// updateLimits waits for demand and requests shares of the limits from the counting entries.
+func (n *Node) updateLimits(ctx context.Context) {
+	n.limits.awaitDemand(ctx)
 	live := n.liveIncarnations()
 	n.limits.mu.Lock()
 	asks := n.limits.shares.Asks(n.clock.Now())
@@ -108,18 +108,18 @@
 		byCounter[id] = append(byCounter[id], a)
 	}
 	for id, as := range byCounter {
-		go n.askLimits(ctx, id, as)
+		go n.requestLimits(ctx, id, as)
 	}
 }
 
-func (n *Node) askLimits(ctx context.Context, id ferryid.Incarnation, asks []ferrylimit.Ask) {
+func (n *Node) requestLimits(ctx context.Context, id ferryid.Incarnation, asks []ferrylimit.Ask) {
 	ctx, cancel := context.WithTimeout(ctx, limitTimeout)
 	defer cancel()
 	var grants []ferrylimit.Grant
 	if id == n.self {
-		grants = n.countLimits(asks)
+		grants = n.grantLimits(asks)
 	} else if err := (claimPeers{n}).askPeer(ctx, id, askLimit, asks, &grants); err != nil {
-		n.log.Debug().Err(err).Msg("customers' limits")
+		n.log.Debug().Err(err).Msg("request for shares of customers' limits failed")
 		return
 	}
 	n.limits.mu.Lock()
@@ -129,22 +129,22 @@
 	}
 }
 
-func (n *Node) countLimits(asks []ferrylimit.Ask) []ferrylimit.Grant {
+func (n *Node) grantLimits(asks []ferrylimit.Ask) []ferrylimit.Grant {
 	n.limits.mu.Lock()
 	defer n.limits.mu.Unlock()
 	return n.limits.counter.Answer(asks, n.clock.Now())
 }
 
-// answerLimits grants what the customers that this entry counts for have left.
+// answerLimits grants shares of the limits that this entry counts.
 func (n *Node) answerLimits(_ context.Context, _ ferrypeer.Member, body []byte) ([]byte, error) {
 	var asks []ferrylimit.Ask
 	if err := cbor.Unmarshal(body, &asks); err != nil {
 		return nil, merry.Prepend(err, "asks for limits")
 	}
-	return encode(n.countLimits(asks)), nil
+	return encode(n.grantLimits(asks)), nil
 }
 
-// sweepLimits forgets customers that have been idle.
+// sweepLimits removes the state of idle customers.
 func (n *Node) sweepLimits(context.Context) {
 	n.limits.mu.Lock()
 	defer n.limits.mu.Unlock()
--- a/ferryd/ferrynode/limit_test.go
+++ b/ferryd/ferrynode/limit_test.go
@@ -14,7 +14,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-func TestLimitsWaitForUse(t *testing.T) {
+func TestLimitsWaitForDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -25,14 +25,14 @@
 		rounds := 0
 		go func() {
 			for ctx.Err() == nil {
-				n.limits.awaitUse(ctx)
+				n.limits.awaitDemand(ctx)
 				rounds++
 				n.limits.mu.Lock()
 				for _, g := range n.limits.counter.Answer(n.limits.shares.Asks(n.clock.Now()), n.clock.Now()) {
 					n.limits.shares.Granted(g)
 				}
 				n.limits.mu.Unlock()
-				n.pause(ctx, ferrylimit.Tick)
+				n.sleep(ctx, ferrylimit.Tick)
 			}
 		}()
 		time.Sleep(time.Hour)
@@ -43,7 +43,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		used := rounds
-		assert.Assert(t, used > 0 && used <= 20, "%d rounds", used)
+		assert.Assert(t, used > 0 && used <= 20, "%d rounds within 1 s, expected 1 to 20", used)
 		time.Sleep(time.Hour)
 		synctest.Wait()
 		assert.Equal(t, rounds, used)
--- a/ferryd/ferrynode/listen.go
+++ b/ferryd/ferrynode/listen.go
@@ -21,7 +21,7 @@
 	peersHeaderBytes   = 16 << 10
 )
 
-// callersServer serves callers, and the health of the process.
+// callersServer returns the HTTP server for callers, health checks and metrics.
 func (n *Node) callersServer() *http.Server {
 	m := chi.NewRouter()
 	m.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -43,7 +43,7 @@
 	}
 }
 
-// peersServer serves peers and operators.
+// peersServer returns the HTTP server for peers, operators, health checks and metrics.
 func (n *Node) peersServer() *http.Server {
 	m := chi.NewRouter()
 	m.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -59,7 +59,7 @@
 	}
 }
 
-// listen opens a listener, with TLS if the settings have keys.
+// listen opens a TCP listener, with TLS if pair is not nil.
 func (n *Node) listen(address string, pair *ferrykeys.Pair) (net.Listener, error) {
 	l, err := n.listener("tcp", address)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return tls.NewListener(l, pair.Server()), nil
 }
 
-// loadPair reads a key pair, or returns nil where none is set.
+// loadPair loads a TLS key pair; it returns nil if none is configured.
 func (n *Node) loadPair(cfg ferrysettings.TLS) (*ferrykeys.Pair, error) {
 	if !cfg.Enabled() {
 		return nil, nil
@@ -79,7 +79,7 @@
 	return ferrykeys.Load(n.clock, cfg)
 }
 
-// serveHTTP serves until the context ends, then closes what is idle.
+// serveHTTP serves until the context ends, then closes the server and its connections.
 func serveHTTP(ctx context.Context, s *http.Server, l net.Listener) error {
 	stopped := make(chan struct{})
 	go func() {
@@ -95,7 +95,7 @@
 		<-stopped
 		return nil
 	}
-	return merry.Prepend(err, "serve")
+	return merry.Prepend(err, "serve HTTP")
 }
 
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
--- a/ferryd/ferrynode/load.go
+++ b/ferryd/ferrynode/load.go
@@ -21,17 +21,18 @@
 
 	loadInterval = time.Second
 	loadTimeout  = 900 * time.Millisecond
-	// loadItemsPerSecond bounds what the whole fleet says of the loads of engines that every entry works.
+	// loadItemsPerSecond limits the total rate of load reports in the overlay for engines used by every entry.
 	loadItemsPerSecond = 20
-	// loadKept is for how many intervals a report is kept.
-	loadKept = 5
-	maxLoads = 8192
-	// loadReaders is how many entries ask each engine that every entry works for its load; the others hear of it from them.
-	loadReaders = 1
-	permille    = 1000
+	// loadTTLIntervals is the lifetime of a load report in read intervals.
+	loadTTLIntervals = 5
+	maxLoads         = 8192
+	// loadReaders is the number of entries that read the load of each engine used by every entry.
+	// The other entries receive the reports over the overlay.
+	loadReaders  = 1
+	fullPermille = 1000
 )
 
-// engineLoad is one engine's load report as entries pass it on.
+// engineLoad is the load report of one engine as replicated between entries.
 type engineLoad struct {
 	Service     ferryid.ServiceName  `cbor:"1,keyasint"`
 	Upstream    ferryid.UpstreamName `cbor:"2,keyasint"`
@@ -42,7 +43,7 @@
 	Incarnation ferryid.Incarnation  `cbor:"7,keyasint,omitempty"`
 }
 
-// Check returns an error for names that no engine can have; numbers are checked by the table that takes them.
+// Check validates the names and that the rate is a number; the routing table validates the numbers.
 func (l engineLoad) Check() error {
 	if err := ferryid.CheckName(string(l.Service)); err != nil {
 		return fmt.Errorf("load report's service: %w", err)
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// engine is the report as the engine gave it.
+// engine converts the report to the engine's own format.
 func (l engineLoad) engine() ferryengine.Load {
 	return ferryengine.Load{
 		Name: l.Upstream, Incarnation: l.Incarnation, State: ferryengine.StateLive, RunningStreams: l.Running,
@@ -68,86 +69,86 @@
 	return upstreamKey(l.Service, l.Upstream)
 }
 
-// readLoads asks the engines that this entry reads for all, and takes what the others have read.
+// readLoads reads the engines that this entry reads on behalf of all and applies the reports of the other entries.
 func (n *Node) readLoads(ctx context.Context) {
-	defer n.takeLoads()
+	defer n.applyLoads()
 	now := n.clock.Now()
-	if now.Before(n.nextLoads) {
+	if now.Before(n.nextLoadRead) {
 		return
 	}
-	interval := n.loadPause()
-	n.nextLoads = now.Add(interval)
+	interval := n.loadReadInterval()
+	n.nextLoadRead = now.Add(interval)
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	ms := n.peer.Members()
 	for _, sv := range n.services.all() {
-		if sv.doc.Load().Kind != ferryservice.KindModel || !sv.part.whole.Load() {
+		if sv.doc.Load().Kind != ferryservice.KindModel || !sv.subset.allEngines.Load() {
 			continue
 		}
 		for _, c := range sv.table.Snapshot().All() {
 			duty := ferryduty.Duty("load " + string(sv.name) + "/" + string(c.Name))
 			if len(ms.List) == 0 || ferryduty.Holds(ms, duty, loadReaders) {
-				go n.readForAll(ctx, sv, c, loadKept*interval)
+				go n.readShared(ctx, sv, c, loadTTLIntervals*interval)
 			}
 		}
 	}
 	<-ctx.Done()
 }
 
-// loadPause grows with the number of engines that every entry works, so that what is said of loads does not.
-func (n *Node) loadPause() time.Duration {
+// loadReadInterval grows with the number of engines used by every entry, to keep the total rate of reports constant.
+func (n *Node) loadReadInterval() time.Duration {
 	engines := 0
 	for _, sv := range n.services.all() {
-		if sv.model.Load() != nil && sv.part.whole.Load() {
+		if sv.model.Load() != nil && sv.subset.allEngines.Load() {
 			engines += sv.table.Snapshot().Len()
 		}
 	}
 	return max(loadInterval, time.Duration(engines)*time.Second/loadItemsPerSecond) - loadInterval/2
 }
 
-// readForAll reads an engine and tells the other entries.
-func (n *Node) readForAll(ctx context.Context, sv *service, c ferryroute.Candidate, ttl time.Duration) {
+// readShared reads the load of an engine and publishes it to the other entries.
+func (n *Node) readShared(ctx context.Context, sv *service, c ferryroute.Candidate, ttl time.Duration) {
 	if l, ok := n.readLoad(ctx, sv, c); ok {
-		n.loads.Set(l.key(), l, ttl)
+		n.sharedLoads.Set(l.key(), l, ttl)
 	}
 }
 
-// target is one engine to read.
-type target struct {
+// loadTarget is an engine whose load is read.
+type loadTarget struct {
 	service   *service
 	candidate ferryroute.Candidate
 }
 
-// readOwn asks the next few engines of this entry's subsets, in turn; fewer while it has no calls.
-func (n *Node) readOwn(ctx context.Context) {
-	var targets []target
+// readSubset reads the next engines of this entry's subsets in rotation, at a lower rate while it has no calls.
+func (n *Node) readSubset(ctx context.Context) {
+	var targets []loadTarget
 	for _, sv := range n.services.all() {
-		for _, c := range sv.part.own() {
-			targets = append(targets, target{sv, c})
+		for _, c := range sv.subset.ownReads() {
+			targets = append(targets, loadTarget{sv, c})
 		}
 	}
 	cfg := ferrysubset.Default
-	ttl := loadKept * (loadInterval + time.Duration(len(targets))*time.Second/time.Duration(cfg.IdleReadsPerSecond))
-	most := cfg.IdleReadsPerSecond
-	if running, _ := n.work(); running > 0 {
-		most = cfg.ReadsPerSecond
+	ttl := loadTTLIntervals * (loadInterval + time.Duration(len(targets))*time.Second/time.Duration(cfg.IdleReadsPerSecond))
+	limit := cfg.IdleReadsPerSecond
+	if running, _ := n.callsAndSlots(); running > 0 {
+		limit = cfg.ReadsPerSecond
 	}
-	for _, i := range n.turns.Next(len(targets), most, nil) {
-		go n.readForSelf(ctx, targets[i], ttl)
+	for _, i := range n.rotation.Next(len(targets), limit, nil) {
+		go n.readSubsetEngine(ctx, targets[i], ttl)
 	}
 }
 
-// readForSelf reads an engine of this entry's subset and uses what it says at once.
-func (n *Node) readForSelf(ctx context.Context, t target, ttl time.Duration) {
+// readSubsetEngine reads the load of an engine of this entry's subset and applies it at once.
+func (n *Node) readSubsetEngine(ctx context.Context, t loadTarget, ttl time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	l, ok := n.readLoad(ctx, t.service, t.candidate)
-	n.services.setRead(upstreamKey(t.service.name, t.candidate.Name), ok)
+	n.services.recordRead(upstreamKey(t.service.name, t.candidate.Name), ok)
 	if !ok {
 		return
 	}
-	n.own.Set(l.key(), l, ttl)
-	n.takeLoad(t.service, l)
+	n.subsetLoads.Set(l.key(), l, ttl)
+	n.applyLoad(t.service, l)
 }
 
 func (n *Node) readLoad(ctx context.Context, sv *service, c ferryroute.Candidate) (engineLoad, bool) {
@@ -166,34 +167,34 @@
 	}, true
 }
 
-// takeLoads gives every report that others passed on to the tables, which refuse the bad ones and count them.
-func (n *Node) takeLoads() {
+// applyLoads applies the reports of other entries to the routing tables, which refuse and count invalid ones.
+func (n *Node) applyLoads() {
 	incarnations := map[string]ferryid.Incarnation{}
 	seen := map[string]time.Time{}
-	for _, e := range n.loads.All() {
+	for _, e := range n.sharedLoads.All() {
 		l := e.Value
 		incarnations[l.key()] = l.Incarnation
 		sv, ok := n.services.get(l.Service)
 		seen[l.key()] = l.At
-		if !ok || n.seenLoads[l.key()].Equal(l.At) {
+		if !ok || n.appliedLoads[l.key()].Equal(l.At) {
 			continue
 		}
-		n.takeLoad(sv, l)
+		n.applyLoad(sv, l)
 	}
-	for _, e := range n.own.All() {
+	for _, e := range n.subsetLoads.All() {
 		incarnations[e.Value.key()] = e.Value.Incarnation
 	}
-	n.seenLoads = seen
+	n.appliedLoads = seen
 	n.services.setIncarnations(incarnations)
 }
 
-func (n *Node) takeLoad(sv *service, l engineLoad) {
+func (n *Node) applyLoad(sv *service, l engineLoad) {
 	err := sv.table.Report(ferryroute.Report{
 		Upstream: l.Upstream, RunningStreams: float64(l.Running), OutstandingTokens: float64(l.Outstanding),
 		TokensPerSecond: l.Rate, At: l.At,
 	}, n.clock.Now())
 	if err != nil {
-		n.log.Debug().Err(err).Msg("load report")
+		n.log.Debug().Err(err).Msg("load report refused")
 		return
 	}
 	if md := sv.model.Load(); md != nil {
@@ -201,20 +202,20 @@
 	}
 }
 
-// tellLoad tells the other entries how busy this one is.
-func (n *Node) tellLoad(context.Context) {
-	running, capacity := n.work()
+// publishLoad publishes the state and load of this entry to the other entries.
+func (n *Node) publishLoad(context.Context) {
+	running, capacity := n.callsAndSlots()
 	streams, _ := n.callers.Open()
 	state := ferrypeer.Ready
 	if n.state() != StateReady || n.stopping.Load() {
 		state = ferrypeer.Draining
 	}
-	share := min(math.MaxUint16, running*permille/max(1, capacity))
+	share := min(math.MaxUint16, running*fullPermille/max(1, capacity))
 	n.peer.SetState(state, ferrypeer.Load{Permille: uint16(share), Streams: uint32(streams)})
 }
 
-// work counts the calls that run or wait here, and the slots.
-func (n *Node) work() (calls, slots int) {
+// callsAndSlots returns the number of calls running or waiting on this entry, and the number of slots.
+func (n *Node) callsAndSlots() (calls, slots int) {
 	for _, sv := range n.services.all() {
 		q := sv.admission.Snapshot()
 		calls += q.Running + q.Waiting
--- a/ferryd/ferrynode/metrics.go
+++ b/ferryd/ferrynode/metrics.go
@@ -7,8 +7,8 @@
 
 const metricsInterval = time.Second
 
-// tellMetrics sets the gauges that nobody sets in passing.
-func (n *Node) tellMetrics(context.Context) {
+// updateMetrics sets the gauges that are sampled periodically.
+func (n *Node) updateMetrics(context.Context) {
 	s := n.metrics.Scope
 	streams, calls := n.callers.Open()
 	s.Gauge("open_streams").Update(float64(streams))
@@ -25,11 +25,11 @@
 		s.Tagged(map[string]string{"name": name}).Gauge("peer_counts").Update(float64(v))
 	}
 	for _, sv := range n.services.all() {
-		n.tellServiceMetrics(sv)
+		n.updateServiceMetrics(sv)
 	}
 }
 
-func (n *Node) tellServiceMetrics(sv *service) {
+func (n *Node) updateServiceMetrics(sv *service) {
 	s := n.metrics.Scope.Tagged(map[string]string{"service": string(sv.name)})
 	q := sv.admission.Snapshot()
 	s.Gauge("queue_waiting").Update(float64(q.Waiting))
@@ -39,7 +39,7 @@
 	if f, ok := n.holder.Get(sv.name); ok {
 		s.Gauge("document_generation").Update(float64(f.Accepted.Generation))
 	}
-	n.tellSubset(s, sv)
+	n.updateSubsetMetrics(s, sv)
 	for fault, v := range sv.table.RefusedReports() {
 		s.Tagged(map[string]string{"fault": string(fault)}).Gauge("load_reports_refused").Update(float64(v))
 	}
--- a/ferryd/ferrynode/model.go
+++ b/ferryd/ferrynode/model.go
@@ -13,12 +13,12 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// unknownRate stands for the rate of an engine that has not been measured and whose document names none.
-const unknownRate ferryid.TokensPerSecond = 1
+// defaultRate is the assumed rate of an engine that has no measured rate and none in the document.
+const defaultRate ferryid.TokensPerSecond = 1
 
-// model is what a service of kind Model needs to run completions.
+// model holds the engine pool and runner of a service of kind Model.
 type model struct {
-	// cfg is what the pool was last given; it belongs to the registry's lock.
+	// cfg is the current configuration of the pool, guarded by services.mu.
 	cfg    ferrypipeline.PlannerConfig
 	policy ferryservice.RoutePolicy
 	pool   *ferrypipeline.Pool
@@ -39,35 +39,37 @@
 	}
 	engines := &observedEngines{
 		Client: s.engines, table: sv.table, clock: s.clock,
-		leaving: func(name ferryid.UpstreamName) { s.leaving(d.Service, name) },
+		onLeaving: func(name ferryid.UpstreamName) { s.onLeaving(d.Service, name) },
 	}
 	return &model{cfg: cfg, policy: d.Policy.Route, pool: pool, runner: &ferrypipeline.Runner{
 		Engines: engines, Picker: picker, Clock: s.clock, Log: s.events,
-		Budget: ferrypipeline.NewRetryBudget(d.Limits.RetryShare, burst(loads)),
+		Budget: ferrypipeline.NewRetryBudget(d.Limits.RetryShare, burstFor(loads)),
 	}}, nil
 }
 
-// burst is how many streams may be moved at once: when a failure domain dies, one for each slot, since a caller that resumes a stream
-// costs more than the entry that moves it.
-func burst(loads []ferrypipeline.Load) int {
+// burstFor returns how many streams may fail over at once. It allows one per slot, for the loss of a failure domain,
+// because a resume by the caller costs more than a failover by the entry.
+func burstFor(loads []ferrypipeline.Load) int {
 	n := 0
 	for _, l := range loads {
 		n += l.Slots
 	}
-	return max(retryBurst, n)
+	return max(minRetryBurst, n)
 }
 
-// outdated reports whether the model has to be made anew: for another policy, or for other engines where the policy keeps no account.
-func (m *model) outdated(d *ferryservice.Document, cfg ferrypipeline.PlannerConfig) bool {
+// needsRebuild reports whether the model must be created again: after a change of the policy, or after a change of the
+// engines with the random policy, whose picker has a fixed set of engines.
+func (m *model) needsRebuild(d *ferryservice.Document, cfg ferrypipeline.PlannerConfig) bool {
 	if m.policy != d.Policy.Route {
 		return true
 	}
 	return m.policy == ferryservice.RouteRandom && !reflect.DeepEqual(cfg, m.cfg)
 }
 
-// set gives the pool a changed set of engines; measured rates of those that stay are kept, and without a change only who is avoided.
-func (m *model) set(cfg ferrypipeline.PlannerConfig, loads []ferrypipeline.Load) error {
-	m.runner.Budget.SetBurst(burst(loads))
+// update changes the pool's set of engines and keeps the measured rates of the remaining ones.
+// If the set is unchanged, it updates only the avoided engines and the slots.
+func (m *model) update(cfg ferrypipeline.PlannerConfig, loads []ferrypipeline.Load) error {
+	m.runner.Budget.SetBurst(burstFor(loads))
 	if reflect.DeepEqual(cfg, m.cfg) {
 		for i, c := range cfg.Candidates {
 			m.pool.Avoid(c.Name, loads[i].Avoid)
@@ -91,50 +93,51 @@
 	return nil
 }
 
-// planner describes the engines that this entry works to the pool; an engine the table would not choose gets no new work. The caller holds the lock.
+// planner returns the pool configuration for the engines assigned to this entry; the caller holds s.mu.
+// Engines that the routing table would not choose are marked as avoided.
 func (s *services) planner(sv *service, d *ferryservice.Document) (ferrypipeline.PlannerConfig, []ferrypipeline.Load) {
 	cfg := ferrypipeline.PlannerConfig{Layers: d.Model.Layers, Fixed: d.Pipelines}
 	var loads []ferrypipeline.Load
-	// Where nothing else holds a layer, engines that failed are better than none.
-	none := sv.table.Snapshot().Slots() == 0
-	for _, c := range s.worked(sv, d) {
+	// If no other engine has a layer, failed engines are still tried.
+	noneUsable := sv.table.Snapshot().Slots() == 0
+	for _, c := range s.assignedEngines(sv, d) {
 		cfg.Candidates = append(cfg.Candidates, ferrypipeline.Candidate{
 			Name: c.Name, Address: c.Address, Domain: c.FailureDomain, Layers: c.Layers,
 			Incarnation: s.incarnations[upstreamKey(d.Service, c.Name)],
 		})
 		loads = append(loads, ferrypipeline.Load{
-			Rate: max(c.Rate, unknownRate), Slots: sv.part.slots(c, len(s.members)), Avoid: avoided(c.State, none),
+			Rate: max(c.Rate, defaultRate), Slots: sv.subset.slots(c, len(s.members)), Avoid: avoided(c.State, noneUsable),
 		})
 	}
 	return cfg, loads
 }
 
-// avoided reports whether an engine in this state gets no new work.
-func avoided(s ferryroute.State, none bool) bool {
+// avoided reports whether an engine in the given state gets no new work.
+func avoided(s ferryroute.State, noneUsable bool) bool {
 	switch s {
 	case ferryroute.StateLive, ferryroute.StateProbing:
 		return false
 	case ferryroute.StateLeaving:
 		return true
 	}
-	return !none
+	return !noneUsable
 }
 
-// models admits calls and runs completions of all services.
+// models admits calls and runs completions for all services.
 type models struct{ node *Node }
 
-func noService(d *ferryservice.Document) *ferryoutcome.Problem {
+func unknownService(d *ferryservice.Document) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindNotFound, ferryoutcome.NotRun, "There is no service %q here any more.", d.Service)
 }
 
-// noUpstreamRetry is how long a caller should wait for an upstream to come.
+// noUpstreamRetry is the Retry-After of refusals while no upstream takes work.
 const noUpstreamRetry = 2 * time.Second
 
-// Acquire waits for a slot of the service, or refuses at once where no upstream takes work.
+// Acquire waits for a slot of the service; it refuses at once if no upstream takes work.
 func (m *models) Acquire(ctx context.Context, d *ferryservice.Document, it ferryqueue.Item) (*ferryqueue.Grant, error) {
 	sv, ok := m.node.services.get(d.Service)
 	if !ok {
-		return nil, noService(d)
+		return nil, unknownService(d)
 	}
 	if d.Retired && !it.Resumed {
 		return nil, ferryoutcome.New(ferryoutcome.KindNotFound, ferryoutcome.NotRun, "Service %q is retired and takes no new work.", d.Service)
@@ -146,11 +149,11 @@
 	return sv.admission.Acquire(ctx, it)
 }
 
-// Run generates one answer.
+// Run runs one completion and passes its tokens to emit.
 func (m *models) Run(ctx context.Context, d *ferryservice.Document, job ferrypipeline.Job, emit func(ferrypipeline.Token) error) (ferrypipeline.Result, error) {
 	sv, ok := m.node.services.get(d.Service)
 	if !ok {
-		return ferrypipeline.Result{}, noService(d)
+		return ferrypipeline.Result{}, unknownService(d)
 	}
 	md := sv.model.Load()
 	if md == nil {
--- a/ferryd/ferrynode/model_test.go
+++ b/ferryd/ferrynode/model_test.go
@@ -20,13 +20,13 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-func TestCallsAreRefusedAtOnceWhereNoUpstreamTakesWork(t *testing.T) {
+func TestAcquireRefusesWithoutUsableUpstream(t *testing.T) {
 	tests := []struct {
 		name      string
 		upstreams string
 	}{
-		{"none at all", ""},
-		{"all leaving", "[[Upstreams]]\nName = \"a\"\nAddress = \"127.0.0.1:1\"\nFailureDomain = \"d\"\nLeaving = true\n"},
+		{"no upstreams", ""},
+		{"all upstreams leaving", "[[Upstreams]]\nName = \"a\"\nAddress = \"127.0.0.1:1\"\nFailureDomain = \"d\"\nLeaving = true\n"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFailedUpstreamIsTriedWhereItIsTheOnlyOne(t *testing.T) {
+func TestOnlyUpstreamIsRetriedAfterFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	clock := clockwork.NewFakeClock()
@@ -59,12 +59,12 @@
 	sv, _ := s.get("parlour-api")
 	assert.Equal(t, sv.slots(), 8)
 	sv.table.Start("a", 1, clock.Now()).Fail(ferryroute.FailureConnection, clock.Now())
-	assert.Equal(t, sv.slots(), 1, "calls must find out whether it is back")
+	assert.Equal(t, sv.slots(), 1, "one trial call must be allowed to detect the recovery")
 	sv.table.SetLeaving("a", true)
 	assert.Equal(t, sv.slots(), 0)
 }
 
-func TestListedIncarnationThatLeavesGetsNothing(t *testing.T) {
+func TestLeavingIncarnationGetsNoWork(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	clock := clockwork.NewFakeClock()
@@ -85,5 +85,5 @@
 	list("second")
 	marks.Seen("parlour-api", "a", "second")
 	s.setMarks(marks)
-	assert.Equal(t, sv.slots(), 8, "another incarnation takes work")
+	assert.Equal(t, sv.slots(), 8, "a new incarnation must take work")
 }
--- a/ferryd/ferrynode/node.go
+++ b/ferryd/ferrynode/node.go
@@ -34,20 +34,20 @@
 )
 
 const (
-	eventRing      = 8192
+	eventLogSize   = 8192
 	resumeLifetime = time.Hour
 )
 
-// State says whether a node serves callers.
+// State is the lifecycle state of a node.
 type State int32
 
-// The states of a node, in the order they follow one another.
+// The states of a node, in lifecycle order.
 const (
-	// StateStarting has not learnt any configuration yet.
+	// StateStarting means that the node has no configuration yet.
 	StateStarting State = iota
-	// StateReady serves.
+	// StateReady means that the node accepts calls.
 	StateReady
-	// StateDraining takes no new calls and finishes what is open.
+	// StateDraining means that the node finishes open calls and refuses new ones.
 	StateDraining
 )
 
@@ -77,24 +77,24 @@
 	metrics  *ferrymetrics.Metrics
 	platform *ferryplatform.Client
 	holder   *ferrydocument.Holder
-	// used holds each service's *ferrydocument.InForce that callers are served by.
-	used     sync.Map
-	watcher  *ferrydocument.Watcher
-	services *services
-	engines  *ferryengine.Client
-	plain    *ferryplain.Client
-	claims   *ferryclaim.Claims
-	peer     *ferrypeer.Node
-	loads    *ferrypeer.Latest[engineLoad]
-	// own are the reports that this entry read for itself; they are not spread.
-	own    *ferrypeer.Latest[engineLoad]
-	marks  *ferrydrain.Marks
-	limits *limits
-	// seenLoads is when each report that was taken up was made; it belongs to the duty that reads loads.
-	seenLoads map[string]time.Time
-	nextLoads time.Time
-	// turns belongs to the duty that reads this entry's own engines.
-	turns       ferrysubset.Turns
+	// activated maps each ferryid.ServiceName to the *ferrydocument.InForce that callers are served by.
+	activated   sync.Map
+	watcher     *ferrydocument.Watcher
+	services    *services
+	engines     *ferryengine.Client
+	plain       *ferryplain.Client
+	claims      *ferryclaim.Claims
+	peer        *ferrypeer.Node
+	sharedLoads *ferrypeer.Latest[engineLoad]
+	// subsetLoads holds the reports that this entry read for its own subsets; they are not replicated.
+	subsetLoads *ferrypeer.Latest[engineLoad]
+	marks       *ferrydrain.Marks
+	limits      *limits
+	// appliedLoads holds the time of the last applied report by upstream; it is accessed only by the readLoads loop.
+	appliedLoads map[string]time.Time
+	nextLoadRead time.Time
+	// rotation is accessed only by the readSubset loop.
+	rotation    ferrysubset.Turns
 	loadReads   atomic.Int64
 	peerKeys    *ferrykeys.Pair
 	callers     *ferrycaller.Server
@@ -102,7 +102,7 @@
 	operators   *ferryoperator.Server
 }
 
-// New puts a node together; nothing runs yet.
+// New creates a node; it is inactive until Run.
 func New(cfg ferrysettings.Settings, clock clockwork.Clock, log zerolog.Logger) (*Node, error) {
 	n := &Node{
 		cfg:      cfg,
@@ -110,7 +110,7 @@
 		listener: net.Listen,
 		self:     ferryid.NewIncarnation(),
 		log:      log.With().Str("Entry", string(cfg.Name)).Logger(),
-		events:   ferryevent.NewLog(clock, string(cfg.Name), eventRing),
+		events:   ferryevent.NewLog(clock, string(cfg.Name), eventLogSize),
 		metrics:  ferrymetrics.New("ferryd", metricsInterval),
 	}
 	n.platform = ferryplatform.New(ferryplatform.ClientConfig{
@@ -121,13 +121,13 @@
 	n.watcher = ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: n.platform, Holder: n.holder, Clock: clock, Seed: uint64(clock.Now().UnixNano())})
 	n.engines = ferryengine.New(ferryengine.ClientConfig{Clock: clock})
 	n.services = newServices(clock, n.engines, n.events)
-	n.services.leaving = n.markLeaving
+	n.services.onLeaving = n.markLeaving
 	n.services.self = cfg.Name
 	n.plain = ferryplain.New(ferryplain.ClientConfig{Clock: clock})
-	n.loads = ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{
+	n.sharedLoads = ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{
 		Name: topicLoads, Self: cfg.Name, Size: maxLoads, Volatile: true, Clock: clock, Events: n.events,
 	})
-	n.own = ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{
+	n.subsetLoads = ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{
 		Name: topicLoads, Self: cfg.Name, Size: maxLoads, Clock: clock, Events: n.events,
 	})
 	n.marks = ferrydrain.NewMarks(clock)
@@ -153,7 +153,7 @@
 	})
 	n.callers = &ferrycaller.Server{
 		Clock: n.clock, Log: n.log, Events: n.events, Metrics: ferrycaller.NewMetrics(n.metrics.Scope), Documents: callerDocuments{n.services, n.holder}, Plain: n.plain, Claims: n.claims, Sealer: sealer,
-		Upstreams: plainUpstreams{services: n.services, clock: n.clock, leaving: n.markLeaving},
+		Upstreams: plainUpstreams{services: n.services, clock: n.clock, onLeaving: n.markLeaving},
 		Models:    &models{node: n},
 		Limits: ferrycaller.Limits{
 			BodyTimeout: time.Duration(n.cfg.Callers.BodyTimeout), WriteTimeout: time.Duration(n.cfg.Callers.WriteTimeout),
@@ -163,7 +163,7 @@
 	}
 	n.operators = &ferryoperator.Server{
 		Token: n.cfg.Keys.OperatorToken, Log: n.log, Events: n.events, Documents: n.holder, Store: n.platform,
-		Status: n.status, Leave: n.leave, Claim: n.claim, SetLevel: zerolog.SetGlobalLevel,
+		Status: n.status, Leave: n.setLeaving, Claim: n.claim, SetLevel: zerolog.SetGlobalLevel,
 	}
 	return nil
 }
@@ -175,17 +175,17 @@
 func (n *Node) setState(s State) {
 	if n.current.Swap(int32(s)) != int32(s) {
 		n.events.Add("State", string(n.cfg.Name), "%s", s)
-		n.log.Info().Str("State", s.String()).Msg("state")
-		n.tellLoad(context.Background())
+		n.log.Info().Str("State", s.String()).Msg("state changed")
+		n.publishLoad(context.Background())
 	}
 }
 
-// stdLog passes net/http's own messages to the log.
+// stdLog returns a logger that writes net/http's messages to the log.
 func (n *Node) stdLog() *stdlog.Logger {
 	return stdlog.New(n.log.With().Str("From", "net/http").Logger().Level(zerolog.DebugLevel), "", 0)
 }
 
-// Run serves until a signal asks it to stop and everything open is finished.
+// Run serves until a signal requests a planned stop and all open calls have finished.
 func (n *Node) Run(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -194,10 +194,10 @@
 			cancel(err)
 		}
 	}
-	if err := n.serve(ctx, fail); err != nil {
+	if err := n.startListeners(ctx, fail); err != nil {
 		return err
 	}
-	n.duties(ctx, fail)
+	n.startLoops(ctx, fail)
 	stopped := make(chan error, 1)
 	go func() { stopped <- n.stop(ctx, signals) }()
 	select {
--- a/ferryd/ferrynode/node_test.go
+++ b/ferryd/ferrynode/node_test.go
@@ -39,23 +39,23 @@
 	testLayers = 8
 	testPrompt = "Why did the yield drop?"
 	testTokens = 24
-	// openTokens at engineRate make a stream that is still open long after a stop without it would have ended.
-	openTokens   = 400
-	engineRate   = 500
-	testDeadline = 60 * time.Second
+	// longStreamTokens at engineRate make a stream that outlasts a planned stop without open streams.
+	longStreamTokens = 400
+	engineRate       = 500
+	testDeadline     = 60 * time.Second
 )
 
-// bed is one node among stand-ins in this process.
-type bed struct {
-	node    *Node
-	plain   *ferrystandplain.Server
-	engines []*ferrystandengine.Engine
-	urls    []string
-	plainAt string
-	callers string
-	admin   *ferryadmin.Client
-	stop    chan os.Signal
-	ended   chan error
+// testNode is a node with stand-ins for its upstreams and the platform in this process.
+type testNode struct {
+	node         *Node
+	plain        *ferrystandplain.Server
+	engines      []*ferrystandengine.Engine
+	urls         []string
+	plainAddress string
+	callers      string
+	admin        *ferryadmin.Client
+	stop         chan os.Signal
+	ended        chan error
 }
 
 func serveOn(t *testing.T, h http.Handler) string {
@@ -67,8 +67,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// listenAnywhere takes a port for good, so that no other process gets it before the node listens.
-func listenAnywhere(t *testing.T) net.Listener {
+// listenRandomPort listens at once on a free port, so that no other process can take it before the node listens.
+func listenRandomPort(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -76,11 +76,11 @@
 	return l
 }
 
-func newBed(t *testing.T) *bed {
+func startTestNode(t *testing.T) *testNode {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	b := &bed{plain: ferrystandplain.New("robots-1", clock), stop: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	b.plainAt = serveOn(t, b.plain)
+	b := &testNode{plain: ferrystandplain.New("robots-1", clock), stop: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	b.plainAddress = serveOn(t, b.plain)
 	for i := range 4 {
 		half := ferryid.Layer(i % 2 * testLayers / 2)
 		e := ferrystandengine.New(ferrystandengine.Config{
@@ -90,7 +90,7 @@
 		b.engines = append(b.engines, e)
 		b.urls = append(b.urls, serveOn(t, e))
 	}
-	callers, peers := listenAnywhere(t), listenAnywhere(t)
+	callers, peers := listenRandomPort(t), listenRandomPort(t)
 	b.callers = callers.Addr().String()
 	b.admin = ferryadmin.NewClient("http://"+peers.Addr().String(), testToken, nil)
 	cfg := ferrysettings.Settings{
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { b.ended <- b.node.Run(ctx, b.stop) }()
-	b.until(t, "ready", func() error {
+	b.waitUntil(t, "ready", func() error {
 		w, err := http.Get("http://" + b.callers + "/readyz")
 		if err != nil {
 			return err
@@ -127,8 +127,8 @@
 	return b
 }
 
-// until waits for something that the node does on its own time.
-func (b *bed) until(t *testing.T, what string, check func() error) {
+// waitUntil polls until check returns nil, for asynchronous effects of the node.
+func (b *testNode) waitUntil(t *testing.T, what string, check func() error) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if err := check(); err != nil {
@@ -143,7 +143,7 @@
 	return fmt.Sprintf("[[Customers]]\nName = \"dobrich\"\nKeySHA256 = [%q]\nShare = 1.0\n", hex.EncodeToString(sum[:]))
 }
 
-func (b *bed) modelText(short int) string {
+func (b *testNode) modelText(short int) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "Service = \"herd-llm\"\nTeam = \"herd\"\nKind = \"Model\"\n[Model]\nName = \"m\"\nVersion = \"1\"\nLayers = %d\n", testLayers)
 	fmt.Fprintf(&s, "[[Classes]]\nName = \"short\"\nMaxTokens = %d\n[[Classes]]\nName = \"long\"\n", short)
@@ -154,19 +154,19 @@
 	return s.String() + customersText()
 }
 
-func (b *bed) plainText() string {
+func (b *testNode) plainText() string {
 	return fmt.Sprintf("Service = \"parlour-api\"\nTeam = \"parlour\"\nKind = \"Plain\"\n[[Upstreams]]\nName = \"robots-1\"\nAddress = %q\nFailureDomain = \"ruse-a\"\nSlots = 8\n"+
-		"[[Routes]]\nMethod = \"POST\"\nPath = \"/rations/*\"\nIdempotent = false\n", b.plainAt) + customersText()
+		"[[Routes]]\nMethod = \"POST\"\nPath = \"/rations/*\"\nIdempotent = false\n", b.plainAddress) + customersText()
 }
 
-func (b *bed) apply(t *testing.T, service ferryid.ServiceName, text string, base ferryid.Generation) {
+func (b *testNode) apply(t *testing.T, service ferryid.ServiceName, text string, base ferryid.Generation) {
 	t.Helper()
 	a, err := b.admin.Apply(t.Context(), ferrydocument.ApplyRequest{
 		Service: service, Source: text, BaseGeneration: base, Operator: "morning", ApplyID: ferrydocument.NewApplyID(),
 	})
 	assert.NilError(t, err)
 	assert.Equal(t, a.Generation, base+1)
-	b.until(t, "in force", func() error {
+	b.waitUntil(t, "document activated", func() error {
 		s, err := b.admin.Status(t.Context())
 		if err != nil {
 			return err
@@ -180,7 +180,7 @@
 	})
 }
 
-func (b *bed) do(t *testing.T, path, body, idempotencyKey string) (int, http.Header, string) {
+func (b *testNode) post(t *testing.T, path, body, idempotencyKey string) (int, http.Header, string) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+b.callers+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -196,8 +196,8 @@
 	return w.StatusCode, w.Header, string(out)
 }
 
-// stream asks for a completion, calls each after every piece and compares the text with the model's own.
-func (b *bed) stream(t *testing.T, seed uint64, tokens int, each func(n int)) {
+// stream requests a completion, calls onChunk after each chunk and compares the text with the reference.
+func (b *testNode) stream(t *testing.T, seed uint64, tokens int, onChunk func(n int)) {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"herd-llm","prompt":%q,"max_tokens":%d,"seed":%d,"stream":true}`, testPrompt, tokens, seed)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+b.callers+"/v1/completions", strings.NewReader(body))
@@ -208,7 +208,7 @@
 	defer w.Body.Close()
 	assert.Equal(t, w.StatusCode, http.StatusOK)
 	var text strings.Builder
-	done, pieces := false, 0
+	done, chunks := false, 0
 	s := bufio.NewScanner(w.Body)
 	for s.Scan() {
 		data, ok := strings.CutPrefix(s.Text(), "data: ")
@@ -228,15 +228,15 @@
 		for _, c := range v.Choices {
 			text.WriteString(c.Text)
 		}
-		pieces++
-		each(pieces)
+		chunks++
+		onChunk(chunks)
 	}
 	assert.NilError(t, s.Err())
 	assert.Assert(t, done, "the stream must end with [DONE]")
 	assert.Equal(t, text.String(), strings.Join(ferryenginetest.Reference(seed, testPrompt, tokens, testLayers), ""))
 }
 
-func (b *bed) state(t *testing.T, upstream ferryid.UpstreamName) string {
+func (b *testNode) state(t *testing.T, upstream ferryid.UpstreamName) string {
 	t.Helper()
 	s, err := b.admin.Status(t.Context())
 	assert.NilError(t, err)
@@ -250,19 +250,19 @@
 	return ""
 }
 
-// One node does a caller's and an operator's day: a stream, a change that runs once, a changed document, a drain, a stop with a stream open.
+// TestNode covers a stream, an idempotent call, a document change, a drain and a planned stop with an open stream.
 func TestNode(t *testing.T) {
-	b := newBed(t)
+	b := startTestNode(t)
 	b.apply(t, "herd-llm", b.modelText(64), 0)
 	b.apply(t, "parlour-api", b.plainText(), 0)
 	b.stream(t, 7, testTokens, func(int) {})
 
 	for n := range 3 {
-		status, h, body := b.do(t, "/v1/services/parlour-api/rations/417", `{"Kilograms":2}`, "friday")
+		status, h, body := b.post(t, "/v1/services/parlour-api/rations/417", `{"Kilograms":2}`, "friday")
 		assert.Equal(t, status, http.StatusOK, body)
 		assert.Equal(t, h.Get("Replayed") == "true", n > 0)
 	}
-	status, h, _ := b.do(t, "/v1/services/parlour-api/rations/417", `{"Kilograms":9}`, "friday")
+	status, h, _ := b.post(t, "/v1/services/parlour-api/rations/417", `{"Kilograms":9}`, "friday")
 	assert.Equal(t, status, http.StatusUnprocessableEntity)
 	assert.Equal(t, h.Get("Outcome"), "NotRun")
 	assert.Equal(t, len(b.plain.Records()), 1)
@@ -271,15 +271,15 @@
 	_, err := b.admin.Apply(t.Context(), ferrydocument.ApplyRequest{
 		Service: "herd-llm", Source: b.modelText(16), BaseGeneration: 1, Operator: "afternoon", ApplyID: ferrydocument.NewApplyID(),
 	})
-	assert.Assert(t, err != nil, "the second of two edits must be told that it lost")
+	assert.Assert(t, err != nil, "the second of two concurrent edits must be refused")
 
 	assert.NilError(t, b.admin.Drain(t.Context(), ferryadmin.DrainRequest{Service: "herd-llm", Upstream: "engine-1", Operator: "morning", Leaving: true}))
 	assert.Equal(t, b.state(t, "engine-1"), "Leaving")
 	before := len(b.engines[0].Records(""))
 	b.stream(t, 8, testTokens, func(int) {})
-	assert.Equal(t, len(b.engines[0].Records("")), before, "a drained engine got new work")
+	assert.Equal(t, len(b.engines[0].Records("")), before, "a drained engine must get no new work")
 
-	b.stream(t, 9, openTokens, func(n int) {
+	b.stream(t, 9, longStreamTokens, func(n int) {
 		if n == 1 {
 			b.stop <- syscall.SIGTERM
 		}
@@ -288,12 +288,12 @@
 	case err := <-b.ended:
 		assert.NilError(t, err)
 	case <-time.After(testDeadline):
-		t.Fatal("the node did not stop")
+		t.Fatal("the node did not stop within the deadline")
 	}
 }
 
-// The status names a document when callers are served by it, not before.
-func TestStatusNamesWhatCallersAreServedBy(t *testing.T) {
+// TestStatusListsActivatedDocuments checks that the status lists a document only once callers are served by it.
+func TestStatusListsActivatedDocuments(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	cfg := ferrysettings.Settings{
 		Name: "entry-1", FailureDomain: "ruse-a", Platform: ferrysettings.Platform{URL: "http://127.0.0.1:1"},
@@ -303,29 +303,29 @@
 	n, err := New(cfg, clock, zerolog.Nop())
 	assert.NilError(t, err)
 	_, err = n.holder.Apply(t.Context(), ferryplatformtest.New(clock), ferrydocument.ApplyRequest{
-		Service: "parlour-api", Source: (&bed{plainAt: "127.0.0.1:1"}).plainText(), Operator: "morning", ApplyID: ferrydocument.NewApplyID(),
+		Service: "parlour-api", Source: (&testNode{plainAddress: "127.0.0.1:1"}).plainText(), Operator: "morning", ApplyID: ferrydocument.NewApplyID(),
 	})
 	assert.NilError(t, err)
 	f, ok := n.holder.Get("parlour-api")
 	assert.Assert(t, ok)
 	assert.Equal(t, len(n.status().Documents), 0)
-	n.use(t.Context(), f)
+	n.activate(t.Context(), f)
 	assert.Equal(t, n.status().Documents[0].Generation, f.Accepted.Generation)
 }
 
 func TestRetiredServiceTakesNoNewWork(t *testing.T) {
-	b := newBed(t)
+	b := startTestNode(t)
 	b.apply(t, "herd-llm", b.modelText(64), 0)
 	b.apply(t, "parlour-api", b.plainText(), 0)
-	b.stream(t, 7, openTokens, func(n int) {
+	b.stream(t, 7, longStreamTokens, func(n int) {
 		if n == 1 {
 			b.apply(t, "herd-llm", "Retired = true\n"+b.modelText(64), 1)
 			b.apply(t, "parlour-api", "Retired = true\n"+b.plainText(), 1)
 		}
 	})
 	for _, path := range []string{"/v1/completions", "/v1/services/parlour-api/rations/417"} {
-		b.until(t, "refused", func() error {
-			status, h, body := b.do(t, path, `{"model":"herd-llm","prompt":"x"}`, "")
+		b.waitUntil(t, "call refused", func() error {
+			status, h, body := b.post(t, path, `{"model":"herd-llm","prompt":"x"}`, "")
 			if status != http.StatusNotFound || h.Get("Outcome") != "NotRun" {
 				return fmt.Errorf("status %d, %s", status, body)
 			}
@@ -336,10 +336,10 @@
 	b.stream(t, 8, testTokens, func(int) {})
 }
 
-// Two nodes live in one process, each with metrics of its own.
+// TestTwoNodes runs two nodes in one process, which must have separate metrics.
 func TestTwoNodes(t *testing.T) {
-	for _, b := range []*bed{newBed(t), newBed(t)} {
-		b.until(t, "metrics", func() error {
+	for _, b := range []*testNode{startTestNode(t), startTestNode(t)} {
+		b.waitUntil(t, "metrics", func() error {
 			w, err := http.Get("http://" + b.callers + "/metrics")
 			if err != nil {
 				return err
@@ -347,15 +347,15 @@
 			defer w.Body.Close()
 			text, err := io.ReadAll(w.Body)
 			if err == nil && !strings.Contains(string(text), "ferryd_open_streams 0") {
-				err = fmt.Errorf("the gauge is not there yet")
+				err = fmt.Errorf("/metrics does not have ferryd_open_streams yet")
 			}
 			return err
 		})
 	}
 }
 
-func TestCallersMayUseHTTP2(t *testing.T) {
-	b := newBed(t)
+func TestCallersUseHTTP2(t *testing.T) {
+	b := startTestNode(t)
 	b.apply(t, "herd-llm", b.modelText(64), 0)
 	only2 := &http.Protocols{}
 	only2.SetUnencryptedHTTP2(true)
--- a/ferryd/ferrynode/order.go
+++ b/ferryd/ferrynode/order.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	askOrders    ferrypeer.AskKind = 5
-	wantInterval                   = time.Second
-	// orderCandidates is how many entries read a service's lease: its holder and the one that follows it.
+	askOrders     ferrypeer.AskKind = 5
+	leaseInterval                   = time.Second
+	// orderCandidates is the number of entries that read a service's lease: its holder and the standby.
 	orderCandidates = 2
 	releaseInterval = 50 * time.Millisecond
 )
 
-// orders is the duty that brings one service's engines to the state its document asks for.
-type orders struct {
+// serviceOrders brings the engines of one service to the target state of its document.
+type serviceOrders struct {
 	lease  *ferrylease.Lease
 	orders *ferryorder.Orders
 }
@@ -35,7 +35,8 @@
 	return ferryduty.Duty("orders " + string(s))
 }
 
-// dutyGroup is the reading of one group of a service's engines; the first group is read by the entry that gives the orders.
+// dutyGroup returns the duty of reading one group of a service's engines.
+// The first group is read by the entry that gives the orders.
 func dutyGroup(s ferryid.ServiceName, group int) ferryduty.Duty {
 	if group == 0 {
 		return dutyOrders(s)
@@ -43,10 +44,10 @@
 	return ferryduty.Slot(dutyOrders(s), group)
 }
 
-// startOrders starts the duty for a service; only the entry that wins the lease gives any order.
-func (n *Node) startOrders(ctx context.Context, s ferryid.ServiceName) *orders {
+// startOrders starts the orders of a service; only the holder of the lease gives orders.
+func (n *Node) startOrders(ctx context.Context, s ferryid.ServiceName) *serviceOrders {
 	lease := ferrylease.New(ferrylease.Config{Name: "orders-" + string(s), Self: n.self, Store: n.platform, Clock: n.clock})
-	o := &orders{lease: lease, orders: ferryorder.New(ferryorder.Config{
+	o := &serviceOrders{lease: lease, orders: ferryorder.New(ferryorder.Config{
 		Tenure: lease, Engine: orderedEngines{n.engines}, Clock: n.clock, Readers: groupReaders{n},
 	})}
 	go func() { _ = lease.Run(ctx) }()
@@ -54,30 +55,30 @@
 	return o
 }
 
-// wantOrders wants the leases of the services whose orders this entry should give now.
-func (n *Node) wantOrders(context.Context) {
+// updateLeases requests or follows the orders lease of each service according to the current duties of this entry.
+func (n *Node) updateLeases(context.Context) {
 	ms := n.peer.Members()
 	for _, sv := range n.services.all() {
 		o := sv.orders.Load()
 		if o == nil {
 			continue
 		}
-		on := !n.stopping.Load()
-		place := slices.Index(ferryduty.Holders(ms, dutyOrders(sv.name), orderCandidates), n.cfg.Name)
-		o.lease.Follow(on && place > 0)
-		o.lease.Want(on && holds(ms, dutyOrders(sv.name)))
+		active := !n.stopping.Load()
+		rank := slices.Index(ferryduty.Holders(ms, dutyOrders(sv.name), orderCandidates), n.cfg.Name)
+		o.lease.Follow(active && rank > 0)
+		o.lease.Want(active && holdsDuty(ms, dutyOrders(sv.name)))
 	}
 }
 
-// holds reports whether this process should hold a duty; one that knows no other member holds all.
-func holds(ms ferrypeer.Members, d ferryduty.Duty) bool {
+// holdsDuty reports whether this entry holds a duty; an entry without a known membership holds all duties.
+func holdsDuty(ms ferrypeer.Members, d ferryduty.Duty) bool {
 	return len(ms.List) == 0 || ferryduty.Holds(ms, d, 1)
 }
 
-// groupReaders has groups of engines read by the entries whose duty it is.
+// groupReaders reads groups of engines through the entries that hold the duty for them.
 type groupReaders struct{ node *Node }
 
-// ReadGroup asks the group's reader for the state of its engines.
+// ReadGroup returns the state of a group's engines, read by the group's reader.
 func (r groupReaders) ReadGroup(ctx context.Context, a ferryorder.GroupAsk) (ferryorder.GroupAnswer, error) {
 	n := r.node
 	ms := n.peer.Members()
@@ -99,7 +100,7 @@
 	return sv.orders.Load().orders.Read(ctx, a)
 }
 
-// answerOrders reads engines for the entry that gives them orders.
+// answerOrders reads a group of engines for the entry that gives the orders.
 func (n *Node) answerOrders(ctx context.Context, _ ferrypeer.Member, body []byte) ([]byte, error) {
 	var a ferryorder.GroupAsk
 	if err := cbor.Unmarshal(body, &a); err != nil {
@@ -112,9 +113,9 @@
 	return encode(ans), nil
 }
 
-// releaseLeases gives the leases back, so that the next holders need not wait them out.
+// releaseLeases releases the leases, so that the next holders need not wait for their expiry.
 func (n *Node) releaseLeases(ctx context.Context) error {
-	n.wantOrders(ctx)
+	n.updateLeases(ctx)
 	for !n.released() {
 		select {
 		case <-ctx.Done():
@@ -134,10 +135,10 @@
 	return true
 }
 
-// orderedEngines is the adapter from orders to engines.
+// orderedEngines adapts ferryengine.Client to ferryorder.Engine.
 type orderedEngines struct{ engines *ferryengine.Client }
 
-// Order sets an engine's target state.
+// Order sends the target state to an engine.
 func (e orderedEngines) Order(ctx context.Context, address string, o ferryorder.Order) error {
 	err := e.engines.Order(ctx, address, ferryengine.Order{
 		Fence: o.Fence, Service: o.Service, Model: o.Model, Version: o.Version, Adapter: o.Adapter,
@@ -150,7 +151,7 @@
 	return err
 }
 
-// Report reads what the engine holds now.
+// Report returns the current state of an engine.
 func (e orderedEngines) Report(ctx context.Context, address string) (ferryorder.Report, error) {
 	l, err := e.engines.Load(ctx, address)
 	if err != nil {
--- a/ferryd/ferrynode/order_test.go
+++ b/ferryd/ferrynode/order_test.go
@@ -21,10 +21,10 @@
 	"cactusferry.dev/ferrystand/ferrystandengine"
 )
 
-func TestReadsEnginesForTheEntryThatGivesOrders(t *testing.T) {
-	b := newBed(t)
+func TestAnswerOrdersReadsGroup(t *testing.T) {
+	b := startTestNode(t)
 	b.apply(t, "herd-llm", strings.Replace(b.modelText(64), `Version = "1"`, `Version = "2"`, 1), 0)
-	b.until(t, "ordered", func() error {
+	b.waitUntil(t, "engines ordered", func() error {
 		for _, u := range b.urls {
 			l, err := b.node.engines.Load(t.Context(), u)
 			if err != nil || l.Version != "2" {
@@ -58,8 +58,8 @@
 	assert.Equal(t, len(sends)+len(blocked), 0, "%v %v", sends, blocked)
 }
 
-// secondEntry starts another entry beside the bed's and waits until each counts both.
-func (b *bed) secondEntry(t *testing.T) *Node {
+// startSecondEntry starts another entry and waits until both entries have each other in their membership.
+func (b *testNode) startSecondEntry(t *testing.T) *Node {
 	t.Helper()
 	free, err := ferryprocess.FreeAddresses(2)
 	assert.NilError(t, err)
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = n.Run(ctx, make(chan os.Signal)) }()
-	b.until(t, "both entries", func() error {
+	b.waitUntil(t, "both entries joined", func() error {
 		for _, each := range []*Node{b.node, n} {
 			usable := 0
 			for _, m := range each.peer.Members().List {
@@ -83,7 +83,7 @@
 				}
 			}
 			if usable != 2 {
-				return fmt.Errorf("%s counts %d", each.cfg.Name, usable)
+				return fmt.Errorf("%s has %d usable members, expected 2", each.cfg.Name, usable)
 			}
 		}
 		return nil
@@ -91,9 +91,9 @@
 	return n
 }
 
-func TestTwoEntriesReadGroupsForEachOther(t *testing.T) {
-	b := newBed(t)
-	other := b.secondEntry(t)
+func TestEntriesShareGroupReads(t *testing.T) {
+	b := startTestNode(t)
+	other := b.startSecondEntry(t)
 	for i := 4; i < ferryorder.GroupSize+2; i++ {
 		half := ferryid.Layer(i % 2 * testLayers / 2)
 		e := ferrystandengine.New(ferrystandengine.Config{
@@ -103,7 +103,7 @@
 		b.urls = append(b.urls, serveOn(t, e))
 	}
 	b.apply(t, "herd-llm", strings.Replace(b.modelText(64), `Version = "1"`, `Version = "2"`, 1), 0)
-	b.until(t, "ordered", func() error {
+	b.waitUntil(t, "engines ordered", func() error {
 		for _, u := range b.urls {
 			l, err := b.node.engines.Load(t.Context(), u)
 			if err != nil || l.Version != "2" {
@@ -121,7 +121,7 @@
 	for _, a := range asks {
 		refused := 0
 		for _, n := range []*Node{b.node, other} {
-			b.until(t, "read", func() error {
+			b.waitUntil(t, "group read", func() error {
 				ans, err := groupReaders{n}.ReadGroup(t.Context(), a)
 				if err == nil && (ans.Unread != 0 || len(ans.Differ) > 0) {
 					err = fmt.Errorf("%+v", ans)
@@ -136,6 +136,6 @@
 				refused++
 			}
 		}
-		assert.Equal(t, refused, 1, "group %d is read by both entries or by none", a.Group)
+		assert.Equal(t, refused, 1, "group %d must be read by exactly one entry", a.Group)
 	}
 }
--- a/ferryd/ferrynode/overlay.go
+++ b/ferryd/ferrynode/overlay.go
@@ -15,7 +15,7 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// The topics and requests that entries exchange.
+// Topics and duties of the overlay.
 const (
 	topicDocuments ferrypeer.TopicName = "documents"
 
@@ -23,7 +23,7 @@
 	dutyList  ferryduty.Duty = "list"
 )
 
-// newOverlay makes this process's part in the overlay.
+// newOverlay creates the overlay node of this process.
 func (n *Node) newOverlay() error {
 	secrets := peerSecrets(n.cfg.Keys.SealKeys())
 	cfg := ferrypeer.Config{
@@ -33,24 +33,24 @@
 		},
 		Seeds: n.cfg.Peers.Seeds, Clock: n.clock, Lister: cachedList{n}, Secret: secrets[0], OtherSecrets: secrets[1:],
 		Log: n.log, Events: n.events,
-		Topics:    []ferrypeer.Topic{documentTopic(n.holder), n.loads.Topic(), leavingTopic(n.marks)},
+		Topics:    []ferrypeer.Topic{documentTopic(n.holder), n.sharedLoads.Topic(), leavingTopic(n.marks)},
 		Handlers:  n.askHandlers(),
 		OnMembers: n.onMembers,
 	}
 	pair, err := n.loadPair(n.cfg.Peers.TLS)
 	if err != nil {
-		return merry.Prepend(err, "peers' keys")
+		return merry.Prepend(err, "load TLS key pair for peers")
 	}
 	if pair != nil {
 		cfg.TLS = pair.Client()
 	}
 	n.peerKeys = pair
 	n.peer = ferrypeer.New(cfg)
-	n.loads.Notify(n.peer.Publish)
+	n.sharedLoads.Notify(n.peer.Publish)
 	return nil
 }
 
-// peerSecrets are what entries prove to each other, made from the keys they share.
+// peerSecrets derives the secrets for the authentication of peers from the shared seal keys.
 func peerSecrets(keys [][]byte) [][]byte {
 	secrets := make([][]byte, 0, len(keys))
 	for _, k := range keys {
@@ -60,10 +60,10 @@
 	return secrets
 }
 
-// cachedList gives the overlay the list that this process read last, so that it costs no call of its own.
+// cachedList provides the overlay with the last instance list read by this process, without another platform call.
 type cachedList struct{ node *Node }
 
-// Instances returns the last list.
+// Instances returns the last instance list.
 func (c cachedList) Instances(context.Context) (ferryplatform.Instances, error) {
 	list := c.node.list.Load()
 	if list == nil {
@@ -72,18 +72,18 @@
 	return *list, nil
 }
 
-// onMembers takes a new membership.
+// onMembers applies a new membership snapshot.
 func (n *Node) onMembers(ms ferrypeer.Members) {
 	live := len(ms.Live())
-	n.services.setShare(place(ms))
-	n.services.setMembers(usable(ms))
+	n.services.setShare(entryIndex(ms))
+	n.services.setMembers(usableEntries(ms))
 	n.watcher.SetLive(live)
-	n.watcher.Watching(live <= 1 || ferryduty.HoldsInDomain(ms, dutyWatch, watchers))
+	n.watcher.Watching(live <= 1 || ferryduty.HoldsInDomain(ms, dutyWatch, watchersPerDomain))
 	n.platform.SetBudget(platformBudget(n.cfg.Platform.CallsPerSecond, live))
 }
 
-// place is this entry's index among the entries that take calls, and their number.
-func place(ms ferrypeer.Members) (index, entries int) {
+// entryIndex returns this entry's index among the usable entries, and their number.
+func entryIndex(ms ferrypeer.Members) (index, entries int) {
 	for _, m := range ms.List {
 		if !m.Usable() {
 			continue
@@ -96,13 +96,14 @@
 	return index, max(1, entries)
 }
 
-// platformBudget is one entry's share of the calls that the whole fleet may make.
+// platformBudget returns one entry's share of the fleet's budget of platform calls per second.
 func platformBudget(fleet float64, live int) ferryplatform.Budget {
 	share := float64(ferryduty.Share(ferryduty.PerSecond(fleet), live))
 	return ferryplatform.Budget{PerSecond: share, Burst: max(1, int(share))}
 }
 
-// documentTopic spreads the documents in force; a change is pulled once, since documents are large.
+// documentTopic returns the topic that replicates the documents in force.
+// Changes are offered by digest and pulled once, because documents are large.
 func documentTopic(h *ferrydocument.Holder) ferrypeer.Topic {
 	return ferrypeer.Topic{
 		Name:    topicDocuments,
@@ -149,7 +150,7 @@
 	return false, nil
 }
 
-// publishDocuments tells the peers of each document that comes into force here.
+// publishDocuments notifies the peers of each document that comes into force on this entry.
 func (n *Node) publishDocuments(ctx context.Context) {
 	sub := n.holder.Subscribe()
 	defer sub.Close()
@@ -164,7 +165,7 @@
 	}
 }
 
-// memberOf finds the live member of an incarnation.
+// memberOf returns the member with the given incarnation.
 func (n *Node) memberOf(id ferryid.Incarnation) (ferrypeer.MemberInfo, bool) {
 	for _, m := range n.peer.Members().List {
 		if m.Incarnation == id {
--- a/ferryd/ferrynode/plain.go
+++ b/ferryd/ferrynode/plain.go
@@ -12,14 +12,14 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// plainUpstreams chooses among the upstreams of plain services.
+// plainUpstreams selects upstreams of plain services.
 type plainUpstreams struct {
-	services *services
-	clock    clockwork.Clock
-	leaving  func(ferryid.ServiceName, ferryid.UpstreamName)
+	services  *services
+	clock     clockwork.Clock
+	onLeaving func(ferryid.ServiceName, ferryid.UpstreamName)
 }
 
-// Choose returns an upstream that is not excluded and counts the call at once.
+// Choose selects an upstream that is not excluded and accounts for the call.
 func (p plainUpstreams) Choose(d *ferryservice.Document, exclude []ferryid.UpstreamName) (ferryservice.Upstream, *ferryroute.Dispatch, bool) {
 	sv, ok := p.services.get(d.Service)
 	if !ok {
@@ -41,7 +41,7 @@
 	return ferryservice.Upstream{Name: c.Name, Address: c.Address, FailureDomain: c.FailureDomain}, dispatch, true
 }
 
-// Done reports how a call went.
+// Done records the result of a call.
 func (p plainUpstreams) Done(d *ferryservice.Document, u ferryservice.Upstream, dispatch *ferryroute.Dispatch, err error) {
 	now := p.clock.Now()
 	var refused *ferryplain.RefusedError
@@ -50,7 +50,7 @@
 		dispatch.Finish(1, now)
 	case errors.As(err, &refused) && refused.Leaving:
 		dispatch.Cancel(now)
-		p.leaving(d.Service, u.Name)
+		p.onLeaving(d.Service, u.Name)
 	case errors.Is(err, context.Canceled):
 		dispatch.Cancel(now)
 	default:
@@ -58,7 +58,7 @@
 	}
 }
 
-// Retry takes one retry from the service's budget.
+// Retry takes one retry from the service's retry budget and reports whether it was available.
 func (p plainUpstreams) Retry(d *ferryservice.Document) bool {
 	sv, ok := p.services.get(d.Service)
 	return ok && sv.budget.Load().Retry()
--- a/ferryd/ferrynode/random.go
+++ b/ferryd/ferrynode/random.go
@@ -10,7 +10,7 @@
 
 const randomWork = 1 << 20
 
-// randomPicker chooses any chain of engines, whatever their work: the baseline that the pool is measured against.
+// randomPicker selects a random chain of engines regardless of load; it is the baseline for measurements of the pool.
 type randomPicker struct {
 	mu      sync.Mutex
 	planner *ferrypipeline.Planner
@@ -26,7 +26,7 @@
 	return &randomPicker{planner: planner, cfg: cfg, loads: loads}, nil
 }
 
-// Pick gives every engine a random weight and takes the lightest chain.
+// Pick assigns a random load to each engine and selects the chain with the lowest load.
 func (r *randomPicker) Pick(_ *ferrypipeline.Job, exclude []ferryid.UpstreamName) (ferrypipeline.Plan, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,5 +43,5 @@
 	return plan, err
 }
 
-// Done needs no account.
+// Done does nothing, because the picker keeps no accounts.
 func (r *randomPicker) Done(ferrypipeline.Plan, ferryid.Tokens) {}
--- a/ferryd/ferrynode/service.go
+++ b/ferryd/ferrynode/service.go
@@ -20,9 +20,9 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-const retryBurst = 10
+const minRetryBurst = 10
 
-// service is what this entry keeps of one service beside its document.
+// service is the runtime state of one service on this entry.
 type service struct {
 	name      ferryid.ServiceName
 	accepted  *ferryservice.Document
@@ -31,50 +31,50 @@
 	admission *ferryqueue.Admission
 	budget    atomic.Pointer[ferryroute.Budget]
 	model     atomic.Pointer[model]
-	orders    atomic.Pointer[orders]
-	part      subset
+	orders    atomic.Pointer[serviceOrders]
+	subset    subset
 	mu        sync.Mutex
 	rand      ferryroute.Rand
 }
 
-// services is the registry of all services; it is changed by one duty and read by every call.
+// services is the registry of all services. Calls read the atomic snapshot without taking the lock.
 type services struct {
 	clock   clockwork.Clock
 	engines *ferryengine.Client
-	// leaving is told of engines that say themselves that they leave.
-	leaving      func(ferryid.ServiceName, ferryid.UpstreamName)
+	// onLeaving is called for engines that announce their planned stop.
+	onLeaving    func(ferryid.ServiceName, ferryid.UpstreamName)
 	events       *ferryevent.Log
 	mu           sync.Mutex
-	named        map[ferryid.ServiceName]*service
-	snap         atomic.Pointer[map[ferryid.ServiceName]*service]
+	byName       map[ferryid.ServiceName]*service
+	snapshot     atomic.Pointer[map[ferryid.ServiceName]*service]
 	list         ferryplatform.Instances
 	marks        *ferrydrain.Marks
-	left         map[string]bool
+	leavingKeys  map[string]bool
 	incarnations map[string]ferryid.Incarnation
 	index        int
 	entries      int
 	self         ferryid.EntryName
-	// members are the entries that take calls.
+	// members holds the usable entries.
 	members []ferryid.EntryName
-	// unread are the engines that did not answer their last reading, by service and upstream.
-	unread map[string]unread
+	// unanswered holds the engines that did not answer their last load read, by service and upstream.
+	unanswered map[string]unansweredReads
 }
 
 func newServices(clock clockwork.Clock, engines *ferryengine.Client, events *ferryevent.Log) *services {
-	s := &services{clock: clock, engines: engines, events: events, named: map[ferryid.ServiceName]*service{}, entries: 1, unread: map[string]unread{}}
-	s.snap.Store(&map[ferryid.ServiceName]*service{})
+	s := &services{clock: clock, engines: engines, events: events, byName: map[ferryid.ServiceName]*service{}, entries: 1, unanswered: map[string]unansweredReads{}}
+	s.snapshot.Store(&map[ferryid.ServiceName]*service{})
 	return s
 }
 
 func (s *services) get(name ferryid.ServiceName) (*service, bool) {
-	sv, ok := (*s.snap.Load())[name]
+	sv, ok := (*s.snapshot.Load())[name]
 	return sv, ok
 }
 
-// all returns the services by name.
+// all returns the services ordered by name.
 func (s *services) all() []*service {
 	var out []*service
-	for _, sv := range *s.snap.Load() {
+	for _, sv := range *s.snapshot.Load() {
 		out = append(out, sv)
 	}
 	slices.SortFunc(out, func(a, b *service) int {
@@ -86,7 +86,7 @@
 	return out
 }
 
-// Document returns the document in force, with the upstreams that the instance list adds to it.
+// Document returns the document in force with the upstreams added by the instance list.
 func (s *services) Document(name ferryid.ServiceName) (*ferryservice.Document, bool) {
 	sv, ok := s.get(name)
 	if !ok {
@@ -95,11 +95,11 @@
 	return sv.doc.Load(), true
 }
 
-// setDocument puts a document to use; ctx ends the duties of a new service.
+// setDocument activates a document; ctx bounds the goroutines of a new service.
 func (s *services) setDocument(ctx context.Context, d *ferryservice.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sv, ok := s.named[d.Service]
+	sv, ok := s.byName[d.Service]
 	if !ok {
 		sv = &service{
 			name:      d.Service,
@@ -107,58 +107,59 @@
 			admission: ferryqueue.NewAdmission(s.clock),
 			rand:      ferryroute.Rand(s.clock.Now().UnixNano()),
 		}
-		s.named[d.Service] = sv
+		s.byName[d.Service] = sv
 		go sv.admission.Run(ctx, ferryqueue.ConfigOf(d))
 	}
 	sv.accepted = d
-	sv.budget.Store(ferryroute.NewBudget(d.Limits.RetryShare, retryBurst))
+	sv.budget.Store(ferryroute.NewBudget(d.Limits.RetryShare, minRetryBurst))
 	s.refresh(sv)
-	next := make(map[ferryid.ServiceName]*service, len(s.named))
-	for k, v := range s.named {
+	next := make(map[ferryid.ServiceName]*service, len(s.byName))
+	for k, v := range s.byName {
 		next[k] = v
 	}
-	s.snap.Store(&next)
+	s.snapshot.Store(&next)
 }
 
-// setInstances takes a new instance list.
+// setInstances applies a new instance list.
 func (s *services) setInstances(list ferryplatform.Instances) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list = list
-	for _, sv := range s.named {
+	for _, sv := range s.byName {
 		s.refresh(sv)
 	}
 }
 
-// setMarks takes the leaving marks and returns the upstreams, by service and name, that are new among the leaving.
+// setMarks applies the leaving marks and returns the keys of the upstreams that are newly leaving.
 func (s *services) setMarks(marks *ferrydrain.Marks) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.marks = marks
-	left := map[string]bool{}
-	var fresh []string
-	for _, sv := range s.named {
+	leaving := map[string]bool{}
+	var newlyLeaving []string
+	for _, sv := range s.byName {
 		for _, u := range sv.doc.Load().Upstreams {
 			key := upstreamKey(sv.name, u.Name)
 			if !marks.Leaving(sv.name, u.Name, s.incarnationOf(key, u.Address)) {
 				continue
 			}
-			left[key] = true
-			if !s.left[key] {
-				fresh = append(fresh, key)
+			leaving[key] = true
+			if !s.leavingKeys[key] {
+				newlyLeaving = append(newlyLeaving, key)
 			}
 		}
 	}
-	if !maps.Equal(s.left, left) {
-		s.left = left
-		for _, sv := range s.named {
+	if !maps.Equal(s.leavingKeys, leaving) {
+		s.leavingKeys = leaving
+		for _, sv := range s.byName {
 			s.refresh(sv)
 		}
 	}
-	return fresh
+	return newlyLeaving
 }
 
-// incarnationOf is the run of an upstream by its own report, or else by the instance list; the caller holds the lock.
+// incarnationOf returns an upstream's incarnation from its load report, or else from the instance list.
+// The caller holds s.mu.
 func (s *services) incarnationOf(key, address string) ferryid.Incarnation {
 	if id, ok := s.incarnations[key]; ok && id != "" {
 		return id
@@ -171,14 +172,15 @@
 	return ""
 }
 
-// setIncarnations takes the engines' incarnations, by service and upstream.
+// setIncarnations sets the engines' incarnations by service and upstream.
 func (s *services) setIncarnations(m map[string]ferryid.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnations = m
 }
 
-// setShare takes this entry's place, from 0, among the entries that share the upstreams, which all count in the same order.
+// setShare sets this entry's index, from 0, among the entries that share the upstreams, and their number.
+// All entries use the same order.
 func (s *services) setShare(index, entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,17 +188,17 @@
 		return
 	}
 	s.index, s.entries = index, entries
-	for _, sv := range s.named {
+	for _, sv := range s.byName {
 		s.refresh(sv)
 	}
 }
 
-// refresh merges the accepted document with the instance list; the caller holds the lock.
+// refresh merges the accepted document with the instance list; the caller holds s.mu.
 func (s *services) refresh(sv *service) {
 	d := *sv.accepted
-	d.Upstreams = merged(sv.accepted, s.list)
+	d.Upstreams = mergedUpstreams(sv.accepted, s.list)
 	for i, u := range d.Upstreams {
-		if s.left[upstreamKey(d.Service, u.Name)] {
+		if s.leavingKeys[upstreamKey(d.Service, u.Name)] {
 			d.Upstreams[i].Leaving = true
 		}
 	}
@@ -210,11 +212,11 @@
 	}
 }
 
-// refreshModel gives the engines to the pool; a set that covers no whole model leaves the last one in use.
+// refreshModel updates the pool's engines; a set that does not cover all layers of the model is refused.
 func (s *services) refreshModel(sv *service, d *ferryservice.Document) {
 	cfg, loads := s.planner(sv, d)
-	if md := sv.model.Load(); md != nil && !md.outdated(d, cfg) {
-		if err := md.set(cfg, loads); err != nil {
+	if md := sv.model.Load(); md != nil && !md.needsRebuild(d, cfg) {
+		if err := md.update(cfg, loads); err != nil {
 			s.events.Add("EnginesInvalid", string(sv.name), "%v", err)
 		}
 		return
@@ -227,8 +229,8 @@
 	sv.model.Store(md)
 }
 
-// merged adds the listed instances of the service that the document does not name.
-func merged(d *ferryservice.Document, list ferryplatform.Instances) ferryservice.Upstreams {
+// mergedUpstreams returns the document's upstreams and the service's other instances in the list.
+func mergedUpstreams(d *ferryservice.Document, list ferryplatform.Instances) ferryservice.Upstreams {
 	ups := slices.Clone(d.Upstreams)
 	for _, in := range list {
 		if in.Service != d.Service || in.Role == ferryplatform.RoleEntry {
@@ -245,7 +247,7 @@
 	return ups
 }
 
-// tick lets upstreams that were put aside be tried again, and tells the queues how many calls may run.
+// tick advances the timers of the routing tables, such as probes of failed upstreams, and updates queue capacities.
 func (s *services) tick(now time.Time) {
 	for _, sv := range s.all() {
 		sv.table.Tick(now)
@@ -253,8 +255,9 @@
 	}
 }
 
-// slots is how many calls may run at once; where every upstream that does not leave has failed, one for each, or one for all layers of a
-// model, so that calls find out which is back.
+// slots returns the number of calls that may run concurrently.
+// If all upstreams that are not leaving have failed, it allows one trial call per upstream, or a single one for a
+// model whose layers are all covered, so that recovered upstreams are detected.
 func (sv *service) slots() int {
 	snap := sv.table.Snapshot()
 	n := snap.Slots()
@@ -272,11 +275,11 @@
 	return n
 }
 
-// refreshModels tells the pools which engines to avoid now.
+// refreshModels updates the engines and the avoided engines of all pools.
 func (s *services) refreshModels() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, sv := range s.named {
+	for _, sv := range s.byName {
 		if d := sv.doc.Load(); d.Kind == ferryservice.KindModel {
 			s.refreshModel(sv, d)
 		}
--- a/ferryd/ferrynode/status.go
+++ b/ferryd/ferrynode/status.go
@@ -15,7 +15,7 @@
 		OpenStreams: streams, OpenCalls: calls, PlatformUp: n.platform.Up(), PlatformCalls: n.platformCalls(),
 		Peers: n.peer.Links(), Entries: n.entryStatus(),
 	}
-	for _, f := range n.inUse() {
+	for _, f := range n.activatedDocuments() {
 		s.Documents = append(s.Documents, ferryadmin.DocumentStatus{Service: f.Accepted.Service, Generation: f.Accepted.Generation, Hash: f.Hash})
 	}
 	for _, sv := range n.services.all() {
@@ -31,7 +31,7 @@
 	return map[string]int64{"Get": c.Get, "Put": c.Put, "Delete": c.Delete, "List": c.List, "Watch": c.Watch, "Instances": c.Instances}
 }
 
-// claim looks a key up for every customer of the service.
+// claim looks up an idempotency key for every customer of the service.
 func (n *Node) claim(ctx context.Context, service ferryid.ServiceName, key string) (any, error) {
 	f, ok := n.holder.Get(service)
 	if !ok {
--- a/ferryd/ferrynode/steer.go
+++ b/ferryd/ferrynode/steer.go
@@ -10,7 +10,7 @@
 	"cactusferry.dev/ferryd/ferrycaller"
 )
 
-// steer answers which entries a customer should use.
+// steer returns the entries that a customer should use.
 func (n *Node) steer(d *ferryservice.Document, cu ferryservice.Customer, id ferryid.RequestID) ferrycaller.EntriesAnswer {
 	shares := 0.0
 	for _, c := range d.Customers {
@@ -20,7 +20,7 @@
 	return ferrycaller.EntriesAnswer{Service: d.Service, Entries: a.Targets, LifetimeSeconds: int(a.Lifetime / time.Second)}
 }
 
-// otherEntries are the callers' addresses of the entries that take calls.
+// otherEntries returns the caller addresses of the other usable entries.
 func (n *Node) otherEntries() []string {
 	var out []string
 	for _, m := range n.peer.Members().List {
--- a/ferryd/ferrynode/stop.go
+++ b/ferryd/ferrynode/stop.go
@@ -12,9 +12,9 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-const leaveTimeout = 2 * time.Second
+const shutdownTimeout = 2 * time.Second
 
-// refuse returns a problem while new calls are not taken here.
+// refuse returns a problem unless the node accepts new calls.
 func (n *Node) refuse() *ferryoutcome.Problem {
 	switch n.state() {
 	case StateReady:
@@ -27,7 +27,7 @@
 	return p
 }
 
-// stop waits for a signal, stops as planned, and returns an error only if open calls were left.
+// stop waits for a signal and performs the planned stop; it returns an error if calls were still open at the limit.
 func (n *Node) stop(ctx context.Context, signals <-chan os.Signal) error {
 	stopper := &ferrydrain.Stopper{
 		Clock: n.clock,
@@ -35,11 +35,11 @@
 			Grace: time.Duration(n.cfg.Stop.Grace), Limit: time.Duration(n.cfg.Stop.Limit),
 		}),
 		Hooks: ferrydrain.Hooks{
-			Open:          n.open,
+			Open:          n.openCounts,
 			LeaveSteering: n.leaveSteering,
 			RefuseNew:     func() { n.setState(StateDraining) },
 			ReportOpen: func(o ferrydrain.Open) {
-				n.log.Warn().Int("OpenStreams", o.Streams).Int("OpenCalls", o.Calls).Msg("still open")
+				n.log.Warn().Int("OpenStreams", o.Streams).Int("OpenCalls", o.Calls).Msg("planned stop: streams or calls still open")
 			},
 			Tasks: map[ferrydrain.Task]func(context.Context) error{
 				ferrydrain.TaskFlush:    n.claims.Flush,
@@ -52,38 +52,38 @@
 	if err != nil {
 		return err
 	}
-	n.goodbye(ctx)
+	n.shutdown(ctx)
 	if left.Open != (ferrydrain.Open{}) {
-		return merry.Errorf("stop: the limit of %s passed: %s", time.Duration(n.cfg.Stop.Limit), left)
+		return merry.Errorf("planned stop exceeded its limit of %s: %s", time.Duration(n.cfg.Stop.Limit), left)
 	}
 	if len(left.Tasks) > 0 {
-		n.log.Warn().Str("Left", left.String()).Msg("stopped, with something left undone")
+		n.log.Warn().Str("Left", left.String()).Msg("stopped with unfinished tasks")
 		return nil
 	}
 	n.log.Info().Msg("stopped")
 	return nil
 }
 
-func (n *Node) open() ferrydrain.Open {
+func (n *Node) openCounts() ferrydrain.Open {
 	streams, calls := n.callers.Open()
 	return ferrydrain.Open{Streams: streams, Calls: calls}
 }
 
-// leaveSteering tells the other entries to send no new callers here.
+// leaveSteering publishes the draining state, so that other entries steer no new callers to this one.
 func (n *Node) leaveSteering() {
-	n.log.Info().Msg("planned stop")
+	n.log.Info().Msg("planned stop started")
 	n.stopping.Store(true)
 	n.peer.SetState(ferrypeer.Draining, ferrypeer.Load{})
 }
 
-// goodbye closes the callers' listener once every answer has left, also those of the last moment, and leaves the peers.
-func (n *Node) goodbye(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+// shutdown closes the callers' listener after all answers have been written and announces the stop to the peers.
+func (n *Node) shutdown(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	if err := n.callersHTTP.Shutdown(ctx); err != nil {
-		n.log.Warn().Err(err).Msg("callers' connections were not closed in order")
+		n.log.Warn().Err(err).Msg("callers' listener not shut down gracefully")
 	}
 	if err := n.peer.Leave(ctx); err != nil {
-		n.log.Warn().Err(err).Msg("peers were not told")
+		n.log.Warn().Err(err).Msg("planned stop not announced to peers")
 	}
 }
--- a/ferryd/ferrynode/subset.go
+++ b/ferryd/ferrynode/subset.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	// wideFor is how long an entry works all engines after its subset could not take a job.
-	wideFor = 10 * time.Second
-	// lostAfter is how many readings in a row an engine leaves unanswered until the subset does without it, for lostFor.
-	lostAfter = 3
-	lostFor   = 30 * time.Second
+	// widenDuration is how long an entry uses all engines after no engine of its subset could take a job.
+	widenDuration = 10 * time.Second
+	// lostAfter is the number of consecutive unanswered load reads after which an engine is excluded for lostDuration.
+	lostAfter    = 3
+	lostDuration = 30 * time.Second
 )
 
-// unread is how often in a row, and when last, an engine did not answer a reading.
-type unread struct {
-	times int
-	at    time.Time
+// unansweredReads counts the consecutive unanswered load reads of an engine.
+type unansweredReads struct {
+	count  int
+	lastAt time.Time
 }
 
-// subset is the part of a service's engines that this entry works.
+// subset is the part of a service's engines that this entry uses.
 type subset struct {
-	// whole says that every entry works all engines, and the entries read them for each other.
-	whole   atomic.Bool
-	engines atomic.Pointer[ferryroute.Candidates]
-	// The rest belongs to the registry's lock.
-	cfg        ferrysubset.Config
-	chooser    *ferrysubset.Chooser
-	candidates []ferrysubset.Candidate
-	chosen     []int
-	wideUntil  time.Time
+	// allEngines is set if every entry uses all engines; the entries then share the load reads.
+	allEngines atomic.Bool
+	engines    atomic.Pointer[ferryroute.Candidates]
+	// The fields below are guarded by services.mu.
+	cfg          ferrysubset.Config
+	chooser      *ferrysubset.Chooser
+	candidates   []ferrysubset.Candidate
+	chosen       []int
+	widenedUntil time.Time
 }
 
-// own returns the engines that this entry reads for itself.
-func (p *subset) own() ferryroute.Candidates {
-	if cs := p.engines.Load(); cs != nil && !p.whole.Load() {
+// ownReads returns the engines whose load this entry reads itself.
+func (p *subset) ownReads() ferryroute.Candidates {
+	if cs := p.engines.Load(); cs != nil && !p.allEngines.Load() {
 		return *cs
 	}
 	return nil
 }
 
-// subsetPicker turns to all engines where those of the subset can't take a job.
+// subsetPicker falls back to all engines if no engine of the subset can take a job.
 type subsetPicker struct {
 	*ferrypipeline.Pool
 	widen func()
 }
 
-// Pick chooses within the subset first, with engines under suspicion only where the whole list has no others.
+// Pick selects unsuspected engines of the subset, then of all engines, and suspected engines as the last resort.
 func (p *subsetPicker) Pick(job *ferrypipeline.Job, exclude []ferryid.UpstreamName) (ferrypipeline.Plan, error) {
 	plan, err := p.PickUnsuspected(job, exclude)
 	if err == nil {
@@ -69,17 +69,18 @@
 	return p.Pool.Pick(job, exclude)
 }
 
-// slots is this entry's part of an engine's slots, at least one; an engine of a subset is shared with the few entries that work it.
+// slots returns this entry's share of an engine's slots, at least one.
+// The slots of an engine in a subset are shared only by the entries that have it in their subset.
 func (p *subset) slots(c ferryroute.Candidate, entries int) int {
-	if p.whole.Load() {
+	if p.allEngines.Load() {
 		return max(1, c.Credit)
 	}
 	slots := float64(cmp.Or(c.Slots, ferryservice.DefaultSlots))
-	return max(1, int(math.Ceil(slots/p.cfg.Copies(entries, p.working()))))
+	return max(1, int(math.Ceil(slots/p.cfg.Copies(entries, p.activeCandidates()))))
 }
 
-// usable lists the entries that take calls.
-func usable(ms ferrypeer.Members) []ferryid.EntryName {
+// usableEntries returns the names of the entries that accept calls.
+func usableEntries(ms ferrypeer.Members) []ferryid.EntryName {
 	out := make([]ferryid.EntryName, 0, len(ms.List))
 	for _, m := range ms.List {
 		if m.Usable() {
@@ -89,7 +90,7 @@
 	return out
 }
 
-// setMembers takes the entries that share the engines.
+// setMembers sets the entries that share the engines.
 func (s *services) setMembers(members []ferryid.EntryName) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,62 +98,62 @@
 		return
 	}
 	s.members = members
-	for _, sv := range s.named {
+	for _, sv := range s.byName {
 		if d := sv.doc.Load(); d.Kind == ferryservice.KindModel {
 			s.refreshModel(sv, d)
 		}
 	}
 }
 
-// setRead notes whether an engine answered a reading.
-func (s *services) setRead(key string, ok bool) {
+// recordRead records whether an engine answered a load read.
+func (s *services) recordRead(key string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	times := s.unread[key].times + 1
-	maps.DeleteFunc(s.unread, func(k string, u unread) bool { return k == key || !now.Before(u.at.Add(lostFor)) })
+	times := s.unanswered[key].count + 1
+	maps.DeleteFunc(s.unanswered, func(k string, u unansweredReads) bool { return k == key || !now.Before(u.lastAt.Add(lostDuration)) })
 	if !ok {
-		s.unread[key] = unread{times: times, at: now}
+		s.unanswered[key] = unansweredReads{count: times, lastAt: now}
 	}
 }
 
-// widen lets the entry work all engines of a service for a while.
+// widen makes the entry use all engines of a service for widenDuration.
 func (s *services) widen(sv *service) {
-	if sv.part.whole.Load() {
+	if sv.subset.allEngines.Load() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if now.Before(sv.part.wideUntil) {
+	if now.Before(sv.subset.widenedUntil) {
 		return
 	}
-	sv.part.wideUntil = now.Add(wideFor)
-	s.events.Add("SubsetWidened", string(sv.name), "no engine of the subset takes a job, all are tried for %s", wideFor)
+	sv.subset.widenedUntil = now.Add(widenDuration)
+	s.events.Add("SubsetWidened", string(sv.name), "no engine of the subset takes a job, all are tried for %s", widenDuration)
 	s.refreshModel(sv, sv.doc.Load())
 }
 
-// worked lists the engines that this entry gives work to; the caller holds the lock.
-func (s *services) worked(sv *service, d *ferryservice.Document) ferryroute.Candidates {
+// assignedEngines returns the engines that this entry sends work to; the caller holds s.mu.
+func (s *services) assignedEngines(sv *service, d *ferryservice.Document) ferryroute.Candidates {
 	all := sv.table.Snapshot().All()
-	p := &sv.part
-	p.describe(s, d, all)
-	p.whole.Store(d.Policy.Route == ferryservice.RouteRandom || p.cfg.Whole(len(s.members), p.working()))
-	if p.whole.Load() {
+	p := &sv.subset
+	p.setCandidates(s, d, all)
+	p.allEngines.Store(d.Policy.Route == ferryservice.RouteRandom || p.cfg.Whole(len(s.members), p.activeCandidates()))
+	if p.allEngines.Load() {
 		p.engines.Store(&all)
 		return all
 	}
 	p.chosen = p.chooser.Choose(s.self, s.members, p.candidates, p.chosen[:0])
-	part := p.pick(d, all)
+	part := p.chosenEngines(d, all)
 	p.engines.Store(&part)
-	if s.clock.Now().Before(p.wideUntil) {
+	if s.clock.Now().Before(p.widenedUntil) {
 		return all
 	}
 	return part
 }
 
-// describe fills in the candidates: the engines, or the fixed pipelines of the document.
-func (p *subset) describe(s *services, d *ferryservice.Document, all ferryroute.Candidates) {
+// setCandidates sets the candidates of the subset: the engines, or the fixed pipelines of the document.
+func (p *subset) setCandidates(s *services, d *ferryservice.Document, all ferryroute.Candidates) {
 	cfg := ferrysubset.Default
 	if n := len(d.Pipelines); n > 0 {
 		stages := 0
@@ -166,18 +167,18 @@
 	}
 	p.candidates = p.candidates[:0]
 	if len(d.Pipelines) > 0 {
-		p.describePipelines(s, d, all)
+		p.setPipelineCandidates(s, d, all)
 		return
 	}
 	for _, c := range all {
 		p.candidates = append(p.candidates, ferrysubset.Candidate{
 			Name: c.Name, Domain: c.FailureDomain, Layers: c.Layers,
-			Out: c.State == ferryroute.StateLeaving, Lost: s.lost(d.Service, c.Name),
+			Out: c.State == ferryroute.StateLeaving, Lost: s.isLost(d.Service, c.Name),
 		})
 	}
 }
 
-func (p *subset) describePipelines(s *services, d *ferryservice.Document, all ferryroute.Candidates) {
+func (p *subset) setPipelineCandidates(s *services, d *ferryservice.Document, all ferryroute.Candidates) {
 	named := make(map[ferryid.UpstreamName]ferryroute.Candidate, len(all))
 	for _, c := range all {
 		named[c.Name] = c
@@ -190,22 +191,22 @@
 				c.Domain = e.FailureDomain
 			}
 			c.Out = c.Out || !ok || e.State == ferryroute.StateLeaving
-			c.Lost = c.Lost || s.lost(d.Service, stage)
+			c.Lost = c.Lost || s.isLost(d.Service, stage)
 		}
 		p.candidates = append(p.candidates, c)
 	}
 }
 
-func (s *services) lost(service ferryid.ServiceName, name ferryid.UpstreamName) bool {
-	if len(s.unread) == 0 {
+func (s *services) isLost(service ferryid.ServiceName, name ferryid.UpstreamName) bool {
+	if len(s.unanswered) == 0 {
 		return false
 	}
-	u := s.unread[upstreamKey(service, name)]
-	return u.times >= lostAfter && s.clock.Now().Before(u.at.Add(lostFor))
+	u := s.unanswered[upstreamKey(service, name)]
+	return u.count >= lostAfter && s.clock.Now().Before(u.lastAt.Add(lostDuration))
 }
 
-// working counts the candidates that get work.
-func (p *subset) working() int {
+// activeCandidates returns the number of candidates that are not out.
+func (p *subset) activeCandidates() int {
 	n := 0
 	for i := range p.candidates {
 		if !p.candidates[i].Out {
@@ -215,8 +216,8 @@
 	return n
 }
 
-// pick lists the engines of the chosen candidates in the order of the table.
-func (p *subset) pick(d *ferryservice.Document, all ferryroute.Candidates) ferryroute.Candidates {
+// chosenEngines returns the engines of the chosen candidates in the order of the routing table.
+func (p *subset) chosenEngines(d *ferryservice.Document, all ferryroute.Candidates) ferryroute.Candidates {
 	if len(d.Pipelines) == 0 {
 		part := make(ferryroute.Candidates, 0, len(p.chosen))
 		for _, i := range p.chosen {
@@ -233,15 +234,15 @@
 	return slices.DeleteFunc(slices.Clone(all), func(c ferryroute.Candidate) bool { return !stages[c.Name] })
 }
 
-// tellSubset sets the gauges of a service's engines and of how old what is known of them is.
-func (n *Node) tellSubset(scope tally.Scope, sv *service) {
-	cs := sv.part.engines.Load()
+// updateSubsetMetrics sets the gauges for a service's assigned engines and the age of their load reports.
+func (n *Node) updateSubsetMetrics(scope tally.Scope, sv *service) {
+	cs := sv.subset.engines.Load()
 	if cs == nil {
 		return
 	}
-	reports := n.loads
-	if !sv.part.whole.Load() {
-		reports = n.own
+	reports := n.sharedLoads
+	if !sv.subset.allEngines.Load() {
+		reports = n.subsetLoads
 	}
 	now, sum, known := n.clock.Now(), time.Duration(0), 0
 	for _, c := range *cs {
--- a/ferryd/ferrynode/subset_test.go
+++ b/ferryd/ferrynode/subset_test.go
@@ -30,14 +30,14 @@
 
 const subsetParts = 4
 
-// subsetBed is a node without an overlay among 100 entries.
-type subsetBed struct {
+// subsetNode is a node without an overlay in a fleet of 100 entries.
+type subsetNode struct {
 	node  *Node
 	clock *clockwork.FakeClock
 	sv    *service
 }
 
-// engineText describes so many engines in parts; their addresses differ in the host only.
+// engineText returns a document with the given number of engines, whose addresses differ only in the host.
 func engineText(engines int, port string) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "Service = \"herd-llm\"\nTeam = \"herd\"\nKind = \"Model\"\n[Model]\nName = \"m\"\nVersion = \"1\"\nLayers = %d\n", subsetParts)
@@ -49,15 +49,15 @@
 	return s.String()
 }
 
-func newSubsetBed(t *testing.T, text string) *subsetBed {
+func newSubsetNode(t *testing.T, text string) *subsetNode {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	events := ferryevent.NewLog(clock, "test", 10)
 	engines := ferryengine.New(ferryengine.ClientConfig{Clock: clock})
-	b := &subsetBed{clock: clock, node: &Node{
+	b := &subsetNode{clock: clock, node: &Node{
 		clock: clock, log: zerolog.Nop(), engines: engines, services: newServices(clock, engines, events), marks: ferrydrain.NewMarks(clock),
-		loads: ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{Size: maxLoads, Clock: clock, Events: events}),
-		own:   ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{Size: maxLoads, Clock: clock, Events: events}),
+		sharedLoads: ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{Size: maxLoads, Clock: clock, Events: events}),
+		subsetLoads: ferrypeer.NewLatest[engineLoad](ferrypeer.LatestConfig{Size: maxLoads, Clock: clock, Events: events}),
 	}}
 	var members []ferryid.EntryName
 	for i := range 100 {
@@ -72,11 +72,11 @@
 	return b
 }
 
-func (b *subsetBed) candidates() ferrypipeline.Candidates {
+func (b *subsetNode) candidates() ferrypipeline.Candidates {
 	return b.sv.model.Load().cfg.Candidates
 }
 
-func (b *subsetBed) pick(t *testing.T, exclude ...ferryid.UpstreamName) ferrypipeline.Plan {
+func (b *subsetNode) pick(t *testing.T, exclude ...ferryid.UpstreamName) ferrypipeline.Plan {
 	t.Helper()
 	plan, err := b.sv.model.Load().runner.Picker.Pick(&ferrypipeline.Job{MaxTokens: 10}, exclude)
 	assert.NilError(t, err)
@@ -91,7 +91,7 @@
 	return out
 }
 
-func ofPart(cs ferrypipeline.Candidates, part ferryid.Layer) ferrypipeline.Candidates {
+func withFirstLayer(cs ferrypipeline.Candidates, part ferryid.Layer) ferrypipeline.Candidates {
 	var out ferrypipeline.Candidates
 	for _, c := range cs {
 		if c.Layers.From == part {
@@ -101,109 +101,111 @@
 	return out
 }
 
-func TestSmallFleetIsWorkedWhole(t *testing.T) {
-	b := newSubsetBed(t, engineText(24, "1"))
+func TestSmallFleetUsesAllEngines(t *testing.T) {
+	b := newSubsetNode(t, engineText(24, "1"))
 	assert.Equal(t, len(b.candidates()), 24)
-	assert.Equal(t, len(b.sv.part.own()), 0, "the entries read for each other")
+	assert.Equal(t, len(b.sv.subset.ownReads()), 0, "entries must share the reads of a small fleet")
 }
 
-// The entries that work an engine share its slots, not all entries.
-func TestSlotsOfASubsetAreSharedByFew(t *testing.T) {
+// TestSlotsAreSharedWithinSubset checks that only the entries that use an engine share its slots.
+func TestSlotsAreSharedWithinSubset(t *testing.T) {
 	const engines, slots, entries = 200, 8, 100
-	b := newSubsetBed(t, engineText(engines, "1"))
+	b := newSubsetNode(t, engineText(engines, "1"))
 	sum := 0
 	for _, l := range b.sv.model.Load().pool.Loads() {
 		assert.Assert(t, l.Slots > 0 && l.Slots < slots, "%d slots", l.Slots)
 		sum += l.Slots
 	}
-	assert.Assert(t, sum >= engines*slots/entries && sum <= 2*engines*slots/entries, "%d slots of the subset", sum)
+	assert.Assert(t, sum >= engines*slots/entries && sum <= 2*engines*slots/entries, "%d slots in the subset", sum)
 }
 
-// Where no engine of the subset can take a job the entry takes others, and comes back to its subset later.
+// TestSubsetFallsBackToAllEngines checks that an entry uses all engines for widenDuration if no engine of its subset
+// can take a job, and then returns to its subset.
 func TestSubsetFallsBackToAllEngines(t *testing.T) {
-	b := newSubsetBed(t, engineText(200, "1"))
+	b := newSubsetNode(t, engineText(200, "1"))
 	before := b.candidates()
 	assert.Assert(t, len(before) >= 12 && len(before) < 60, "%d engines", len(before))
 	mine := names(before)
 	plan := b.pick(t)
 	assert.Equal(t, len(plan.Stages), subsetParts)
 
-	first := names(ofPart(before, 0))
+	first := names(withFirstLayer(before, 0))
 	plan = b.pick(t, first...)
 	for _, name := range first {
 		assert.Assert(t, plan.Stages[0].Name != name)
 	}
 	assert.Equal(t, len(b.candidates()), 200)
-	b.clock.Advance(wideFor)
+	b.clock.Advance(widenDuration)
 	b.node.services.refreshModels()
 	assert.DeepEqual(t, names(b.candidates()), mine)
 }
 
-// Engines that other jobs failed on are not tried again while the whole list has others.
-func TestSuspectsOfTheSubsetAreAvoided(t *testing.T) {
-	b := newSubsetBed(t, engineText(200, "1"))
-	first := names(ofPart(b.candidates(), 0))
+// TestSuspectedEnginesAreAvoided checks that engines on which other jobs failed are not used while others are left.
+func TestSuspectedEnginesAreAvoided(t *testing.T) {
+	b := newSubsetNode(t, engineText(200, "1"))
+	first := names(withFirstLayer(b.candidates(), 0))
 	var plan ferrypipeline.Plan
 	for _, name := range first {
 		plan = b.pick(t, name)
 	}
 	for _, name := range first {
-		assert.Assert(t, plan.Stages[0].Name != name, "%s failed a moment ago", name)
+		assert.Assert(t, plan.Stages[0].Name != name, "%s is suspected", name)
 	}
 }
 
 func TestLeavingAndLostEnginesAreReplaced(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		do   func(b *subsetBed, engine ferryid.UpstreamName)
+		name   string
+		remove func(b *subsetNode, engine ferryid.UpstreamName)
 	}{
-		{"leaving", func(b *subsetBed, engine ferryid.UpstreamName) {
+		{"leaving", func(b *subsetNode, engine ferryid.UpstreamName) {
 			b.node.marks.Mark("herd-llm", engine, "", ferrydrain.SourceOperator)
 			b.node.services.setMarks(b.node.marks)
 		}},
-		{"lost", func(b *subsetBed, engine ferryid.UpstreamName) {
+		{"lost", func(b *subsetNode, engine ferryid.UpstreamName) {
 			for range lostAfter {
-				b.node.services.setRead(upstreamKey("herd-llm", engine), false)
+				b.node.services.recordRead(upstreamKey("herd-llm", engine), false)
 			}
 			b.node.services.refreshModels()
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newSubsetBed(t, engineText(200, "1"))
-			first := names(ofPart(b.candidates(), 0))
+			b := newSubsetNode(t, engineText(200, "1"))
+			first := names(withFirstLayer(b.candidates(), 0))
 			gone := map[ferryid.UpstreamName]bool{}
 			for _, name := range first {
-				tt.do(b, name)
+				tt.remove(b, name)
 				gone[name] = true
 			}
 			left := 0
-			for _, c := range ofPart(b.candidates(), 0) {
+			for _, c := range withFirstLayer(b.candidates(), 0) {
 				if !gone[c.Name] {
 					left++
 				}
 			}
-			assert.Assert(t, left >= 3, "%d engines hold the first layer", left)
+			assert.Assert(t, left >= 3, "%d engines have the first layer", left)
 		})
 	}
 }
 
-func TestFixedPipelinesStayWhole(t *testing.T) {
+func TestSubsetKeepsFixedPipelinesComplete(t *testing.T) {
 	text := engineText(200, "1")
 	for i := range 50 {
 		text += fmt.Sprintf("[[Pipelines]]\nName = \"p-%d\"\nStages = [\"engine-%d\", \"engine-%d\", \"engine-%d\", \"engine-%d\"]\n", i, 4*i, 4*i+1, 4*i+2, 4*i+3)
 	}
-	b := newSubsetBed(t, text)
+	b := newSubsetNode(t, text)
 	n := len(b.candidates())
 	assert.Assert(t, n >= 12 && n < 100 && n%subsetParts == 0, "%d engines", n)
 	assert.Equal(t, len(b.pick(t).Stages), subsetParts)
 }
 
-// An entry reads its own engines in turn, so many a second, fewer while it has no calls, and chooses by what they say at once.
+// TestEntryReadsItsSubset checks that an entry reads the engines of its subset in rotation at the configured rates,
+// busy and idle, and applies the reports to its pool at once.
 func TestEntryReadsItsSubset(t *testing.T) {
 	listener, err := net.Listen("tcp", ":0")
 	assert.NilError(t, err)
 	var calls atomic.Int64
-	var b *subsetBed
+	var b *subsetNode
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		_ = json.NewEncoder(w).Encode(ferryengine.Load{Name: "e", State: ferryengine.StateLive, OutstandingTokens: 1000, At: b.clock.Now(), Incarnation: "first"})
@@ -212,12 +214,12 @@
 	s.Listener = listener
 	_, port, err := net.SplitHostPort(listener.Addr().String())
 	assert.NilError(t, err)
-	b = newSubsetBed(t, engineText(200, port))
+	b = newSubsetNode(t, engineText(200, port))
 	s.Start()
 	t.Cleanup(s.Close)
 	read := func(want int) {
 		t.Helper()
-		b.node.readOwn(context.Background())
+		b.node.readSubset(context.Background())
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			known := 0
 			for _, l := range b.sv.model.Load().pool.Loads() {
@@ -226,7 +228,7 @@
 				}
 			}
 			if known < want {
-				return poll.Continue("%d of %d engines are known", known, want)
+				return poll.Continue("%d of %d engines have a load report", known, want)
 			}
 			return poll.Success()
 		}, poll.WithTimeout(testDeadline))
@@ -238,8 +240,8 @@
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		b.clock.Advance(100 * time.Millisecond)
-		if calls, _ := b.node.work(); calls == 0 {
-			return poll.Continue("the queue has not shown the call yet")
+		if calls, _ := b.node.callsAndSlots(); calls == 0 {
+			return poll.Continue("the call is not in the queue's snapshot yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(testDeadline))
@@ -248,7 +250,7 @@
 	for want := idle + ownReadsPerSecond; want < n; want += ownReadsPerSecond {
 		read(min(n, want+ownReadsPerSecond))
 	}
-	assert.Equal(t, len(b.node.loads.All()), 0, "nothing is passed on")
-	b.node.takeLoads()
+	assert.Equal(t, len(b.node.sharedLoads.All()), 0, "reports of the subset must not be replicated")
+	b.node.applyLoads()
 	assert.Equal(t, b.node.services.incarnations["herd-llm/"+string(b.candidates()[0].Name)], ferryid.Incarnation("first"))
 }
