--- a/ferry/ferryorder/core.go
+++ b/ferry/ferryorder/core.go
@@ -6,46 +6,46 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// orderPatience is how long a given order may take to show in the engine's report before it is given again.
-const orderPatience = 30 * time.Second
+// orderTimeout is how long an order may take to show in the engine's report before it is sent again.
+const orderTimeout = 30 * time.Second
 
-// runner is what the core knows of one engine.
+// runner is the state of one engine as known to the core.
 type runner struct {
-	wanted  Runner
-	report  Report
-	read    bool // a report came since this fencing number began
-	pending bool // an order is outstanding
-	sentAt  time.Time
-	sent    Target
-	group   int
-	turn    turn // of the last order or believed report
-	due     time.Time
-	wait    time.Duration
+	wanted   Runner
+	report   Report
+	read     bool // a report was received under the current fencing number
+	pending  bool // an order is outstanding
+	sentAt   time.Time
+	sent     Target
+	group    int
+	turn     turn // of the last order or accepted report
+	nextRead time.Time
+	interval time.Duration
 }
 
-// Core decides which orders to give, from the wanted state and what the engines report.
+// Core decides which orders to send, from the wanted state and the engines' reports; it performs no I/O.
 type Core struct {
-	wanted  Wanted
-	fence   ferryid.Fence
-	runners map[ferryid.UpstreamName]*runner
-	bucket  bucket
-	pace    Pace     // where the wanted state has none
-	sums    []uint64 // of the groups, nil until they are needed
-	turn    turn
+	wanted    Wanted
+	fence     ferryid.Fence
+	runners   map[ferryid.UpstreamName]*runner
+	bucket    bucket
+	pace      Pace     // used if the wanted state has none
+	checksums []uint64 // checksums of the groups, computed on demand
+	turn      turn
 }
 
-// NewCore returns a core that gives no orders until it has a wanted state, a fencing number and reports.
+// NewCore returns a core; it needs a wanted state, a fencing number and reports before it sends orders.
 func NewCore(p Pace) *Core {
 	return &Core{runners: map[ferryid.UpstreamName]*runner{}, bucket: bucket{pace: p}, pace: p}
 }
 
-// SetWanted takes the wanted state of a newer document; an older one changes nothing.
+// SetWanted sets the wanted state; the state of an older generation is ignored.
 func (c *Core) SetWanted(w Wanted) {
 	if w.Generation < c.wanted.Generation {
 		return
 	}
 	c.wanted = w
-	c.sums = nil
+	c.checksums = nil
 	c.bucket.pace = c.pace
 	if w.Pace.LayersPerSecond > 0 {
 		c.bucket.pace = w.Pace
@@ -63,7 +63,7 @@
 	}
 }
 
-// SetFence begins a tenure: whatever was read or sent under another number is not believed any more.
+// SetFence starts a tenure; reports and orders under another fencing number are discarded.
 func (c *Core) SetFence(f ferryid.Fence) {
 	if f == c.fence {
 		return
@@ -74,12 +74,12 @@
 		r.read = false
 		r.pending = false
 		r.turn = c.turn
-		r.due = time.Time{}
-		r.wait = 0
+		r.nextRead = time.Time{}
+		r.interval = 0
 	}
 }
 
-// Reported takes what an engine says of itself; what an order asked for has to show before the next is given.
+// Reported records an engine's report. A pending order must show in the report before the next one is sent.
 func (c *Core) Reported(name ferryid.UpstreamName, rep Report, now time.Time) {
 	r, ok := c.runners[name]
 	if !ok {
@@ -87,14 +87,14 @@
 	}
 	r.report = rep
 	r.read = true
-	if r.pending && (rep.Target == r.sent && rep.Ready || now.Sub(r.sentAt) >= orderPatience) {
+	if r.pending && (rep.Target == r.sent && rep.Ready || now.Sub(r.sentAt) >= orderTimeout) {
 		r.pending = false
 	}
 	c.schedule(r, now)
 }
 
-// Refused takes an order that certainly had no effect; the engine is read again before the next.
-func (c *Core) Refused(name ferryid.UpstreamName) {
+// OrderRefused records that an order had no effect; the engine is read again before the next order.
+func (c *Core) OrderRefused(name ferryid.UpstreamName) {
 	if r, ok := c.runners[name]; ok {
 		r.read = false
 		r.pending = false
@@ -102,36 +102,36 @@
 	}
 }
 
-// Unreadable notes that an engine's report could not be read; it is tried again less and less often.
-func (c *Core) Unreadable(name ferryid.UpstreamName, now time.Time) {
+// ReadFailed records that an engine's report could not be read; reads are repeated with exponential backoff.
+func (c *Core) ReadFailed(name ferryid.UpstreamName, now time.Time) {
 	if r, ok := c.runners[name]; ok {
 		r.read = false
-		r.wait = min(max(2*r.wait, defaultInterval), c.quiet())
-		r.due = now.Add(r.wait)
+		r.interval = min(max(2*r.interval, defaultInterval), c.idleInterval())
+		r.nextRead = now.Add(r.interval)
 	}
 }
 
-// Send is one order to give now.
+// Send is an order to be sent.
 type Send struct {
 	Name    ferryid.UpstreamName
 	Address string
 	Order   Order
 }
 
-// Blocked says why an engine that is not as wanted gets no order now.
+// Blocked is an engine that differs from its wanted state but gets no order, with the reason.
 type Blocked struct {
 	Name   ferryid.UpstreamName
 	Reason Reason
 }
 
-// Reason is why an order waits.
+// Reason is the reason for which an order is blocked.
 type Reason string
 
-// The reasons for which an order waits.
+// The reasons for which an order is blocked.
 const (
 	// ReasonLastCopy means that the engine is the only one in service for some of its layers.
 	ReasonLastCopy Reason = "LastCopy"
-	// ReasonPace means that the weight store's rate is used up.
+	// ReasonPace means that the load rate limit of the weight store is exhausted.
 	ReasonPace Reason = "Pace"
 	// ReasonUnread means that the engine has not reported under this fencing number.
 	ReasonUnread Reason = "Unread"
@@ -139,48 +139,48 @@
 	ReasonPending Reason = "Pending"
 )
 
-// Next returns the orders to give now and what waits; the caller checks its lease before it sends each.
+// Next returns the orders to send now and the blocked engines; the caller must check its lease before each send.
 func (c *Core) Next(now time.Time) ([]Send, []Blocked) {
 	var out []Send
-	var waits []Blocked
+	var blocked []Blocked
 	if c.fence == 0 {
 		return nil, nil
 	}
-	cover := c.cover()
+	cover := c.coverage()
 	for _, w := range c.wanted.Runners {
 		r := c.runners[w.Name]
 		if r.read && !r.pending && r.report.Target == w.Target {
 			continue
 		}
-		if why := c.waits(r, cover, now); why != "" {
-			waits = append(waits, Blocked{w.Name, why})
+		if reason := c.blockReason(r, cover, now); reason != "" {
+			blocked = append(blocked, Blocked{w.Name, reason})
 			continue
 		}
 		cover.remove(r)
-		c.ordered(r, now)
+		c.recordOrder(r, now)
 		o := Order{Fence: c.fence, Service: c.wanted.Service, Target: w.Target}
 		out = append(out, Send{w.Name, w.Address, o})
 	}
-	return out, waits
+	return out, blocked
 }
 
-// ordered notes that the engine is given an order, after which no earlier reading counts.
-func (c *Core) ordered(r *runner, now time.Time) {
+// recordOrder records that an order is sent to the engine; reads started earlier are ignored from then on.
+func (c *Core) recordOrder(r *runner, now time.Time) {
 	r.pending = true
 	r.sentAt = now
 	r.sent = r.wanted.Target
 	r.turn = c.turn
-	r.wait = quickInterval
-	r.due = now.Add(r.wait)
+	r.interval = minInterval
+	r.nextRead = now.Add(r.interval)
 }
 
-func (c *Core) waits(r *runner, cover *coverage, now time.Time) Reason {
+func (c *Core) blockReason(r *runner, cover *coverage, now time.Time) Reason {
 	switch {
 	case r.pending:
 		return ReasonPending
 	case !r.read:
 		return ReasonUnread
-	case !cover.spare(r):
+	case !cover.canLeave(r):
 		return ReasonLastCopy
 	}
 	to := r.wanted.Target
--- a/ferry/ferryorder/core_rapid_test.go
+++ b/ferry/ferryorder/core_rapid_test.go
@@ -16,7 +16,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// engine is a stand-in that loads in two steps and may check fencing numbers.
+// engine is a fake engine that loads in two steps and optionally checks fencing numbers.
 type engine struct {
 	checks  bool
 	report  Report
@@ -34,20 +34,20 @@
 
 var halves = []ferryid.LayerRange{{From: 0, To: 2}, {From: 2, To: 4}}
 
-// nameOf is made once for each engine, since the histories ask for it in every step.
+// nameOf returns a preallocated name, because the histories use it in every step.
 func nameOf(i int) ferryid.UpstreamName { return engineNames[i] }
 
 var engineNames = []ferryid.UpstreamName{"e0", "e1", "e2", "e3", "e4", "e5"}
 
-// wanteds keeps what wantedAt made.
-var wanteds sync.Map
+// wantedCache caches the results of newWanted by generation.
+var wantedCache sync.Map
 
 func wantedAt(g int) Wanted {
-	kept, ok := wanteds.Load(g)
+	cached, ok := wantedCache.Load(g)
 	if !ok {
-		kept, _ = wanteds.LoadOrStore(g, newWanted(g))
+		cached, _ = wantedCache.LoadOrStore(g, newWanted(g))
 	}
-	w := kept.(Wanted)
+	w := cached.(Wanted)
 	w.Runners = slices.Clone(w.Runners)
 	return w
 }
@@ -61,20 +61,20 @@
 	return w
 }
 
-// orderWorld has two entries that give orders to six engines.
-type orderWorld struct {
-	now     time.Time
-	engines []*engine
-	cores   []*Core
-	holder  int
-	fence   ferryid.Fence
-	flying  []Send
-	from    []int
-	g       int
+// orderModel simulates two entries that send orders to six engines.
+type orderModel struct {
+	now        time.Time
+	engines    []*engine
+	cores      []*Core
+	holder     int
+	fence      ferryid.Fence
+	inFlight   []Send
+	senders    []int
+	generation int
 }
 
-func newOrderWorld(checks func(int) bool) *orderWorld {
-	w := &orderWorld{now: time.Unix(1_800_000_000, 0), fence: 1, g: 1}
+func newOrderModel(checks func(int) bool) *orderModel {
+	w := &orderModel{now: time.Unix(1_800_000_000, 0), fence: 1, generation: 1}
 	for i, r := range wantedAt(1).Runners {
 		w.engines = append(w.engines, &engine{checks: checks(i), report: Report{Target: r.Target, Ready: true}})
 	}
@@ -86,97 +86,97 @@
 	return w
 }
 
-func (w *orderWorld) read(h int) {
+func (w *orderModel) read(h int) {
 	for i, e := range w.engines {
 		w.cores[h].Reported(nameOf(i), e.report, w.now)
 	}
 }
 
-func (w *orderWorld) decide(h int) {
+func (w *orderModel) decide(h int) {
 	if h == w.holder {
 		w.cores[h].SetFence(w.fence)
 	}
 	sends, _ := w.cores[h].Next(w.now)
 	for _, s := range sends {
-		w.flying = append(w.flying, s)
-		w.from = append(w.from, h)
+		w.inFlight = append(w.inFlight, s)
+		w.senders = append(w.senders, h)
 	}
 }
 
-// land delivers one order, however late.
-func (w *orderWorld) land(i int) {
-	s, h := w.flying[i], w.from[i]
-	w.flying = append(w.flying[:i:i], w.flying[i+1:]...)
-	w.from = append(w.from[:i:i], w.from[i+1:]...)
+// deliver delivers one of the orders in flight.
+func (w *orderModel) deliver(i int) {
+	s, h := w.inFlight[i], w.senders[i]
+	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
+	w.senders = append(w.senders[:i:i], w.senders[i+1:]...)
 	for k, r := range wantedAt(1).Runners {
 		if r.Name == s.Name && w.engines[k].order(s.Order) != nil {
-			w.cores[h].Refused(s.Name)
+			w.cores[h].OrderRefused(s.Name)
 		}
 	}
 }
 
-func (w *orderWorld) load() {
+func (w *orderModel) load() {
 	for _, e := range w.engines {
 		e.report.Ready = true
 	}
 }
 
-// serving reports whether some whole pipeline is in service.
-func (w *orderWorld) serving() bool {
+// serving reports whether a complete pipeline is in service.
+func (w *orderModel) serving() bool {
 	c := NewCore(Pace{})
-	c.SetWanted(wantedAt(w.g))
+	c.SetWanted(wantedAt(w.generation))
 	for i, e := range w.engines {
 		c.Reported(nameOf(i), e.report, w.now)
 	}
-	return c.anyWhole(nil)
+	return c.anyComplete(nil)
 }
 
-// settle runs the holder's rounds without faults and returns how long it took until all is as wanted.
-func (w *orderWorld) settle(rt *rapid.T) {
-	for len(w.flying) > 0 {
-		w.land(0)
+// settle runs the holder's rounds without faults and fails the test unless all engines reach the wanted state.
+func (w *orderModel) settle(rt *rapid.T) {
+	for len(w.inFlight) > 0 {
+		w.deliver(0)
 	}
 	for _, c := range w.cores {
-		c.SetWanted(wantedAt(w.g))
+		c.SetWanted(wantedAt(w.generation))
 	}
 	for range 120 {
 		w.now = w.now.Add(defaultInterval)
 		w.load()
 		w.read(w.holder)
 		w.decide(w.holder)
-		for len(w.flying) > 0 {
-			w.land(0)
+		for len(w.inFlight) > 0 {
+			w.deliver(0)
 		}
 	}
-	for i, r := range wantedAt(w.g).Runners {
+	for i, r := range wantedAt(w.generation).Runners {
 		if w.engines[i].report.Target != r.Target {
 			rt.Fatalf("%s is %+v, wanted %+v", r.Name, w.engines[i].report.Target, r.Target)
 		}
 	}
 }
 
-func (w *orderWorld) actions(stale bool) map[string]func(*rapid.T) {
-	who := func(rt *rapid.T) int {
+func (w *orderModel) actions(stale bool) map[string]func(*rapid.T) {
+	chooseEntry := func(rt *rapid.T) int {
 		if !stale {
 			return w.holder
 		}
 		return rapid.IntRange(0, 1).Draw(rt, "entry")
 	}
 	acts := map[string]func(*rapid.T){
-		"read":   func(rt *rapid.T) { w.read(who(rt)) },
-		"decide": func(rt *rapid.T) { w.decide(who(rt)) },
+		"read":   func(rt *rapid.T) { w.read(chooseEntry(rt)) },
+		"decide": func(rt *rapid.T) { w.decide(chooseEntry(rt)) },
 		"load":   func(*rapid.T) { w.load() },
 		"land": func(rt *rapid.T) {
-			if len(w.flying) == 0 {
+			if len(w.inFlight) == 0 {
 				rt.Skip()
 			}
-			w.land(rapid.IntRange(0, len(w.flying)-1).Draw(rt, "order"))
+			w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(rt, "order"))
 		},
 		"time": func(rt *rapid.T) {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 9).Draw(rt, "seconds")) * time.Second)
 		},
-		"accept": func(*rapid.T) { w.g++ },
-		"learn":  func(rt *rapid.T) { w.cores[who(rt)].SetWanted(wantedAt(w.g)) },
+		"accept": func(*rapid.T) { w.generation++ },
+		"learn":  func(rt *rapid.T) { w.cores[chooseEntry(rt)].SetWanted(wantedAt(w.generation)) },
 	}
 	if stale {
 		acts["lease moves"] = func(*rapid.T) {
@@ -190,13 +190,13 @@
 func TestStaleHoldersNeverDecideTheEnd(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newOrderWorld(func(i int) bool { return i%2 == 0 })
+		w := newOrderModel(func(i int) bool { return i%2 == 0 })
 		highest := make([]ferryid.Fence, len(w.engines))
 		acts := w.actions(true)
 		acts[""] = func(rt *rapid.T) {
 			for i, e := range w.engines {
 				if e.checks && e.highest < highest[i] {
-					rt.Fatalf("engine %d took fence %d after %d", i, e.highest, highest[i])
+					rt.Fatalf("engine %d accepted fencing number %d after %d", i, e.highest, highest[i])
 				}
 				highest[i] = e.highest
 			}
@@ -209,13 +209,13 @@
 func TestLastCopyStaysInService(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newOrderWorld(func(int) bool { return true })
+		w := newOrderModel(func(int) bool { return true })
 		w.cores[w.holder].bucket.pace = Pace{}
 		acts := w.actions(false)
 		acts["time"] = func(*rapid.T) { w.now = w.now.Add(time.Millisecond) }
 		acts[""] = func(rt *rapid.T) {
 			if !w.serving() {
-				rt.Fatalf("no whole pipeline is in service")
+				rt.Fatalf("no complete pipeline is in service")
 			}
 		}
 		rt.Repeat(acts)
@@ -223,7 +223,7 @@
 	})
 }
 
-func TestPaceBoundsLoads(t *testing.T) {
+func TestPaceLimitsLoads(t *testing.T) {
 	b := bucket{pace: Pace{LayersPerSecond: 2, Burst: 4}}
 	now := time.Unix(1_800_000_000, 0)
 	loaded := 0
@@ -236,52 +236,52 @@
 	assert.Assert(t, loaded >= 118 && loaded <= 124, "%d", loaded)
 }
 
-// duty is a tenure and engines in one, for the shell's test.
-type duty struct {
-	mu    sync.Mutex
-	fence ferryid.Fence
-	until time.Time
-	es    map[string]*engine
+// fakeTenure implements Tenure and Engine.
+type fakeTenure struct {
+	mu      sync.Mutex
+	fence   ferryid.Fence
+	until   time.Time
+	engines map[string]*engine
 }
 
-func (d *duty) Check() (ferryid.Fence, time.Time, error) {
+func (d *fakeTenure) Check() (ferryid.Fence, time.Time, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fence, d.until, nil
 }
 
-func (d *duty) AtLeast(f ferryid.Fence) {
+func (d *fakeTenure) AtLeast(f ferryid.Fence) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fence = max(d.fence, f)
 }
 
-func (d *duty) Order(_ context.Context, address string, o Order) error {
+func (d *fakeTenure) Order(_ context.Context, address string, o Order) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.es[address].order(o)
+	return d.engines[address].order(o)
 }
 
-func (d *duty) Report(_ context.Context, address string) (Report, error) {
+func (d *fakeTenure) Report(_ context.Context, address string) (Report, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.es[address].report.Ready = true
-	return d.es[address].report, nil
+	d.engines[address].report.Ready = true
+	return d.engines[address].report, nil
 }
 
-func TestOrdersCatchUpWithEnginesThatSawHigherFences(t *testing.T) {
+func TestOrdersRecoverFromHigherFences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		d := &duty{fence: 1, until: clock.Now().Add(time.Hour), es: map[string]*engine{}}
+		d := &fakeTenure{fence: 1, until: clock.Now().Add(time.Hour), engines: map[string]*engine{}}
 		for i, r := range wantedAt(1).Runners {
-			d.es[r.Address] = &engine{checks: true, highest: ferryid.Fence(i * 10), report: Report{Target: r.Target, Ready: true}}
+			d.engines[r.Address] = &engine{checks: true, highest: ferryid.Fence(i * 10), report: Report{Target: r.Target, Ready: true}}
 		}
 		o := New(Config{Tenure: d, Engine: d, Clock: clock})
 		o.Want(wantedAt(2))
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- o.Run(ctx) }()
-		as := func() bool {
+		converged := func() bool {
 			for _, r := range wantedAt(2).Runners {
 				if rep, _ := d.Report(ctx, r.Address); rep.Target != r.Target {
 					return false
@@ -289,12 +289,12 @@
 			}
 			return true
 		}
-		for clock.Now().Before(d.until) && !as() {
+		for clock.Now().Before(d.until) && !converged() {
 			time.Sleep(100 * time.Millisecond)
 			synctest.Wait()
 		}
 		cancel()
 		<-done
-		assert.Assert(t, as())
+		assert.Assert(t, converged())
 	})
 }
--- a/ferry/ferryorder/cover.go
+++ b/ferry/ferryorder/cover.go
@@ -2,31 +2,31 @@
 
 import "cactusferry.dev/ferry/ferryid"
 
-// serves reports whether the engine is in service, as far as is known.
+// serves reports whether the engine is in service according to its last report.
 func (r *runner) serves() bool {
 	return r.read && !r.pending && r.report.Ready && r.report.State == StateLive
 }
 
-// pipeline counts, for each layer of the model, the engines in service that hold it with the same weights.
+// pipeline counts the engines in service with the same weights, per layer of the model.
 type pipeline struct {
-	held    []int
-	missing int // layers that no engine holds
-	engines int
+	engineCounts []int
+	missing      int // number of layers without an engine
+	engines      int
 }
 
-func (p *pipeline) whole() bool {
+func (p *pipeline) isComplete() bool {
 	return p.missing == 0 && p.engines > 0
 }
 
-// coverage is what the engines in service hold, by weights.
+// coverage counts the engines in service by their weights.
 type coverage struct {
 	pipelines map[weights]*pipeline
 	layers    ferryid.Layer
-	whole     int
+	complete  int
 }
 
-// cover counts over all engines of the service, whatever group they are in.
-func (c *Core) cover() *coverage {
+// coverage returns the coverage by all engines of the service.
+func (c *Core) coverage() *coverage {
 	v := &coverage{pipelines: map[weights]*pipeline{}, layers: c.wanted.Layers}
 	for _, r := range c.runners {
 		if r.serves() {
@@ -34,8 +34,8 @@
 		}
 	}
 	for _, p := range v.pipelines {
-		if p.whole() {
-			v.whole++
+		if p.isComplete() {
+			v.complete++
 		}
 	}
 	return v
@@ -45,53 +45,54 @@
 	w := r.report.weights()
 	p, ok := v.pipelines[w]
 	if !ok {
-		p = &pipeline{held: make([]int, v.layers), missing: int(v.layers)}
+		p = &pipeline{engineCounts: make([]int, v.layers), missing: int(v.layers)}
 		v.pipelines[w] = p
 	}
 	p.engines++
 	for l := r.report.Layers.From; l < min(r.report.Layers.To, v.layers); l++ {
-		if p.held[l] == 0 {
+		if p.engineCounts[l] == 0 {
 			p.missing--
 		}
-		p.held[l]++
+		p.engineCounts[l]++
 	}
 }
 
-// remove takes an engine out that is about to leave service.
+// remove removes an engine that is about to leave service.
 func (v *coverage) remove(r *runner) {
 	if !r.serves() {
 		return
 	}
 	p := v.pipelines[r.report.weights()]
-	was := p.whole()
+	wasComplete := p.isComplete()
 	p.engines--
 	for l := r.report.Layers.From; l < min(r.report.Layers.To, v.layers); l++ {
-		p.held[l]--
-		if p.held[l] == 0 {
+		p.engineCounts[l]--
+		if p.engineCounts[l] == 0 {
 			p.missing++
 		}
 	}
-	if was && !p.whole() {
-		v.whole--
+	if wasComplete && !p.isComplete() {
+		v.complete--
 	}
 }
 
-// spare reports whether the engine can leave service: a whole pipeline stays without it, or there is none even with it.
-func (v *coverage) spare(r *runner) bool {
-	return !r.serves() || v.whole == 0 || v.whole > 1 || !v.breaks(r)
+// canLeave reports whether the engine can leave service: a complete pipeline remains without it,
+// or there is none even with it.
+func (v *coverage) canLeave(r *runner) bool {
+	return !r.serves() || v.complete == 0 || v.complete > 1 || !v.isRequired(r)
 }
 
-// breaks reports whether the pipelines with the engine's weights are whole with it and not without it.
-func (v *coverage) breaks(r *runner) bool {
+// isRequired reports whether the pipeline with the engine's weights is complete only with this engine.
+func (v *coverage) isRequired(r *runner) bool {
 	p := v.pipelines[r.report.weights()]
-	if !p.whole() {
+	if !p.isComplete() {
 		return false
 	}
 	if p.engines == 1 {
 		return true
 	}
 	for l := r.report.Layers.From; l < min(r.report.Layers.To, v.layers); l++ {
-		if p.held[l] == 1 {
+		if p.engineCounts[l] == 1 {
 			return true
 		}
 	}
@@ -105,11 +106,11 @@
 	return c.wanted.Runners[0].Target.weights()
 }
 
-// Uncovered returns the layers that no engine in service holds as wanted, for the operators' status.
+// Uncovered returns the layers that no engine in service has with the wanted weights, for the operators' status.
 func (c *Core) Uncovered() []ferryid.Layer {
 	held := make([]int, c.wanted.Layers)
-	if p, ok := c.cover().pipelines[c.wantedWeights()]; ok {
-		held = p.held
+	if p, ok := c.coverage().pipelines[c.wantedWeights()]; ok {
+		held = p.engineCounts
 	}
 	var out []ferryid.Layer
 	for l, k := range held {
--- a/ferry/ferryorder/cover_test.go
+++ b/ferry/ferryorder/cover_test.go
@@ -9,17 +9,18 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// anyWhole reports whether the engines in service, leaving one out, hold all layers with the same weights; it counts one by one.
-func (c *Core) anyWhole(without *runner) bool {
+// anyComplete reports whether the engines in service, except the given one, have all layers with the same weights.
+// It is a brute-force oracle for coverage.
+func (c *Core) anyComplete(without *runner) bool {
 	for _, r := range c.runners {
-		if r != without && r.serves() && c.holdsAll(r.report.weights(), without) {
+		if r != without && r.serves() && c.hasAllLayers(r.report.weights(), without) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) holdsAll(w weights, without *runner) bool {
+func (c *Core) hasAllLayers(w weights, without *runner) bool {
 	held := map[ferryid.Layer]bool{}
 	for _, r := range c.runners {
 		if r == without || !r.serves() || r.report.weights() != w {
@@ -37,7 +38,7 @@
 	return true
 }
 
-func TestCoverageIsWhatCountingOneByOneGives(t *testing.T) {
+func TestCoverageMatchesBruteForce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := NewCore(Pace{})
 		c.wanted.Layers = 3
@@ -47,11 +48,11 @@
 			t := Target{Version: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "version"), Layers: ls, State: StateLive}
 			c.runners[ferryid.UpstreamName(fmt.Sprint(i))] = &runner{read: true, report: Report{Target: t, Ready: rapid.IntRange(0, 4).Draw(rt, "ready") > 0}}
 		}
-		cover := c.cover()
+		cover := c.coverage()
 		for name, r := range c.runners {
-			want := !r.serves() || c.anyWhole(r) || !c.anyWhole(nil)
-			if got := cover.spare(r); got != want {
-				rt.Fatalf("engine %s may leave service: %v, counted one by one %v", name, got, want)
+			want := !r.serves() || c.anyComplete(r) || !c.anyComplete(nil)
+			if got := cover.canLeave(r); got != want {
+				rt.Fatalf("engine %s can leave service: %v, by brute force %v", name, got, want)
 			}
 			if rapid.Bool().Draw(rt, "leaves") && want {
 				cover.remove(r)
--- a/ferry/ferryorder/doc.go
+++ b/ferry/ferryorder/doc.go
@@ -1,2 +1,3 @@
-// Package ferryorder brings the engines of a service to the state that its document asks for, by orders that carry a fencing number.
+// Package ferryorder reconciles the engines of a service with the target state of its document.
+// Each order carries the fencing number of the entry that sends it.
 package ferryorder
--- a/ferry/ferryorder/due.go
+++ b/ferry/ferryorder/due.go
@@ -3,49 +3,49 @@
 import "time"
 
 const (
-	// quickInterval is the first wait for an order to show; each further one doubles, up to defaultInterval.
-	quickInterval = 250 * time.Millisecond
-	// quietPerSecond is how many engines of a service are read a second while nothing is to be done, as far as slowest allows.
-	quietPerSecond = 20
-	slowest        = 10 * time.Second
+	// minInterval is the first interval between reads after an order; it doubles up to defaultInterval.
+	minInterval = 250 * time.Millisecond
+	// idleReadsPerSecond is the rate of engine reads of a service without pending orders, limited by maxIdleInterval.
+	idleReadsPerSecond = 20
+	maxIdleInterval    = 10 * time.Second
 )
 
-// quiet is how often an engine is read that nothing is expected of.
-func (c *Core) quiet() time.Duration {
-	d := time.Duration(len(c.runners)) * time.Second / quietPerSecond
-	return min(max(d, defaultInterval), slowest)
+// idleInterval returns the interval between reads of an engine without a pending order.
+func (c *Core) idleInterval() time.Duration {
+	d := time.Duration(len(c.runners)) * time.Second / idleReadsPerSecond
+	return min(max(d, defaultInterval), maxIdleInterval)
 }
 
-// schedule sets when the engine is read next: soon while an order is outstanding, else at its group's time.
+// schedule sets the next read of the engine: after a short backoff while an order is pending, else with its group.
 func (c *Core) schedule(r *runner, now time.Time) {
 	if r.pending {
-		r.wait = min(max(2*r.wait, quickInterval), defaultInterval)
-		r.due = now.Add(r.wait)
+		r.interval = min(max(2*r.interval, minInterval), defaultInterval)
+		r.nextRead = now.Add(r.interval)
 		return
 	}
-	r.wait = 0
-	r.due = c.groupTime(r.group, now)
+	r.interval = 0
+	r.nextRead = c.nextGroupRead(r.group, now)
 }
 
-// groupTime is when a quiet group is read next; the groups' times lie evenly apart.
-func (c *Core) groupTime(group int, now time.Time) time.Time {
-	every := c.quiet()
-	phase := every * time.Duration(group) / time.Duration(max(1, c.wanted.groups()))
-	past := time.Duration(now.UnixNano()-int64(phase)) % every
-	return now.Add(every - past)
+// nextGroupRead returns the next read of a group without pending orders; the groups' reads are evenly spaced.
+func (c *Core) nextGroupRead(group int, now time.Time) time.Time {
+	interval := c.idleInterval()
+	phase := interval * time.Duration(group) / time.Duration(max(1, c.wanted.groups()))
+	past := time.Duration(now.UnixNano()-int64(phase)) % interval
+	return now.Add(interval - past)
 }
 
-// Due returns what to read now, one ask a group.
+// Due returns the engines to read now, as one GroupAsk per group.
 func (c *Core) Due(now time.Time) []GroupAsk {
 	if c.fence == 0 {
 		return nil
 	}
 	c.turn++
 	var out []GroupAsk
-	for g, sum := range c.groupSums() {
+	for g, sum := range c.groupChecksums() {
 		a := GroupAsk{Service: c.wanted.Service, Group: g, Sum: sum, turn: c.turn}
 		for i, w := range c.wanted.group(g) {
-			if !now.Before(c.runners[w.Name].due) {
+			if !now.Before(c.runners[w.Name].nextRead) {
 				a.Engines |= 1 << i
 			}
 		}
@@ -56,15 +56,15 @@
 	return out
 }
 
-// Wake is when something may be due, at most 2 s and at least 250 ms from now.
+// Wake returns the time of the next round, between minInterval and defaultInterval from now.
 func (c *Core) Wake(now time.Time) time.Time {
 	at := now.Add(defaultInterval)
 	for _, r := range c.runners {
-		if r.due.Before(at) {
-			at = r.due
+		if r.nextRead.Before(at) {
+			at = r.nextRead
 		}
 	}
-	if soonest := now.Add(quickInterval); at.Before(soonest) {
+	if soonest := now.Add(minInterval); at.Before(soonest) {
 		return soonest
 	}
 	return at
--- a/ferry/ferryorder/generation_test.go
+++ b/ferry/ferryorder/generation_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAnOlderDocumentChangesNothing(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(3))
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -12,44 +12,46 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// GroupSize is how many engines of a service are read by one entry, at the most.
+// GroupSize is the maximum number of engines in a group; each group is read by one entry.
 const GroupSize = 16
 
-// members is a set of a group's engines, by their place in it.
+// members is a bit set of a group's engines by their index in the group.
 type members uint16
 
 func (m members) has(i int) bool {
 	return m&(1<<i) != 0
 }
 
-// turn orders readings and orders of one Core.
+// turn is a logical clock that orders the reads and orders of a Core.
 type turn uint64
 
-// GroupAsk asks for the state of some engines of a group.
+// GroupAsk is a request for the state of some engines of a group.
 type GroupAsk struct {
 	Service ferryid.ServiceName `cbor:"1,keyasint"`
-	// Group counts from 0 in the order of the document, GroupSize engines each.
+	// Group is the index of the group: GroupSize consecutive engines each, in the order of the document.
 	Group int `cbor:"2,keyasint"`
-	// Sum is that of the group's wanted state, which the reader has to share.
+	// Sum is the checksum of the group's wanted state; the reader must have the same wanted state.
 	Sum     uint64  `cbor:"3,keyasint"`
 	Engines members `cbor:"4,keyasint"`
 	turn    turn
 }
 
-// GroupAnswer is the state of the engines asked for; those that are neither in Differ nor Unread are Ready and as wanted.
+// GroupAnswer is the state of the requested engines.
+//
+// Engines that are neither in Differ nor in Unread are ready and in their wanted state.
 type GroupAnswer struct {
 	Unread members       `cbor:"1,keyasint,omitempty"`
 	Differ []GroupReport `cbor:"2,keyasint,omitempty"`
 }
 
-// GroupReport is the report of the engine at a place in its group.
+// GroupReport is the report of one engine; Place is its index in the group.
 type GroupReport struct {
 	_      struct{} `cbor:",toarray"`
 	Place  int
 	Report Report
 }
 
-// GroupError says that a reader wants something else of a group than the ask, because it holds another document.
+// GroupError is returned by a reader whose wanted state of the group differs from that of the GroupAsk.
 type GroupError struct {
 	Service ferryid.ServiceName
 	Group   int
@@ -71,17 +73,17 @@
 	return (len(w.Runners) + GroupSize - 1) / GroupSize
 }
 
-func (c *Core) groupSums() []uint64 {
-	if c.sums == nil {
-		c.sums = make([]uint64, c.wanted.groups())
-		for i := range c.sums {
-			c.sums[i] = sumOf(c.wanted.group(i))
+func (c *Core) groupChecksums() []uint64 {
+	if c.checksums == nil {
+		c.checksums = make([]uint64, c.wanted.groups())
+		for i := range c.checksums {
+			c.checksums[i] = checksumOf(c.wanted.group(i))
 		}
 	}
-	return c.sums
+	return c.checksums
 }
 
-func sumOf(rs []Runner) uint64 {
+func checksumOf(rs []Runner) uint64 {
 	b, err := json.Marshal(rs)
 	if err != nil {
 		return 0
@@ -89,10 +91,10 @@
 	return xxhash.Sum64(b)
 }
 
-// ReadGroup reads the engines of an ask all at once, or returns a *GroupError.
+// ReadGroup reads the requested engines concurrently, or returns a *GroupError.
 func ReadGroup(ctx context.Context, w Wanted, a GroupAsk, read func(context.Context, string) (Report, error)) (GroupAnswer, error) {
 	rs := w.group(a.Group)
-	if w.Service != a.Service || len(rs) == 0 || sumOf(rs) != a.Sum {
+	if w.Service != a.Service || len(rs) == 0 || checksumOf(rs) != a.Sum {
 		return GroupAnswer{}, &GroupError{a.Service, a.Group}
 	}
 	var out GroupAnswer
@@ -122,10 +124,10 @@
 	}
 }
 
-// Answered takes an answer; what was asked before an engine's last order or report is not believed.
+// Answered applies an answer; reads that started before an engine's last order or report are ignored.
 func (c *Core) Answered(a GroupAsk, ans GroupAnswer, now time.Time) {
 	rs := c.wanted.group(a.Group)
-	if len(rs) == 0 || a.Sum != c.groupSums()[a.Group] {
+	if len(rs) == 0 || a.Sum != c.groupChecksums()[a.Group] {
 		return
 	}
 	reports := map[int]Report{}
@@ -138,7 +140,7 @@
 			continue
 		}
 		if ans.Unread.has(i) {
-			c.Unreadable(w.Name, now)
+			c.ReadFailed(w.Name, now)
 			continue
 		}
 		rep, differs := reports[i]
@@ -150,7 +152,7 @@
 	}
 }
 
-// NotAnswered notes that nobody could read the engines of an ask.
+// NotAnswered records that the requested engines could not be read.
 func (c *Core) NotAnswered(a GroupAsk, now time.Time) {
 	c.Answered(a, GroupAnswer{Unread: a.Engines}, now)
 }
--- a/ferry/ferryorder/late_test.go
+++ b/ferry/ferryorder/late_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// differ is an answer in which each engine reports the state that a generation wants.
-func differ(g int) GroupAnswer {
+// differingAnswer returns an answer in which each engine reports the wanted state of the given generation.
+func differingAnswer(g int) GroupAnswer {
 	var ans GroupAnswer
 	for i, r := range wantedAt(g).Runners {
 		ans.Differ = append(ans.Differ, GroupReport{Place: i, Report: Report{Target: r.Target, Ready: true}})
@@ -16,23 +16,23 @@
 	return ans
 }
 
-// reportAll has all engines report the first document's state, to a holder that wants the second's.
+// reportAll reports the wanted state of generation 1 for all engines.
 func reportAll(c *Core, now time.Time) {
 	for _, r := range wantedAt(1).Runners {
 		c.Reported(r.Name, Report{Target: r.Target, Ready: true}, now)
 	}
 }
 
-func TestAnswersThatComeTooLateAreNotBelieved(t *testing.T) {
+func TestOutdatedAnswersAreIgnored(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		between func(c *Core, now time.Time)
 		reason  Reason
 		waiting int
 	}{
-		{"asked before the tenure", func(c *Core, _ time.Time) { c.SetFence(2) }, ReasonUnread, 6},
-		{"asked under another document", func(c *Core, _ time.Time) { c.SetWanted(wantedAt(3)) }, ReasonUnread, 6},
-		{"asked before the order", func(c *Core, now time.Time) {
+		{"read started before the tenure", func(c *Core, _ time.Time) { c.SetFence(2) }, ReasonUnread, 6},
+		{"read started under another document", func(c *Core, _ time.Time) { c.SetWanted(wantedAt(3)) }, ReasonUnread, 6},
+		{"read started before the order", func(c *Core, now time.Time) {
 			reportAll(c, now)
 			c.Next(now)
 		}, ReasonPending, 4},
@@ -52,32 +52,32 @@
 					n++
 				}
 			}
-			assert.Equal(t, n, tc.waiting, "orders %v, waiting %v", sends, blocked)
+			assert.Equal(t, n, tc.waiting, "orders %v, blocked %v", sends, blocked)
 		})
 	}
 }
 
-func TestAnOlderReadingDoesNotUndoANewer(t *testing.T) {
+func TestOlderReadDoesNotOverrideNewer(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(2))
 	c.SetFence(1)
-	c.Answered(c.Due(now)[0], differ(1), now)
+	c.Answered(c.Due(now)[0], differingAnswer(1), now)
 	sends, _ := c.Next(now)
 	assert.Assert(t, len(sends) > 0)
 	now = now.Add(time.Second)
 	older := c.Due(now)[0]
 	c.Answered(c.Due(now)[0], GroupAnswer{}, now)
-	c.Answered(older, differ(1), now)
+	c.Answered(older, differingAnswer(1), now)
 	again, _ := c.Next(now)
 	for _, a := range again {
 		for _, s := range sends {
-			assert.Assert(t, a.Name != s.Name, "%s is ordered again", a.Name)
+			assert.Assert(t, a.Name != s.Name, "%s gets a second order after an outdated read", a.Name)
 		}
 	}
 }
 
-func TestAnAnswerAskedBeforeTheRefusalIsNotBelieved(t *testing.T) {
+func TestReadBeforeRefusalIsIgnored(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(2))
@@ -86,7 +86,7 @@
 	sends, _ := c.Next(now)
 	late := c.Due(now.Add(time.Second))[0]
 	for _, s := range sends {
-		c.Refused(s.Name)
+		c.OrderRefused(s.Name)
 	}
 	c.Answered(late, GroupAnswer{}, now)
 	_, blocked := c.Next(now)
--- a/ferry/ferryorder/order.go
+++ b/ferry/ferryorder/order.go
@@ -7,7 +7,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// State says whether an engine is to take new work.
+// State is the target state of an engine with regard to new work.
 type State string
 
 // The states of an engine.
@@ -16,7 +16,7 @@
 	StateLeaving State = "Leaving"
 )
 
-// Target is what one engine holds or should hold.
+// Target is the current or wanted state of one engine.
 type Target struct {
 	Model   string             `json:"Model"`
 	Version string             `json:"Version"`
@@ -25,7 +25,7 @@
 	State   State              `json:"State"`
 }
 
-// weights is the part of a target that a stage of one pipeline has to share with the others.
+// weights is the part of a target that all stages of a pipeline must have in common.
 type weights struct {
 	model, version, adapter string
 }
@@ -34,38 +34,38 @@
 	return weights{t.Model, t.Version, t.Adapter}
 }
 
-// loads reports whether going from one target to the other reads weights from the store.
+// loads reports whether the change between two targets loads weights from the store.
 func (t Target) loads(from Target) bool {
 	return t.Model != from.Model || t.Version != from.Version || t.Layers != from.Layers
 }
 
-// Order is the target state of one engine, with the fencing number of the entry that gives it.
+// Order is the target state of one engine, with the fencing number of the entry that sends it.
 type Order struct {
 	Fence   ferryid.Fence       `json:"Fence"`
 	Service ferryid.ServiceName `json:"Service"`
 	Target
 }
 
-// Report is what an engine says of itself.
+// Report is the state reported by an engine.
 type Report struct {
 	Target
-	// Ready is false while the engine loads and can't serve.
+	// Ready is false while the engine is loading.
 	Ready bool `json:"Ready"`
 }
 
-// Engine gives orders to engines and reads their state; an adapter implements it.
+// Engine sends orders to engines and reads their state.
 type Engine interface {
-	// Order sets an engine's target state; a *FenceError says that a newer holder has ordered since.
+	// Order sets an engine's target state; it returns a *FenceError if the engine has an order of a later holder.
 	Order(ctx context.Context, address string, o Order) error
-	// Report reads what the engine holds now.
+	// Report returns the current state of an engine.
 	Report(ctx context.Context, address string) (Report, error)
 }
 
-// FenceError says that an engine has seen a higher fencing number than the order's.
+// FenceError is returned when an engine has seen a higher fencing number than that of the order.
 type FenceError struct {
 	Highest ferryid.Fence
 }
 
 func (e *FenceError) Error() string {
-	return fmt.Sprintf("the engine has seen fencing number %d", e.Highest)
+	return fmt.Sprintf("order refused: engine has already seen fencing number %d", e.Highest)
 }
--- a/ferry/ferryorder/orders.go
+++ b/ferry/ferryorder/orders.go
@@ -19,39 +19,39 @@
 	concurrentCalls = 32
 )
 
-// Tenure says whether this entry may give orders now; *ferrylease.Lease is one.
+// Tenure is the right of this entry to send orders; it is implemented by *ferrylease.Lease.
 type Tenure interface {
-	// Check returns the fencing number and until when it may be used, or an error.
+	// Check returns the fencing number and its expiry, or an error if the tenure is not held.
 	Check() (ferryid.Fence, time.Time, error)
-	// AtLeast asks for a fencing number of at least the one given.
+	// AtLeast requests a fencing number of at least f.
 	AtLeast(f ferryid.Fence)
 }
 
-// Readers has a group read by the entry whose duty that is; on an error the holder reads the group itself.
+// Readers reads a group through the entry assigned to it; on an error the holder reads the group itself.
 type Readers interface {
 	ReadGroup(ctx context.Context, a GroupAsk) (GroupAnswer, error)
 }
 
-// Config is what an Orders needs; Tenure and Engine must be set.
+// Config is the configuration of an Orders; Tenure and Engine are required.
 type Config struct {
 	Tenure Tenure
 	Engine Engine
 	Clock  clockwork.Clock
 	Pace   Pace
-	// Readers is nil where the holder reads all engines itself.
+	// Readers is optional; if it is nil, the holder reads all engines itself.
 	Readers Readers
 }
 
-// Orders is the duty that brings one service's engines to the wanted state while it holds the lease.
+// Orders reconciles the engines of one service with the wanted state while it holds the tenure.
 type Orders struct {
 	cfg     Config
 	core    *Core
 	wanted  atomic.Pointer[Wanted]
-	taken   *Wanted // by the core
+	applied *Wanted // last wanted state passed to the core
 	blocked atomic.Pointer[[]Blocked]
 }
 
-// New returns an Orders; Run carries it.
+// New returns an Orders; it is inactive until Run.
 func New(cfg Config) *Orders {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
@@ -59,12 +59,12 @@
 	return &Orders{cfg: cfg, core: NewCore(cfg.Pace)}
 }
 
-// Want sets the wanted state; the newest generation counts.
+// Want sets the wanted state; Run ignores states of older generations.
 func (o *Orders) Want(w Wanted) {
 	o.wanted.Store(&w)
 }
 
-// Blocked returns the orders that wait, and why, as of the last round.
+// Blocked returns the blocked engines of the last round with their reasons.
 func (o *Orders) Blocked() []Blocked {
 	if b := o.blocked.Load(); b != nil {
 		return *b
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Run reads and corrects the engines until the context is done, at most each 250 ms and at least each 2 s.
+// Run reconciles the engines in rounds, at intervals of 250 ms to 2 s, until the context is done.
 func (o *Orders) Run(ctx context.Context) error {
 	for {
 		next := o.round(ctx)
@@ -84,7 +84,7 @@
 	}
 }
 
-// round reads the engines that are due and gives the orders that follow; it returns how long to wait for the next.
+// round reads the engines that are due, sends the resulting orders and returns the time until the next round.
 func (o *Orders) round(ctx context.Context) time.Duration {
 	w := o.wanted.Load()
 	fence, _, err := o.cfg.Tenure.Check()
@@ -92,9 +92,9 @@
 		o.blocked.Store(nil)
 		return defaultInterval
 	}
-	if w != o.taken {
+	if w != o.applied {
 		o.core.SetWanted(*w)
-		o.taken = w
+		o.applied = w
 	}
 	o.core.SetFence(fence)
 	o.read(ctx, o.core.Due(o.cfg.Clock.Now()))
@@ -108,7 +108,7 @@
 func (o *Orders) read(ctx context.Context, asks []GroupAsk) {
 	answers := make([]GroupAnswer, len(asks))
 	errs := make([]error, len(asks))
-	each(len(asks), func(i int) { answers[i], errs[i] = o.readGroup(ctx, asks[i]) })
+	forEach(len(asks), func(i int) { answers[i], errs[i] = o.readGroup(ctx, asks[i]) })
 	now := o.cfg.Clock.Now()
 	for i, a := range asks {
 		if errs[i] != nil {
@@ -119,20 +119,21 @@
 	}
 }
 
-// readGroup has a group read by the entry whose duty it is, and reads it here if that fails.
+// readGroup reads a group through the entry assigned to it, and directly if that fails.
 func (o *Orders) readGroup(ctx context.Context, a GroupAsk) (GroupAnswer, error) {
 	if o.cfg.Readers == nil {
 		return o.Read(ctx, a)
 	}
-	there, cancel := clockwork.WithTimeout(ctx, o.cfg.Clock, groupTimeout)
+	readCtx, cancel := clockwork.WithTimeout(ctx, o.cfg.Clock, groupTimeout)
 	defer cancel()
-	if ans, err := o.cfg.Readers.ReadGroup(there, a); err == nil {
+	if ans, err := o.cfg.Readers.ReadGroup(readCtx, a); err == nil {
 		return ans, nil
 	}
 	return o.Read(ctx, a)
 }
 
-// Read reads a group from here, for the entry that gives the orders; a *GroupError says that this entry holds another document.
+// Read reads a group directly, also on behalf of the holder of the lease.
+// It returns a *GroupError if this entry has a different document.
 func (o *Orders) Read(ctx context.Context, a GroupAsk) (GroupAnswer, error) {
 	w := o.wanted.Load()
 	if w == nil {
@@ -147,26 +148,26 @@
 
 func (o *Orders) send(ctx context.Context, sends []Send) {
 	errs := make([]error, len(sends))
-	each(len(sends), func(i int) { errs[i] = o.sendOne(ctx, sends[i]) })
+	forEach(len(sends), func(i int) { errs[i] = o.sendOne(ctx, sends[i]) })
 	for i, s := range sends {
 		var fence *FenceError
-		var not *notSentError
+		var notSent *notSentError
 		switch {
 		case errors.As(errs[i], &fence):
-			o.core.Refused(s.Name)
+			o.core.OrderRefused(s.Name)
 			o.cfg.Tenure.AtLeast(fence.Highest + 1)
-		case errors.As(errs[i], &not):
-			o.core.Refused(s.Name)
+		case errors.As(errs[i], &notSent):
+			o.core.OrderRefused(s.Name)
 		}
 	}
 }
 
-// notSentError says that the lease had ended before the order was sent.
+// notSentError is returned if the tenure had ended before the order was sent.
 type notSentError struct{ err error }
 
 func (e *notSentError) Error() string { return "order not sent: " + e.err.Error() }
 
-// sendOne checks the lease just before the send and gives the send no more time than the lease has.
+// sendOne checks the tenure just before the send and limits the send to the tenure's expiry.
 func (o *Orders) sendOne(ctx context.Context, s Send) error {
 	ctx, cancel := clockwork.WithTimeout(ctx, o.cfg.Clock, callTimeout)
 	defer cancel()
@@ -182,8 +183,8 @@
 	return o.cfg.Engine.Order(ctx, s.Address, s.Order)
 }
 
-// each calls the function for each index, a few at a time.
-func each(n int, fn func(int)) {
+// forEach calls fn for each index with up to concurrentCalls calls in parallel.
+func forEach(n int, fn func(int)) {
 	slots := make(chan struct{}, concurrentCalls)
 	var wg sync.WaitGroup
 	for i := range n {
--- a/ferry/ferryorder/pace.go
+++ b/ferry/ferryorder/pace.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Pace bounds how fast the fleet reads weights from the store.
+// Pace limits the rate at which the fleet loads weights from the store.
 type Pace struct {
-	// LayersPerSecond is the weight store's rate, 0 for no bound.
+	// LayersPerSecond is the rate limit; 0 means unlimited.
 	LayersPerSecond float64
-	// Burst is how many layers may be ordered at once, at least those of one engine.
+	// Burst is the number of layers that may be ordered at once, at least those of one engine.
 	Burst float64
 }
 
@@ -17,7 +17,8 @@
 	at     time.Time
 }
 
-// take reports whether the layers may be loaded now, and takes them if so; more than a burst is taken when the bucket is full.
+// take takes the tokens for the layers and reports whether they may be loaded now.
+// A request larger than the burst is granted when the bucket is full.
 func (b *bucket) take(layers int, now time.Time) bool {
 	if b.pace.LayersPerSecond <= 0 {
 		return true
--- a/ferry/ferryorder/pace_test.go
+++ b/ferry/ferryorder/pace_test.go
@@ -10,8 +10,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// started counts the engines that may begin to load within the time, all others being whole copies that stay.
-func started(t *testing.T, rate float64, d time.Duration) int {
+// countOrders returns the number of orders within the duration for 40 engines, each with all layers.
+func countOrders(t *testing.T, rate float64, d time.Duration) int {
 	t.Helper()
 	doc := ferryservice.Document{Service: "herd-llm", Kind: ferryservice.KindModel}
 	doc.Model = ferryservice.Model{Name: "m", Version: "1", Layers: 4, LoadLayersPerSecond: rate}
@@ -35,8 +35,8 @@
 	return n
 }
 
-func TestDocumentPacesLoads(t *testing.T) {
-	assert.Equal(t, started(t, 0, 2*time.Second), 40)
-	// One engine's layers at once, and two layers a second after that.
-	assert.Equal(t, started(t, 2, 10*time.Second), 6)
+func TestDocumentLimitsLoadRate(t *testing.T) {
+	assert.Equal(t, countOrders(t, 0, 2*time.Second), 40)
+	// A burst of one engine's four layers, then two layers per second.
+	assert.Equal(t, countOrders(t, 2, 10*time.Second), 6)
 }
--- a/ferry/ferryorder/readers_test.go
+++ b/ferry/ferryorder/readers_test.go
@@ -13,7 +13,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// otherEntry reads groups for the holder, with an Orders of its own that never holds the lease.
+// otherEntry is an entry that reads groups for the holder, with a separate Orders that never runs.
 type otherEntry struct {
 	orders *Orders
 	asked  atomic.Int32
@@ -33,23 +33,23 @@
 	return e.orders.Read(ctx, a)
 }
 
-func TestEnginesFollowWhoeverReadsThem(t *testing.T) {
+func TestEnginesReachWantedStateForAnyReader(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		reader *otherEntry
 		within time.Duration
 	}{
-		{"another entry", &otherEntry{}, 2 * time.Second},
-		{"refuses", &otherEntry{err: errors.New("not here")}, 2 * time.Second},
-		{"silent", &otherEntry{silent: true}, 15 * time.Second},
+		{"reader answers", &otherEntry{}, 2 * time.Second},
+		{"reader refuses", &otherEntry{err: errors.New("not here")}, 2 * time.Second},
+		{"reader does not answer", &otherEntry{silent: true}, 15 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				d := &duty{fence: 1, until: time.Now().Add(time.Hour), es: map[string]*engine{}}
+				d := &fakeTenure{fence: 1, until: time.Now().Add(time.Hour), engines: map[string]*engine{}}
 				for _, r := range wantedAt(1).Runners {
-					d.es[r.Address] = &engine{checks: true, highest: ferryid.Fence(0), report: Report{Target: r.Target, Ready: true}}
+					d.engines[r.Address] = &engine{checks: true, highest: ferryid.Fence(0), report: Report{Target: r.Target, Ready: true}}
 				}
 				tc.reader.orders = New(Config{Tenure: d, Engine: d})
 				tc.reader.orders.Want(wantedAt(2))
--- a/ferry/ferryorder/split_rapid_test.go
+++ b/ferry/ferryorder/split_rapid_test.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// reading is an ask that another entry carries out, its answer on the way for however long.
+// reading is a group read by another entry, whose answer can be delayed.
 type reading struct {
 	from int
 	ask  GroupAsk
@@ -21,21 +21,21 @@
 	err  error
 }
 
-// splitWorld is an orderWorld whose engines are read by entries that hold older documents now and then, and answer late.
-type splitWorld struct {
-	*orderWorld
+// groupModel is an orderModel whose engines are read by entries that answer late and may have older documents.
+type groupModel struct {
+	*orderModel
 	readings []*reading
-	spent    time.Duration
+	elapsed  time.Duration
 }
 
-func (w *splitWorld) ask(h int) {
+func (w *groupModel) ask(h int) {
 	for _, a := range w.cores[h].Due(w.now) {
 		w.readings = append(w.readings, &reading{from: h, ask: a})
 	}
 }
 
-// read lets a reader that holds the document of the generation carry an ask out.
-func (w *splitWorld) carryOut(r *reading, g int, unread bool) {
+// execute runs a reading at a reader that has the document of generation g.
+func (w *groupModel) execute(r *reading, g int, unread bool) {
 	r.done = true
 	r.ans, r.err = ReadGroup(context.Background(), wantedAt(g), r.ask, func(_ context.Context, address string) (Report, error) {
 		if unread {
@@ -50,7 +50,7 @@
 	})
 }
 
-func (w *splitWorld) answer(i int) {
+func (w *groupModel) answer(i int) {
 	r := w.readings[i]
 	w.readings = append(w.readings[:i:i], w.readings[i+1:]...)
 	if !r.done || r.err != nil {
@@ -60,8 +60,8 @@
 	w.cores[r.from].Answered(r.ask, r.ans, w.now)
 }
 
-// split replaces the reading of all engines at once by asks, readings and answers, each at any time.
-func (w *splitWorld) split(acts map[string]func(*rapid.T), who func(*rapid.T) int) {
+// splitReads replaces the atomic read of all engines by separate actions for ask, read and answer.
+func (w *groupModel) splitReads(acts map[string]func(*rapid.T), chooseEntry func(*rapid.T) int) {
 	pick := func(rt *rapid.T) int {
 		if len(w.readings) == 0 {
 			rt.Skip()
@@ -69,28 +69,28 @@
 		return rapid.IntRange(0, len(w.readings)-1).Draw(rt, "reading")
 	}
 	delete(acts, "read")
-	acts["ask"] = func(rt *rapid.T) { w.ask(who(rt)) }
+	acts["ask"] = func(rt *rapid.T) { w.ask(chooseEntry(rt)) }
 	acts["carry out"] = func(rt *rapid.T) {
 		r := w.readings[pick(rt)]
 		if r.done {
 			rt.Skip()
 		}
-		g := max(1, w.g-rapid.IntRange(0, 1).Draw(rt, "behind"))
-		w.carryOut(r, g, rapid.IntRange(0, 9).Draw(rt, "unread") == 0)
+		g := max(1, w.generation-rapid.IntRange(0, 1).Draw(rt, "behind"))
+		w.execute(r, g, rapid.IntRange(0, 9).Draw(rt, "unread") == 0)
 	}
 	acts["answer"] = func(rt *rapid.T) { w.answer(pick(rt)) }
 	acts["round"] = func(rt *rapid.T) {
-		h := who(rt)
+		h := chooseEntry(rt)
 		w.ask(h)
 		for len(w.readings) > 0 {
-			w.carryOut(w.readings[0], w.g, false)
+			w.execute(w.readings[0], w.generation, false)
 			w.answer(0)
 		}
 		w.decide(h)
 	}
 	acts["time"] = func(rt *rapid.T) {
 		d := time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond
-		if w.spent += d; w.spent < orderPatience {
+		if w.elapsed += d; w.elapsed < orderTimeout {
 			w.now = w.now.Add(d)
 		}
 	}
@@ -99,13 +99,13 @@
 func TestLastCopyStaysInServiceWhenOthersReadLate(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &splitWorld{orderWorld: newOrderWorld(func(int) bool { return true })}
+		w := &groupModel{orderModel: newOrderModel(func(int) bool { return true })}
 		w.cores[w.holder].bucket.pace = Pace{}
 		acts := w.actions(false)
-		w.split(acts, func(*rapid.T) int { return w.holder })
+		w.splitReads(acts, func(*rapid.T) int { return w.holder })
 		acts[""] = func(rt *rapid.T) {
 			if !w.serving() {
-				rt.Fatalf("no whole pipeline is in service")
+				rt.Fatalf("no complete pipeline is in service")
 			}
 		}
 		rt.Repeat(acts)
@@ -116,14 +116,14 @@
 func TestStaleHoldersNeverDecideTheEndWhenOthersReadLate(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &splitWorld{orderWorld: newOrderWorld(func(i int) bool { return i%2 == 0 })}
+		w := &groupModel{orderModel: newOrderModel(func(i int) bool { return i%2 == 0 })}
 		highest := make([]ferryid.Fence, len(w.engines))
 		acts := w.actions(true)
-		w.split(acts, func(rt *rapid.T) int { return rapid.IntRange(0, 1).Draw(rt, "entry") })
+		w.splitReads(acts, func(rt *rapid.T) int { return rapid.IntRange(0, 1).Draw(rt, "entry") })
 		acts[""] = func(rt *rapid.T) {
 			for i, e := range w.engines {
 				if e.checks && e.highest < highest[i] {
-					rt.Fatalf("engine %d took fence %d after %d", i, e.highest, highest[i])
+					rt.Fatalf("engine %d accepted fencing number %d after %d", i, e.highest, highest[i])
 				}
 				highest[i] = e.highest
 			}
@@ -133,7 +133,7 @@
 	})
 }
 
-// manyRunners are engines of one document, half a pipeline each.
+// manyRunners returns a wanted state with n engines, each with half of the layers.
 func manyRunners(n int) Wanted {
 	w := Wanted{Service: "herd-llm", Generation: 1, Layers: 4}
 	for i := range n {
@@ -143,9 +143,9 @@
 	return w
 }
 
-func TestReadingsAtRestAreBounded(t *testing.T) {
+func TestIdleReadRate(t *testing.T) {
 	for _, tc := range []struct {
-		engines, readings int // of 20 s
+		engines, readings int // expected within 20 s
 	}{
 		{4, 40}, {40, 400}, {160, 400}, {1600, 3200},
 	} {
@@ -156,7 +156,7 @@
 			c.SetFence(1)
 			seen := 0
 			for range 120 {
-				now = now.Add(quickInterval)
+				now = now.Add(minInterval)
 				for _, a := range c.Due(now) {
 					for i := range GroupSize {
 						if a.Engines.has(i) && now.Sub(time.Unix(1_800_000_000, 0)) > 10*time.Second {
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestAReaderWithAnotherDocumentRefuses(t *testing.T) {
+func TestReaderWithDifferentDocumentRefuses(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(2))
--- a/ferry/ferryorder/wanted.go
+++ b/ferry/ferryorder/wanted.go
@@ -5,24 +5,24 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// Runner is one engine of the document and the state it is wanted in.
+// Runner is one engine of the document with its wanted state.
 type Runner struct {
 	Name    ferryid.UpstreamName
 	Address string
 	Target  Target
 }
 
-// Wanted is what a service's document asks of its engines.
+// Wanted is the wanted state of a service's engines according to its document.
 type Wanted struct {
 	Service    ferryid.ServiceName
 	Generation ferryid.Generation
 	Layers     ferryid.Layer
 	Runners    []Runner
-	// Pace bounds how fast the engines load; without one that of the Config holds.
+	// Pace limits the load rate of the engines; if it is unset, that of the Config applies.
 	Pace Pace
 }
 
-// WantedOf reads the wanted state out of an accepted document.
+// WantedOf returns the wanted state of an accepted document.
 func WantedOf(g ferryid.Generation, d ferryservice.Document) Wanted {
 	w := Wanted{Service: d.Service, Generation: g, Layers: d.Model.Layers, Pace: Pace{LayersPerSecond: d.Model.LoadLayersPerSecond}}
 	if d.Kind != ferryservice.KindModel {
