--- a/ferry/ferrysteer/doc.go
+++ b/ferry/ferrysteer/doc.go
@@ -1,2 +1,2 @@
-// Package ferrysteer computes which entries a customer's callers are told to use.
+// Package ferrysteer computes the list of entries that a customer's callers should use.
 package ferrysteer
--- a/ferry/ferrysteer/steer.go
+++ b/ferry/ferrysteer/steer.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	leastShard      = 16
-	leastShardShare = 2.0 / 3
-	shardPerShare   = 4
-	shortLifetime   = 20 * time.Second
-	longLifetime    = 30 * time.Second
-	idlePermille    = 100
-	maxLoadFactor   = 3
+	minShardSize     = 16
+	minShardFraction = 2.0 / 3
+	shardFactor      = 4
+	minLifetime      = 20 * time.Second
+	maxLifetime      = 30 * time.Second
+	idlePermille     = 100
+	maxLoadFactor    = 3
 )
 
 // Target is one entry that a caller may use.
@@ -29,13 +29,13 @@
 	FailureDomain ferryid.DomainName `json:"FailureDomain"`
 }
 
-// Answer is the list of entries to try, in order, and how long it should be kept.
+// Answer is the ordered list of entries to try and its lifetime.
 type Answer struct {
 	Targets  []Target      `json:"Targets"`
 	Lifetime time.Duration `json:"Lifetime"`
 }
 
-// Customer is what steering needs to know of one customer.
+// Customer identifies a customer and its share of the work.
 type Customer struct {
 	Service ferryid.ServiceName
 	Name    ferryid.CustomerName
@@ -44,27 +44,29 @@
 	Shares float64
 }
 
-// Choose returns the entries of the customer's shuffle shard that are ready, in an order drawn for this one call.
+// Choose returns the usable entries of the customer's shuffle shard in a pseudo-random order for one call.
 //
-// The draw prefers less loaded entries, and the entries of one failure domain do not follow one another
-// while there are others. The key distinguishes calls, for example a request id: callers that hold
-// answers from different calls spread over the shard also when all answers are a minute old.
+// Less loaded entries are preferred, and consecutive entries are from different failure domains if possible.
+// The key distinguishes calls, for example a request ID. Callers with answers for different keys spread over the
+// shard even if all answers are a minute old.
 func Choose(ms ferrypeer.Members, c Customer, key string) Answer {
 	return Order(Shard(ms, c), key)
 }
 
-// Order returns the answer for one call from a shard, which may be kept for as long as the members and their states stay the same.
+// Order returns the answer for one call from a shard.
+// The shard may be cached until the members or their states change.
 func Order(shard []ferrypeer.MemberInfo, key string) Answer {
 	drawn := draw(shard, key)
-	spread := time.Duration(unit(xxhash.Sum64String(key)) * float64(longLifetime-shortLifetime))
-	a := Answer{Targets: make([]Target, 0, len(drawn)), Lifetime: shortLifetime + spread.Truncate(time.Millisecond)}
-	for _, m := range apart(drawn) {
+	spread := time.Duration(unit(xxhash.Sum64String(key)) * float64(maxLifetime-minLifetime))
+	a := Answer{Targets: make([]Target, 0, len(drawn)), Lifetime: minLifetime + spread.Truncate(time.Millisecond)}
+	for _, m := range interleaveDomains(drawn) {
 		a.Targets = append(a.Targets, Target{Name: m.Name, Address: m.CallerAddress, FailureDomain: m.FailureDomain})
 	}
 	return a
 }
 
-// Shard returns the ready entries that serve the customer: two thirds of them up to 16, spread over the failure domains, and more for a larger share.
+// Shard returns the customer's shuffle shard of the usable entries, spread over the failure domains.
+// Its size is two thirds of the entries, at most 16, and more for customers with a large share.
 func Shard(ms ferrypeer.Members, c Customer) []ferrypeer.MemberInfo {
 	key := xxhash.Sum64String(string(c.Service) + "\x00" + string(c.Name))
 	all := make([]scored, 0, len(ms.List))
@@ -74,10 +76,10 @@
 		}
 	}
 	sortScored(all)
-	return values(apart(all)[:shardSize(len(all), c)])
+	return toMembers(interleaveDomains(all)[:shardSize(len(all), c)])
 }
 
-// scored is a member with its place in an order; the lowest score comes first.
+// scored is a member with a sort score; the lowest score comes first.
 type scored struct {
 	*ferrypeer.MemberInfo
 	score float64
@@ -89,7 +91,7 @@
 	})
 }
 
-func values(ms []scored) []ferrypeer.MemberInfo {
+func toMembers(ms []scored) []ferrypeer.MemberInfo {
 	out := make([]ferrypeer.MemberInfo, len(ms))
 	for i, m := range ms {
 		out[i] = *m.MemberInfo
@@ -97,17 +99,18 @@
 	return out
 }
 
-// shardSize is large enough to keep the entries' load even when some customers' load rises while callers hold old answers, and grows with the customer's share.
+// shardSize returns the size of the customer's shard, which grows with its share.
+// It keeps the entries evenly loaded even if some customers' load rises while callers still use old answers.
 func shardSize(n int, c Customer) int {
-	part := 0.0
+	fraction := 0.0
 	if c.Shares > 0 && c.Share > 0 {
-		part = min(1, c.Share/c.Shares)
+		fraction = min(1, c.Share/c.Shares)
 	}
-	least := min(leastShard, int(math.Ceil(leastShardShare*float64(n))))
-	return min(n, max(least, int(math.Ceil(shardPerShare*part*float64(n)))))
+	minSize := min(minShardSize, int(math.Ceil(minShardFraction*float64(n))))
+	return min(n, max(minSize, int(math.Ceil(shardFactor*fraction*float64(n)))))
 }
 
-// draw orders members by a weighted draw without replacement; the weight falls with the load.
+// draw orders members by weighted random sampling without replacement; the weight falls with the load.
 func draw(ms []ferrypeer.MemberInfo, key string) []scored {
 	mean := meanLoad(ms)
 	call := xxhash.Sum64String(key)
@@ -115,13 +118,13 @@
 	for i := range ms {
 		m := &ms[i]
 		u := unit(call ^ xxhash.Sum64String(string(m.Name)))
-		out[i] = scored{MemberInfo: m, score: -math.Log(u) / room(m.Load, mean)}
+		out[i] = scored{MemberInfo: m, score: -math.Log(u) / loadWeight(m.Load, mean)}
 	}
 	sortScored(out)
 	return out
 }
 
-// unit returns a number in (0, 1) that is the same each time for one hash.
+// unit maps a hash to a number in (0, 1).
 func unit(h uint64) float64 {
 	return (float64(mix(h)>>11) + 0.5) / (1 << 53)
 }
@@ -134,8 +137,9 @@
 	return x ^ x>>31
 }
 
-// room is the weight of a member: the square of the mean load over its own, within bounds that keep late reports from swinging everybody to one entry.
-func room(l ferrypeer.Load, mean float64) float64 {
+// loadWeight returns the weight of a member: the squared ratio of the mean load to its own load.
+// The weight is bounded, so that stale load reports do not direct all callers to one entry.
+func loadWeight(l ferrypeer.Load, mean float64) float64 {
 	ratio := (mean + idlePermille) / (float64(l.Permille) + idlePermille)
 	return min(maxLoadFactor, max(1.0/maxLoadFactor, ratio*ratio))
 }
@@ -148,8 +152,8 @@
 	return sum / float64(max(1, len(ms)))
 }
 
-// apart keeps the order but takes one member of each failure domain before a second of any.
-func apart(ms []scored) []scored {
+// interleaveDomains keeps the order but takes one member of each failure domain before a second one of any.
+func interleaveDomains(ms []scored) []scored {
 	seen := map[ferryid.DomainName]int{}
 	rounds := make([]int, len(ms))
 	last := 0
--- a/ferry/ferrysteer/steer_test.go
+++ b/ferry/ferrysteer/steer_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	keepFor    = 60
-	reportLag  = 2
-	loadBound  = 1.25
-	callersPer = 4
+	answerLifetime        = 60
+	reportLag             = 2
+	loadBound             = 1.25
+	minCallersPerCustomer = 4
 )
 
 func membersOf(n, domains int) ferrypeer.Members {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// caller keeps one answer for a minute, and turns to the next entry in it when one is gone.
+// caller keeps an answer for a minute and fails over to the next entry in it if one is gone.
 type caller struct {
 	customer int
 	rate     float64
@@ -57,8 +57,8 @@
 	serial   int
 }
 
-// town is a set of callers before a set of entries, second by second.
-type town struct {
+// simulation simulates callers and entries in steps of one second.
+type simulation struct {
 	members   ferrypeer.Members
 	customers []ferrysteer.Customer
 	callers   []*caller
@@ -69,29 +69,29 @@
 	shards    map[int][]ferrypeer.MemberInfo
 }
 
-func newTown(entries, domains, customers, large int) *town {
-	w := &town{
+func newSimulation(entries, domains, customers, large int) *simulation {
+	w := &simulation{
 		members: membersOf(entries, domains), customers: customersOf(customers, large), gone: map[ferryid.EntryName]bool{},
 		shards: map[int][]ferrypeer.MemberInfo{}, rng: rand.New(rand.NewPCG(20261204, 1)), wave: 1,
 	}
 	for i, c := range w.customers {
-		n := max(callersPer, int(c.Share/c.Shares*float64(entries)*300))
+		n := max(minCallersPerCustomer, int(c.Share/c.Shares*float64(entries)*300))
 		for range n {
-			w.callers = append(w.callers, &caller{customer: i, rate: c.Share / c.Shares / float64(n), until: w.rng.IntN(keepFor)})
+			w.callers = append(w.callers, &caller{customer: i, rate: c.Share / c.Shares / float64(n), until: w.rng.IntN(answerLifetime)})
 		}
 	}
 	return w
 }
 
-// second lets one second pass and returns the highest load of a ready entry over the mean of the ready ones.
-func (w *town) second(t int) float64 {
+// step simulates one second and returns the ratio of the highest to the mean load of the ready entries.
+func (w *simulation) step(t int) float64 {
 	w.report()
 	load := map[ferryid.EntryName]float64{}
 	for i, c := range w.callers {
 		if c.answer.Targets == nil || t >= c.until {
 			c.serial++
 			c.answer = ferrysteer.Order(w.shard(c.customer), fmt.Sprintf("%d/%d", i, c.serial))
-			c.until = max(c.until, t) + keepFor
+			c.until = max(c.until, t) + answerLifetime
 		}
 		for _, target := range c.answer.Targets {
 			if !w.gone[target.Name] {
@@ -101,11 +101,11 @@
 		}
 	}
 	w.loads = append(w.loads, load)
-	return w.over(load)
+	return w.peakRatio(load)
 }
 
-// shard keeps who is in a customer's shard while no member's state changes, and shows their loads of now.
-func (w *town) shard(customer int) []ferrypeer.MemberInfo {
+// shard returns a customer's cached shard with the current loads.
+func (w *simulation) shard(customer int) []ferrypeer.MemberInfo {
 	if w.shards[customer] == nil {
 		w.shards[customer] = ferrysteer.Shard(w.members, w.customers[customer])
 	}
@@ -117,16 +117,16 @@
 	return out
 }
 
-// waveOf lets half of the customers take part in a wave.
-func (w *town) waveOf(c *caller) float64 {
+// waveOf returns the load factor of a caller; half of the customers take part in a load wave.
+func (w *simulation) waveOf(c *caller) float64 {
 	if c.customer%2 == 0 {
 		return w.wave
 	}
 	return 1
 }
 
-// report shows the members the loads of two seconds ago; the mean load is at half of the capacity.
-func (w *town) report() {
+// report sets the members' loads to those of reportLag seconds ago; the mean load is half of the capacity.
+func (w *simulation) report() {
 	if len(w.loads) < reportLag {
 		return
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (w *town) over(load map[ferryid.EntryName]float64) float64 {
+func (w *simulation) peakRatio(load map[ferryid.EntryName]float64) float64 {
 	most, sum, n := 0.0, 0.0, 0
 	for _, m := range w.members.List {
 		if m.Usable() && !w.gone[m.Name] {
@@ -149,27 +149,27 @@
 	return most / (sum / float64(n))
 }
 
-func (w *town) run(from, to int) float64 {
+func (w *simulation) run(from, to int) float64 {
 	worst := 0.0
 	for t := from; t < to; t++ {
-		worst = max(worst, w.second(t))
+		worst = max(worst, w.step(t))
 	}
 	return worst
 }
 
-// lose takes an entry away; the membership shows it some seconds later.
-func (w *town) lose(i int) { w.gone[w.members.List[i].Name] = true }
+// removeEntry removes an entry without updating the membership.
+func (w *simulation) removeEntry(i int) { w.gone[w.members.List[i].Name] = true }
 
-// phases are the highest loads over the mean while callers hold answers for a minute.
+// phases holds the highest ratio of maximum to mean load in each phase of the simulation.
 type phases struct{ steady, wave, loss, drain, end float64 }
 
-func (w *town) day() phases {
+func (w *simulation) runPhases() phases {
 	var p phases
 	w.run(0, 180)
 	p.steady = w.run(180, 240)
 	w.wave = 3
 	p.wave = w.run(240, 300)
-	w.lose(1)
+	w.removeEntry(1)
 	w.run(300, 306)
 	w.members.List[1].Status = ferrypeer.Dead
 	clear(w.shards)
@@ -182,17 +182,17 @@
 	return p
 }
 
-func TestEntriesLoadStaysEven(t *testing.T) {
+func TestEntryLoadIsEven(t *testing.T) {
 	for _, tc := range []struct {
 		name                               string
 		entries, domains, customers, large int
 	}{
-		{"today", 9, 3, 10, 3},
-		{"thirty", 30, 4, 300, 10},
+		{"9 entries", 9, 3, 10, 3},
+		{"30 entries", 30, 4, 300, 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTown(tc.entries, tc.domains, tc.customers, tc.large).day()
-			t.Logf("%d entries, %d customers: highest load over the mean: %+v", tc.entries, tc.customers, p)
+			p := newSimulation(tc.entries, tc.domains, tc.customers, tc.large).runPhases()
+			t.Logf("%d entries, %d customers: highest ratio of maximum to mean load: %+v", tc.entries, tc.customers, p)
 			for _, x := range []float64{p.steady, p.wave, p.loss, p.drain, p.end} {
 				assert.Check(t, x <= loadBound, "%.3f", x)
 			}
@@ -200,10 +200,10 @@
 	}
 }
 
-// BenchmarkEntriesLoadAtFullSize reports the highest load over the mean at 350 entries and 4,500 customers.
+// BenchmarkEntriesLoadAtFullSize reports the ratio of the highest to the mean load at 350 entries and 4,500 customers.
 func BenchmarkEntriesLoadAtFullSize(b *testing.B) {
 	for range b.N {
-		p := newTown(350, 8, 4500, 100).day()
+		p := newSimulation(350, 8, 4500, 100).runPhases()
 		b.ReportMetric(p.steady, "steady")
 		b.ReportMetric(p.wave, "wave")
 		b.ReportMetric(p.loss, "loss")
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestChooseLeavesOut(t *testing.T) {
+func TestChooseExcludesUnusable(t *testing.T) {
 	ms := membersOf(6, 3)
 	ms.List[0].State = ferrypeer.Draining
 	ms.List[1].Status = ferrypeer.Suspect
@@ -241,7 +241,7 @@
 	assert.Equal(t, len(ferrysteer.Choose(ferrypeer.Members{}, ferrysteer.Customer{}, "").Targets), 0)
 }
 
-func TestShardMovesLittle(t *testing.T) {
+func TestShardIsStable(t *testing.T) {
 	before, after := membersOf(50, 8), membersOf(51, 8)
 	moved, places := 0, 0
 	for _, c := range customersOf(500, 0) {
@@ -256,5 +256,5 @@
 			}
 		}
 	}
-	assert.Assert(t, moved*25 < places, "%d of %d places moved for one entry more", moved, places)
+	assert.Assert(t, moved*25 < places, "%d of %d shard places changed after one entry was added", moved, places)
 }
