--- a/ferry/ferryhealth/doc.go
+++ b/ferry/ferryhealth/doc.go
@@ -1,2 +1,3 @@
-// Package ferryhealth judges an upstream by the calls that it fails, takes it out for a while and lets it prove itself again.
+// Package ferryhealth is a circuit breaker for an upstream: it opens after failed calls for a time that grows
+// exponentially, and closes again after a successful trial call.
 package ferryhealth
--- a/ferry/ferryhealth/health.go
+++ b/ferry/ferryhealth/health.go
@@ -3,72 +3,74 @@
 import "time"
 
 const (
-	// unreachableFor and failedFor are the first times out; each further one in a row doubles.
-	unreachableFor = 400 * time.Millisecond
-	failedFor      = 300 * time.Millisecond
-	// refusedFor is the time out after a refusal; it doubles with each in a row up to refusedMost.
-	refusedFor  = 150 * time.Millisecond
-	refusedMost = 1200 * time.Millisecond
-	longestOut  = 4 * time.Second
-	// failuresToOut is how many failures in a row take an upstream out: single ones are the services' own.
-	failuresToOut = 3
-	// provingFor is how long after its time out an upstream gets only calls that can be sent again.
-	provingFor = 2 * time.Second
+	// unreachableBackoff and failedBackoff are the first open times; each consecutive one doubles.
+	unreachableBackoff = 400 * time.Millisecond
+	failedBackoff      = 300 * time.Millisecond
+	// refusedBackoff is the backoff after a refusal; it doubles with each consecutive refusal up to maxRefusedBackoff.
+	refusedBackoff    = 150 * time.Millisecond
+	maxRefusedBackoff = 1200 * time.Millisecond
+	maxOpenDuration   = 4 * time.Second
+	// failuresToOpen is the number of consecutive failures that open the breaker.
+	// Single failures are usually errors of the service and not of the upstream.
+	failuresToOpen = 3
+	// halfOpenDuration is how long after the open time the breaker admits only repeatable calls.
+	halfOpenDuration = 2 * time.Second
 )
 
-// Health is whether one upstream is out for a while; its zero value is that of an upstream that has failed nothing.
+// Health is the circuit breaker of one upstream; its zero value is closed.
 type Health struct {
-	until time.Time
-	out   time.Duration
-	fails int
-	prove bool
-	// full is the time out after the last refusal.
-	full time.Duration
+	openUntil time.Time
+	openFor   time.Duration
+	failures  int
+	tripped   bool
+	// refusedFor is the backoff after the last refusal.
+	refusedFor time.Duration
 }
 
-// Usable reports whether the upstream may be chosen; after a time out it proves itself first on calls that can be sent again.
+// Usable reports whether the upstream may be chosen.
+// After its open time the breaker is half-open and admits only repeatable calls for halfOpenDuration.
 func (h *Health) Usable(now time.Time, repeatable bool) bool {
-	if now.Before(h.until) {
+	if now.Before(h.openUntil) {
 		return false
 	}
-	return !h.prove || repeatable || now.Sub(h.until) > provingFor
+	return !h.tripped || repeatable || now.Sub(h.openUntil) > halfOpenDuration
 }
 
-// Chosen keeps an upstream that is proving itself to one call at a time.
+// Chosen records that the upstream was chosen; a half-open breaker admits one trial call at a time.
 func (h *Health) Chosen(now time.Time) {
-	if h.prove {
-		h.until = now.Add(failedFor)
+	if h.tripped {
+		h.openUntil = now.Add(failedBackoff)
 	}
 }
 
-// Succeeded notes a call that went well, which ends all doubt.
+// Succeeded records a successful call, which closes the breaker and resets all backoffs.
 func (h *Health) Succeeded() { *h = Health{} }
 
-// Failed notes a call that the upstream failed.
+// Failed records a failed call; it opens the breaker after failuresToOpen consecutive failures, or if it is half-open.
 func (h *Health) Failed(now time.Time) {
-	h.fails++
-	if h.fails >= failuresToOut || h.prove {
-		h.takeOut(now, failedFor)
+	h.failures++
+	if h.failures >= failuresToOpen || h.tripped {
+		h.open(now, failedBackoff)
 	}
 }
 
-// Unreachable notes that no connection could be had.
+// Unreachable records a failed connection attempt, which opens the breaker.
 func (h *Health) Unreachable(now time.Time) {
-	h.fails++
-	h.takeOut(now, unreachableFor)
+	h.failures++
+	h.open(now, unreachableBackoff)
 }
 
-// Refused notes that the upstream had no room.
+// Refused records that the upstream refused a call for lack of capacity, which excludes it for a short backoff.
 func (h *Health) Refused(now time.Time) {
-	if !now.Before(h.until) {
-		h.full = min(max(2*h.full, refusedFor), refusedMost)
+	if !now.Before(h.openUntil) {
+		h.refusedFor = min(max(2*h.refusedFor, refusedBackoff), maxRefusedBackoff)
 	}
-	if until := now.Add(h.full); h.until.Before(until) {
-		h.until = until
+	if until := now.Add(h.refusedFor); h.openUntil.Before(until) {
+		h.openUntil = until
 	}
 }
 
-func (h *Health) takeOut(now time.Time, least time.Duration) {
-	h.out = min(max(2*h.out, least), longestOut)
-	h.until, h.prove = now.Add(h.out), true
+func (h *Health) open(now time.Time, minOpen time.Duration) {
+	h.openFor = min(max(2*h.openFor, minOpen), maxOpenDuration)
+	h.openUntil, h.tripped = now.Add(h.openFor), true
 }
--- a/ferry/ferryhealth/health_test.go
+++ b/ferry/ferryhealth/health_test.go
@@ -7,55 +7,55 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSingleFailuresAreTheServicesOwn(t *testing.T) {
+func TestSingleFailuresDoNotOpen(t *testing.T) {
 	now := time.Unix(100, 0)
 	var h Health
-	for range failuresToOut - 1 {
+	for range failuresToOpen - 1 {
 		h.Failed(now)
 		assert.Assert(t, h.Usable(now, false))
 	}
 	h.Succeeded()
 	h.Failed(now)
-	assert.Assert(t, h.Usable(now, false), "a success in between ends the doubt")
+	assert.Assert(t, h.Usable(now, false), "a success must reset the failure count")
 }
 
-func TestTimeOutsDoubleAndEndOnCallsThatCanBeSentAgain(t *testing.T) {
+func TestOpenTimeDoublesAndTrialCallCloses(t *testing.T) {
 	now := time.Unix(100, 0)
 	var h Health
 	h.Unreachable(now)
 	assert.Assert(t, !h.Usable(now, true))
-	now = now.Add(unreachableFor)
+	now = now.Add(unreachableBackoff)
 	assert.Assert(t, h.Usable(now, true))
-	assert.Assert(t, !h.Usable(now, false), "a call that must not repeat waits until the upstream has proved itself")
+	assert.Assert(t, !h.Usable(now, false), "a half-open breaker must not admit a non-repeatable call")
 	h.Chosen(now)
-	assert.Assert(t, !h.Usable(now, true), "one call at a time proves it")
+	assert.Assert(t, !h.Usable(now, true), "a half-open breaker must admit one trial call at a time")
 	h.Unreachable(now)
-	assert.Assert(t, !h.Usable(now.Add(2*unreachableFor-1), true))
-	assert.Assert(t, h.Usable(now.Add(2*unreachableFor), true))
+	assert.Assert(t, !h.Usable(now.Add(2*unreachableBackoff-1), true))
+	assert.Assert(t, h.Usable(now.Add(2*unreachableBackoff), true))
 	for range 20 {
 		h.Unreachable(now)
 	}
-	assert.Assert(t, h.Usable(now.Add(longestOut), true))
+	assert.Assert(t, h.Usable(now.Add(maxOpenDuration), true))
 	h.Succeeded()
 	assert.Assert(t, h.Usable(now, false))
 }
 
-func TestAFullUpstreamIsOutForAMoment(t *testing.T) {
+func TestRefusalBackoff(t *testing.T) {
 	now := time.Unix(100, 0)
 	var h Health
 	h.Refused(now)
 	assert.Assert(t, !h.Usable(now, true))
-	h.Refused(now.Add(refusedFor / 2)) // one that was under way
-	now = now.Add(3 * refusedFor / 2)
+	h.Refused(now.Add(refusedBackoff / 2)) // a call in flight when the first was refused
+	now = now.Add(3 * refusedBackoff / 2)
 	assert.Assert(t, h.Usable(now, false))
 	for range 10 {
 		h.Refused(now)
-		now = now.Add(refusedMost)
+		now = now.Add(maxRefusedBackoff)
 		assert.Assert(t, h.Usable(now, false))
 	}
 	h.Refused(now)
-	assert.Assert(t, !h.Usable(now.Add(refusedMost-1), true), "one that goes on refusing is asked less often")
+	assert.Assert(t, !h.Usable(now.Add(maxRefusedBackoff-1), true), "consecutive refusals must increase the backoff")
 	h.Succeeded()
 	h.Refused(now)
-	assert.Assert(t, h.Usable(now.Add(refusedFor), true))
+	assert.Assert(t, h.Usable(now.Add(refusedBackoff), true))
 }
