--- a/ferry/ferryevent/doc.go
+++ b/ferry/ferryevent/doc.go
@@ -1,2 +1,3 @@
-// Package ferryevent keeps the time line: a bounded ring of typed events in each process, with hybrid logical timestamps that merge in causal order.
+// Package ferryevent implements the time line: each process has a bounded ring buffer of typed events, whose hybrid
+// logical timestamps allow merging the events of several processes in causal order.
 package ferryevent
--- a/ferry/ferryevent/event.go
+++ b/ferry/ferryevent/event.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryring"
 )
 
-// Timestamp is a hybrid logical timestamp: wall time in microseconds and a counter among equal times.
+// Timestamp is a hybrid logical timestamp: wall time in microseconds and a counter for equal times.
 type Timestamp struct {
 	Micros  int64  `json:"Micros" cbor:"1,keyasint"`
 	Logical uint32 `json:"Logical" cbor:"2,keyasint"`
@@ -28,7 +28,7 @@
 	return time.UnixMicro(t.Micros).UTC()
 }
 
-// Event is one thing that happened in one process.
+// Event is an event of one process.
 type Event struct {
 	At      Timestamp `json:"At" cbor:"1,keyasint"`
 	Process string    `json:"Process" cbor:"2,keyasint"`
@@ -44,7 +44,7 @@
 // Events is a list of events.
 type Events []Event
 
-// Merge returns all events of all lists in causal order.
+// Merge merges lists of events in causal order.
 func Merge(lists ...Events) Events {
 	var out Events
 	for _, l := range lists {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// Log is one process's ring of events; the oldest give way when it is full.
+// Log is the event ring buffer of one process; when it is full, the oldest event is overwritten.
 type Log struct {
 	clock   clockwork.Clock
 	process string
@@ -70,7 +70,7 @@
 	return &Log{clock: clock, process: process, ring: ferryring.NewDropOldest[Event](size)}
 }
 
-// Add records an event now.
+// Add records an event with the current time.
 func (l *Log) Add(kind, subject, format string, args ...any) {
 	detail := format
 	if len(args) > 0 {
@@ -79,14 +79,14 @@
 	l.ring.Add(Event{At: l.Now(), Process: l.process, Kind: kind, Subject: subject, Detail: detail})
 }
 
-// Now returns a timestamp later than every one returned or witnessed before.
+// Now returns a timestamp later than any returned or witnessed before.
 func (l *Log) Now() Timestamp {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.advance(Timestamp{})
 }
 
-// Witness moves the log's clock past a timestamp that came with a message.
+// Witness advances the log's clock past a timestamp received in a message.
 func (l *Log) Witness(t Timestamp) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ferry/ferryevent/event_test.go
+++ b/ferry/ferryevent/event_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTimestampsRiseEvenWhenTheClockStandsOrGoesBack(t *testing.T) {
+func TestTimestampsAreMonotonic(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(100, 0))
 	l := NewLog(clock, "a", 4)
 	first := l.Now()
@@ -19,7 +19,7 @@
 	assert.Assert(t, third.Compare(Timestamp{Micros: time.Unix(200, 0).UnixMicro(), Logical: 3}) > 0)
 }
 
-func TestOldestEventsGiveWay(t *testing.T) {
+func TestOldestEventsAreOverwritten(t *testing.T) {
 	l := NewLog(clockwork.NewFakeClock(), "a", 2)
 	for _, k := range []string{"1", "2", "3"} {
 		l.Add(k, "", "")
--- a/ferry/ferryevent/trace.go
+++ b/ferry/ferryevent/trace.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// traceEvent is one event of the trace-event format that browsers' trace viewers open.
+// traceEvent is an event in the Trace Event Format, which is read by browsers' trace viewers.
 type traceEvent struct {
 	Name  string    `json:"name"`
 	Cat   string    `json:"cat,omitempty"`
@@ -36,7 +36,8 @@
 	scopeProcess  = "p"
 )
 
-// WriteTrace writes the events in the trace-event format, one row a process; times are microseconds since the first event.
+// WriteTrace writes the events in the Trace Event Format, with one row per process.
+// Times are in microseconds since the first event.
 func (es Events) WriteTrace(w io.Writer) error {
 	out := trace{TraceEvents: []traceEvent{}, DisplayTimeUnit: "ms"}
 	var processes []string
@@ -49,7 +50,7 @@
 	for i, p := range processes {
 		out.TraceEvents = append(out.TraceEvents, traceEvent{Name: "process_name", Phase: phaseMetadata, PID: i + 1, Args: traceArgs{Name: p}})
 	}
-	start := es.first()
+	start := es.firstMicros()
 	for _, e := range es {
 		out.TraceEvents = append(out.TraceEvents, traceEvent{
 			Name:  e.Kind,
@@ -66,7 +67,7 @@
 	return enc.Encode(out)
 }
 
-func (es Events) first() int64 {
+func (es Events) firstMicros() int64 {
 	if len(es) == 0 {
 		return 0
 	}
