--- a/ferry/ferryring/doc.go
+++ b/ferry/ferryring/doc.go
@@ -1,2 +1,2 @@
-// Package ferryring provides the bounded rings that join duties, each with a stated rule for what gives way when it is full.
+// Package ferryring provides bounded queues between goroutines, each with a defined overflow policy.
 package ferryring
--- a/ferry/ferryring/drop.go
+++ b/ferry/ferryring/drop.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// DropOldest is a bounded ring whose oldest item gives way when a new one finds it full.
+// DropOldest is a bounded ring buffer; when it is full, a new item overwrites the oldest.
 type DropOldest[T any] struct {
 	mu      sync.Mutex
 	items   []T
@@ -16,7 +16,7 @@
 	return &DropOldest[T]{items: make([]T, max(1, size))}
 }
 
-// Add appends an item and reports whether an older one gave way.
+// Add appends an item and reports whether the oldest one was overwritten.
 func (r *DropOldest[T]) Add(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,7 @@
 	return out
 }
 
-// Dropped counts the items that gave way since the start.
+// Dropped returns the number of overwritten items.
 func (r *DropOldest[T]) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ferry/ferryring/ring_test.go
+++ b/ferry/ferryring/ring_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCoalesceKeepsTheNewestOfAKey(t *testing.T) {
+func TestCoalesceKeepsNewestValue(t *testing.T) {
 	q := NewCoalesce[string, int](2)
 	assert.Assert(t, q.Put("a", 1))
 	assert.Assert(t, q.Put("b", 2))
