--- a/ferry/ferryclaim/answer.go
+++ b/ferry/ferryclaim/answer.go
@@ -6,68 +6,68 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Question asks an incarnation about one of its claims or tickets.
+// Question asks an incarnation for the state of one of its claims or tickets.
 type Question struct {
 	Ref Ref `cbor:"1,keyasint"`
 	// Body is the digest of the call that is being retried.
 	Body Digest `cbor:"2,keyasint"`
-	// Revoke asks it never to dispatch the claim if it has not yet.
+	// Revoke asks the incarnation never to dispatch the claim unless it already has.
 	Revoke bool `cbor:"3,keyasint"`
 }
 
-// Known is what an incarnation knows of a claim or ticket.
-type Known uint8
+// AnswerKind is the state of a claim or ticket as reported by an incarnation.
+type AnswerKind uint8
 
-// The answers to a Question.
+// The kinds of answers to a Question.
 const (
-	// NotMine means that the asked process is neither that incarnation nor its heir.
-	NotMine Known = 1
-	// NeverDispatched means that nothing was sent, and after a Question with Revoke nothing ever will be.
-	NeverDispatched Known = 2
-	// Dispatched means that it may have been sent and has not finished.
-	Dispatched Known = 3
-	// Finished means that the result is known.
-	Finished Known = 4
-	// Reused means that it was claimed for a call with another body.
-	Reused Known = 5
+	// AnswerNotAuthoritative means that the process asked is neither that incarnation nor its heir.
+	AnswerNotAuthoritative AnswerKind = 1
+	// AnswerNotDispatched means that nothing was sent; if the Question had Revoke set, nothing ever will be.
+	AnswerNotDispatched AnswerKind = 2
+	// AnswerDispatched means that the call may have been sent and has not finished.
+	AnswerDispatched AnswerKind = 3
+	// AnswerFinished means that the result is known.
+	AnswerFinished AnswerKind = 4
+	// AnswerReused means that the key or ticket was claimed for a call with another body.
+	AnswerReused AnswerKind = 5
 )
 
 // Answer is the answer to a Question.
 type Answer struct {
-	Known  Known  `cbor:"1,keyasint"`
-	Result Result `cbor:"2,keyasint"`
+	Kind   AnswerKind `cbor:"1,keyasint"`
+	Result Result     `cbor:"2,keyasint"`
 }
 
-// Asker asks other incarnations, over whatever joins the processes.
+// Asker sends questions to other incarnations over the peer transport.
 type Asker interface {
-	// Ask returns what the incarnation knows of a claim, or an error if it can't be reached or is gone.
+	// Ask returns the incarnation's answer, or an error if the incarnation is unreachable or has ended.
 	Ask(ctx context.Context, id ferryid.Incarnation, q Question) (Answer, error)
 }
 
-// answer is given at once and under the table's lock, so that a revoked claim can't be dispatched afterwards.
+// answer decides under the table's lock without waiting, so that a revoked claim can't be dispatched afterwards.
 func (t *table) answer(q Question) Answer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.answersFor(q.Ref.By) {
-		return Answer{Known: NotMine}
+	if !t.authoritativeFor(q.Ref.By) {
+		return Answer{Kind: AnswerNotAuthoritative}
 	}
 	o, ok := t.ops[q.Ref]
 	if !ok {
-		return Answer{Known: NeverDispatched}
+		return Answer{Kind: AnswerNotDispatched}
 	}
 	if o.Body != q.Body {
-		return Answer{Known: Reused}
+		return Answer{Kind: AnswerReused}
 	}
 	switch o.Phase {
 	case phaseDispatched:
-		return Answer{Known: Dispatched}
+		return Answer{Kind: AnswerDispatched}
 	case phaseFinished:
-		return Answer{Known: Finished, Result: o.Result}
+		return Answer{Kind: AnswerFinished, Result: o.Result}
 	case phasePending, phaseGranted:
 		if !q.Revoke {
-			return Answer{Known: Dispatched}
+			return Answer{Kind: AnswerDispatched}
 		}
 		o.Phase = phaseRevoked
 	}
-	return Answer{Known: NeverDispatched}
+	return Answer{Kind: AnswerNotDispatched}
 }
--- a/ferry/ferryclaim/attempt.go
+++ b/ferry/ferryclaim/attempt.go
@@ -7,9 +7,9 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-const maxTakeOvers = 4
+const maxClaimTries = 4
 
-// step is what an attempt wants done next.
+// step is the next action that an attempt requires of its driver.
 type step interface{ isStep() }
 
 // submitStep sends a request to the key's slot and waits for the verdict.
@@ -24,7 +24,7 @@
 // grantStep ends the attempt: the call may be dispatched.
 type grantStep struct{ ref Ref }
 
-// endStep ends the attempt with an error for the caller, and gives the claim back if the platform may have it.
+// endStep ends the attempt with an error for the caller. It releases the claim if the claim may have been written.
 type endStep struct {
 	err     error
 	release *op
@@ -35,21 +35,21 @@
 func (grantStep) isStep()  {}
 func (endStep) isStep()    {}
 
-// stage says what an attempt waits for.
+// stage is the kind of reply that an attempt waits for.
 type stage uint8
 
 const (
 	stageClaim stage = iota
 	stageAsk
-	stageLook // the journal is read once more after the holder did not answer
+	stageReread // second read of the journal, after the holder did not answer
 )
 
-// attempt is the pure core of one Begin: it decides the next step from each answer.
+// attempt is the state machine behind Begin; it does no I/O and derives the next step from each reply.
 type attempt struct {
 	t       *table
 	call    Call
 	key     Digest
-	mine    op
+	claimed op
 	holder  Record
 	ticket  *Ticket
 	heirs   []ferryid.Incarnation
@@ -60,19 +60,19 @@
 
 func end(err error) step { return endStep{err: err} }
 
-// start begins the attempt.
+// start returns the first step.
 func (a *attempt) start(now time.Time) step {
 	if a.ticket != nil {
 		return a.startTicket(now)
 	}
 	a.key = keyDigest(a.call.Customer, a.call.Service, a.call.Key)
-	if o, ok := a.t.local(a.key); ok {
-		return a.known(o)
+	if o, ok := a.t.findByKey(a.key); ok {
+		return a.resolveKnown(o)
 	}
 	return a.claim(Ref{}, now)
 }
 
-func (a *attempt) known(o op) step {
+func (a *attempt) resolveKnown(o op) step {
 	if o.Body != a.call.Digest {
 		return end(keyReused())
 	}
@@ -84,52 +84,52 @@
 
 func (a *attempt) claim(replaces Ref, now time.Time) step {
 	a.tries++
-	if a.tries > maxTakeOvers {
+	if a.tries > maxClaimTries {
 		return end(inProgress())
 	}
 	o, ok := a.t.claim(a.call, a.key, now)
 	if !ok {
 		return end(draining())
 	}
-	a.mine = o
+	a.claimed = o
 	a.stage = stageClaim
 	rec := Record{Key: o.Key, Body: o.Body, Ref: o.Ref, State: StateClaimed, Until: o.Until.Unix()}
 	return submitStep{request{op: opClaim, rec: rec, replaces: replaces}}
 }
 
-// onVerdict takes the slot's verdict on the last request.
+// onVerdict handles the slot's verdict on the last request.
 func (a *attempt) onVerdict(v verdict, now time.Time) step {
 	switch v := v.(type) {
 	case granted:
-		if a.t.grant(a.mine.Ref) {
-			return grantStep{a.mine.Ref}
+		if a.t.grant(a.claimed.Ref) {
+			return grantStep{a.claimed.Ref}
 		}
-		return endStep{err: lostRight(), release: &a.mine}
+		return endStep{err: claimLost(), release: &a.claimed}
 	case refused:
-		return a.refused(v)
+		return a.onRefused(v)
 	case held:
-		if a.stage == stageLook {
-			return a.looked(v.rec, now)
+		if a.stage == stageReread {
+			return a.onReread(v.rec, now)
 		}
-		a.t.forget(a.mine.Ref)
-		return a.heldBy(v.rec)
+		a.t.forget(a.claimed.Ref)
+		return a.onHeld(v.rec)
 	}
-	return end(holderGone(a.holder.Ref))
+	return end(holderUnreachable(a.holder.Ref))
 }
 
-func (a *attempt) refused(v refused) step {
-	if a.stage == stageLook {
-		return end(holderGone(a.holder.Ref))
+func (a *attempt) onRefused(v refused) step {
+	if a.stage == stageReread {
+		return end(holderUnreachable(a.holder.Ref))
 	}
-	if v.sent {
-		a.t.release(a.mine.Ref)
-		return endStep{err: unclaimed(v.err), release: &a.mine}
+	if v.mayBeWritten {
+		a.t.release(a.claimed.Ref)
+		return endStep{err: claimFailed(v.err), release: &a.claimed}
 	}
-	a.t.forget(a.mine.Ref)
-	return end(unclaimed(v.err))
+	a.t.forget(a.claimed.Ref)
+	return end(claimFailed(v.err))
 }
 
-func (a *attempt) heldBy(rec Record) step {
+func (a *attempt) onHeld(rec Record) step {
 	a.holder = rec
 	if rec.Body != a.call.Digest {
 		return end(keyReused())
@@ -142,13 +142,13 @@
 	return askStep{rec.Ref.By, a.question()}
 }
 
-// looked is told what the journal says after the holder did not answer.
-func (a *attempt) looked(rec Record, now time.Time) step {
+// onReread handles the record that the journal holds after the holder did not answer.
+func (a *attempt) onReread(rec Record, now time.Time) step {
 	if rec.State == StateClaimed && rec.Ref == a.holder.Ref {
-		return end(holderGone(rec.Ref))
+		return end(holderUnreachable(rec.Ref))
 	}
 	if rec.State == StateFinished || rec.State == StateClaimed {
-		return a.heldBy(rec)
+		return a.onHeld(rec)
 	}
 	return a.claim(Ref{}, now)
 }
@@ -160,46 +160,46 @@
 	return Question{Ref: a.holder.Ref, Body: a.call.Digest, Revoke: true}
 }
 
-// onAnswer takes the answer of the incarnation asked last; an error counts as none.
+// onAnswer handles the reply of the incarnation asked last; an error is treated as no answer.
 func (a *attempt) onAnswer(id ferryid.Incarnation, ans Answer, err error, now time.Time) step {
-	if err != nil || ans.Known == NotMine {
-		return a.nextHeir()
+	if err != nil || ans.Kind == AnswerNotAuthoritative {
+		return a.askNextHeir()
 	}
-	switch ans.Known {
-	case Reused:
+	switch ans.Kind {
+	case AnswerReused:
 		return end(keyReused())
-	case Finished:
+	case AnswerFinished:
 		return end(replayOf(ans.Result))
-	case Dispatched:
+	case AnswerDispatched:
 		return end(inProgress())
-	case NeverDispatched:
+	case AnswerNotDispatched:
 		if a.ticket != nil {
-			return a.unusedElsewhere(id, now)
+			return a.onUnusedTicket(id, now)
 		}
 		return a.claim(a.holder.Ref, now)
 	}
-	return a.nextHeir()
+	return a.askNextHeir()
 }
 
-func (a *attempt) nextHeir() step {
+func (a *attempt) askNextHeir() step {
 	if len(a.heirs) > 0 {
 		id := a.heirs[0]
 		a.heirs = a.heirs[1:]
 		return askStep{id, a.question()}
 	}
 	if a.ticket != nil {
-		return end(holderGone(a.ticket.Ref))
+		return end(holderUnreachable(a.ticket.Ref))
 	}
-	a.stage = stageLook
-	return submitStep{request{op: opLook, rec: Record{Key: a.key}}}
+	a.stage = stageReread
+	return submitStep{request{op: opRead, rec: Record{Key: a.key}}}
 }
 
-func (a *attempt) unusedElsewhere(id ferryid.Incarnation, now time.Time) step {
+func (a *attempt) onUnusedTicket(id ferryid.Incarnation, now time.Time) step {
 	switch age := now.Sub(a.ticket.issued()); {
-	case age >= ticketMemory-purgeGrace:
-		return end(holderGone(a.ticket.Ref))
+	case age >= ticketRetention-purgeGrace:
+		return end(holderUnreachable(a.ticket.Ref))
 	case age >= TicketLifetime:
-		return end(ticketOld())
+		return end(ticketExpired())
 	}
 	p := ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun,
 		"only the entry %s may run this ticket; this call was not run", id)
@@ -221,33 +221,34 @@
 	case useGranted:
 		return grantStep{o.Ref}
 	case useKnown:
-		return a.known(o)
-	case useOld:
-		return end(ticketOld())
+		return a.resolveKnown(o)
+	case useExpired:
+		return end(ticketExpired())
 	case useClosed:
 		return end(draining())
 	}
-	return end(holderGone(a.ticket.Ref))
+	return end(holderUnreachable(a.ticket.Ref))
 }
 
-func ticketOld() error {
+func ticketExpired() error {
 	return ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun,
 		"the ticket is older than %s and was never used; ask for a new one", TicketLifetime)
 }
 
-// cancelled ends the attempt before its verdict has come.
-func (a *attempt) cancelled(err error) step {
+// onCancel ends an attempt whose context ended before the verdict arrived.
+func (a *attempt) onCancel(err error) step {
 	if a.ticket != nil {
-		return end(holderGone(a.ticket.Ref))
+		return end(holderUnreachable(a.ticket.Ref))
 	}
 	if a.stage != stageClaim {
-		return end(holderGone(a.holder.Ref))
+		return end(holderUnreachable(a.holder.Ref))
 	}
-	a.t.release(a.mine.Ref)
-	return end(notNow(err))
+	a.t.release(a.claimed.Ref)
+	return end(claimTimedOut(err))
 }
 
-// owns is answersFor for callers that don't hold the lock.
+// owns reports whether id is this incarnation or one whose heir it is.
+// Unlike authoritativeFor it takes the lock itself and ignores whether the table is closed.
 func (t *table) owns(id ferryid.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/bench_test.go
+++ b/ferry/ferryclaim/bench_test.go
@@ -13,7 +13,7 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// journalLoad drives the slots' cores with claims and their outcomes, and counts what the platform is asked.
+// journalLoad submits claims and their outcomes to the slots and counts the platform calls.
 type journalLoad struct {
 	store   *memStore
 	now     time.Time
@@ -40,12 +40,13 @@
 			return
 		}
 		run := slotRunner{core: c, store: l.store, clock: clockwork.NewFakeClock()}
-		c.done(l.now, a, run.do(context.Background(), a))
+		c.complete(l.now, a, run.do(context.Background(), a))
 	}
 }
 
-// second submits claims at the rate, 20 writes of each slot a second at most, and each outcome half a second later.
-func (l *journalLoad) second(r *rand.Rand, rate int, owners bool) {
+// runSecond simulates one second: claims at the given rate, at most 20 writes per slot,
+// and each outcome half a second after its claim.
+func (l *journalLoad) runSecond(r *rand.Rand, rate int, owners bool) {
 	const writes = 20
 	var finish []func()
 	for w := range writes {
@@ -61,7 +62,7 @@
 			core := l.cores[at][s]
 			rec := Record{Key: key, Body: key, Ref: Ref{l.cores[by][0].self, l.serials[by]}, State: StateClaimed, Until: l.now.Unix() + 86400}
 			core.submit(request{op: opClaim, rec: rec})
-			rec.State, rec.Result = StateFinished, Result{Outcome: ferryoutcome.Ran, Status: 200, Whole: true, Body: []byte(`{"Accepted":true}`)}
+			rec.State, rec.Result = StateFinished, Result{Outcome: ferryoutcome.Ran, Status: 200, Complete: true, Body: []byte(`{"Accepted":true}`)}
 			finish = append(finish, func() { core.submit(request{op: opFinish, rec: rec}) })
 		}
 		if w >= writes/2 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// BenchmarkJournal reports what 100 claims a second cost the platform at 9 entries, each b.Loop one second.
+// BenchmarkJournal reports the platform calls for 100 claims/s on 9 entries; each b.Loop simulates one second.
 func BenchmarkJournal(b *testing.B) {
 	for _, slots := range []int{9, 16, 64} {
 		for _, owners := range []bool{true, false} {
@@ -91,13 +92,13 @@
 				r := rand.New(rand.NewPCG(1, 2))
 				n := 0.0
 				for b.Loop() {
-					l.second(r, 100, owners)
+					l.runSecond(r, 100, owners)
 					n++
 				}
 				b.ReportMetric(float64(l.store.puts)/n, "puts/s")
 				b.ReportMetric(float64(l.store.gets)/n, "gets/s")
-				b.ReportMetric(float64(l.store.bytes)/n, "B-written/s")
-				b.ReportMetric(float64(l.store.got)/n, "B-read/s")
+				b.ReportMetric(float64(l.store.bytesWritten)/n, "B-written/s")
+				b.ReportMetric(float64(l.store.bytesRead)/n, "B-read/s")
 			})
 		}
 	}
@@ -118,7 +119,7 @@
 	}
 }
 
-// BenchmarkTicketCall issues a ticket and runs a call with it, which asks the platform nothing.
+// BenchmarkTicketCall issues a ticket and runs a call with it, without any platform call.
 func BenchmarkTicketCall(b *testing.B) {
 	c := New(Config{Self: "i1", Seal: testSeal(b), Slots: 1})
 	for b.Loop() {
@@ -132,7 +133,7 @@
 	}
 }
 
-// BenchmarkKeyCall claims a key and finishes, over a platform that answers at once.
+// BenchmarkKeyCall claims a key and finishes, on an in-memory store without latency.
 func BenchmarkKeyCall(b *testing.B) {
 	c := New(Config{Self: "i1", Seal: testSeal(b), Store: newMemStore()})
 	ctx, cancel := context.WithCancel(b.Context())
--- a/ferry/ferryclaim/claim.go
+++ b/ferry/ferryclaim/claim.go
@@ -55,30 +55,30 @@
 	return fmt.Sprintf("%s/%d", r.By, r.N)
 }
 
-// State is what the journal says of a claimed key.
+// State is the state of a claimed key in the journal.
 type State uint8
 
 // The states of a key in the journal.
 const (
 	// StateClaimed means that only the claiming incarnation knows whether the call was dispatched.
 	StateClaimed State = 1
-	// StateReleased means that the claim was given back before anything was sent.
+	// StateReleased means that the claim was released before anything was sent.
 	StateReleased State = 2
 	// StateFinished means that the outcome is recorded.
 	StateFinished State = 3
 )
 
-// Result is what came of a dispatched call.
+// Result is the result of a dispatched call.
 type Result struct {
 	Outcome ferryoutcome.Outcome `cbor:"1,keyasint"`
 	Status  int                  `cbor:"2,keyasint,omitempty"`
 	Header  http.Header          `cbor:"3,keyasint,omitempty"`
 	Body    []byte               `cbor:"4,keyasint,omitempty"`
-	// Whole says that Status, Header and Body are the whole response; it is false if that was too large to be kept.
-	Whole bool `cbor:"5,keyasint,omitempty"`
+	// Complete is true if Status, Header and Body are the complete response, false if it was too large to store.
+	Complete bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Check returns an error unless the result is sound.
+// Check returns an error if the result has an invalid status or outcome, or is too large to store.
 func (r Result) Check() error {
 	if r.Status < 0 || r.Status > 999 {
 		return fmt.Errorf("status %d is no HTTP status", r.Status)
@@ -100,8 +100,8 @@
 	return n
 }
 
-// kept returns the part of the result that is small enough to be kept.
-func (r Result) kept() Result {
+// truncated returns the result as it is stored: without header and body if they are too large.
+func (r Result) truncated() Result {
 	if r.size() <= maxResultBytes && len(r.Header) <= maxHeaderValues {
 		return r
 	}
@@ -114,7 +114,7 @@
 	Body  Digest `cbor:"2,keyasint"`
 	Ref   Ref    `cbor:"3,keyasint"`
 	State State  `cbor:"4,keyasint"`
-	// Until is when the key is no longer recognised, in Unix seconds.
+	// Until is the time at which the key expires, in Unix seconds.
 	Until  int64  `cbor:"5,keyasint"`
 	Result Result `cbor:"6,keyasint"`
 }
@@ -123,7 +123,7 @@
 	return r.Until <= now.Unix()
 }
 
-// Call is one call that must not run twice; it carries a Key or a Ticket.
+// Call is one call that must not run twice; it has either a Key or a Ticket.
 type Call struct {
 	Customer ferryid.CustomerName
 	Service  ferryid.ServiceName
@@ -131,6 +131,6 @@
 	Ticket   string
 	// Digest is the digest of the call's method, path and body.
 	Digest Digest
-	// Retention is how long the key is recognised, from its claim and again from its outcome; 0 takes the default.
+	// Retention is the lifetime of the key, counted from its claim and again from its outcome; 0 means the default.
 	Retention time.Duration
 }
--- a/ferry/ferryclaim/claims.go
+++ b/ferry/ferryclaim/claims.go
@@ -19,26 +19,26 @@
 	purgeInterval    = time.Minute
 )
 
-// Config is what a Claims needs; Store, Seal and Self must be set.
+// Config configures a Claims; Store, Seal and Self are required.
 type Config struct {
-	// Self is this run of the process.
+	// Self is the incarnation of this process.
 	Self  ferryid.Incarnation
 	Store ferryplatform.Store
 	Seal  *Seal
 	Clock clockwork.Clock
-	// Asker reaches other incarnations; without one every other incarnation counts as gone.
+	// Asker queries other incarnations; without one, every other incarnation is treated as unreachable.
 	Asker Asker
-	// Forwarder reaches the owners of slots; without one every entry writes for itself.
+	// Forwarder forwards writes to the owners of slots; without one, every entry writes its own.
 	Forwarder Forwarder
-	// Live lists the live entries, this one included, among which heirs and owners of slots are found.
+	// Live lists the live entries, including this one, from which heirs and slot owners are chosen.
 	Live func() []ferryid.Incarnation
-	// Slots is the number of journal objects and must be the same in all entries, 16 if 0.
+	// Slots is the number of journal objects and must be equal on all entries; 0 means 16.
 	Slots int
-	// Window is how long a slot waits for more claims before it writes.
+	// Window is how long a slot waits for further requests, to batch them in one write.
 	Window time.Duration
 }
 
-// Claims gives the right to run calls that must not run twice.
+// Claims grants claims on calls that must not run twice.
 type Claims struct {
 	cfg     Config
 	table   *table
@@ -46,7 +46,7 @@
 	slots   []*slotRunner
 }
 
-// New returns a Claims, which works while Run does.
+// New returns a Claims; Run must be running for it to grant keys.
 func New(cfg Config) *Claims {
 	if cfg.Slots == 0 {
 		cfg.Slots = defaultSlots
@@ -61,7 +61,7 @@
 	return c
 }
 
-// Run carries the slots until the context is done.
+// Run runs the slots until the context is done and returns the context's error.
 func (c *Claims) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for _, s := range c.slots {
@@ -85,7 +85,7 @@
 	}
 }
 
-// IssueTicket returns a sealed ticket that lets one call of the customer to the service run once, within TicketLifetime.
+// IssueTicket returns a sealed ticket, which allows one call of the customer to the service within TicketLifetime.
 func (c *Claims) IssueTicket(cu ferryid.CustomerName, s ferryid.ServiceName) (string, error) {
 	t, ok := c.table.issue(Call{Customer: cu, Service: s}, c.cfg.Clock.Now())
 	if !ok {
@@ -94,7 +94,7 @@
 	return c.tickets.encode(t)
 }
 
-// Begin gives the right to run the call once, or returns a *Replay or a *ferryoutcome.Problem.
+// Begin claims the call and returns the claim, or a *Replay or a *ferryoutcome.Problem as the error.
 func (c *Claims) Begin(ctx context.Context, call Call) (*Claim, error) {
 	if call.Retention <= 0 {
 		call.Retention = defaultRetention
@@ -111,11 +111,11 @@
 		return nil, ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun,
 			"the idempotency key must have 1 to %d bytes", maxKeyBytes)
 	}
-	return c.drive(ctx, a)
+	return c.run(ctx, a)
 }
 
-// drive does the steps of an attempt until it ends.
-func (c *Claims) drive(ctx context.Context, a *attempt) (*Claim, error) {
+// run executes the steps of an attempt until it ends.
+func (c *Claims) run(ctx context.Context, a *attempt) (*Claim, error) {
 	st := a.start(c.cfg.Clock.Now())
 	for {
 		switch s := st.(type) {
@@ -140,7 +140,7 @@
 		return c.table.answer(s.q), nil
 	}
 	if c.cfg.Asker == nil {
-		return Answer{Known: NotMine}, nil
+		return Answer{Kind: AnswerNotAuthoritative}, nil
 	}
 	return c.cfg.Asker.Ask(ctx, s.id, s.q)
 }
@@ -149,25 +149,25 @@
 	got := make(chan verdict, 1)
 	r.reply = func(v verdict) {
 		got <- v
-		c.releaseLate(r, v)
+		c.releaseAbandoned(r, v)
 	}
-	if !c.slot(r.rec.Key).post(ctx, r) {
-		return a.cancelled(ctx.Err())
+	if !c.slot(r.rec.Key).postClaim(ctx, r) {
+		return a.onCancel(ctx.Err())
 	}
 	select {
 	case v := <-got:
 		return a.onVerdict(v, c.cfg.Clock.Now())
 	case <-ctx.Done():
-		st := a.cancelled(ctx.Err())
+		st := a.onCancel(ctx.Err())
 		if len(got) > 0 {
-			c.releaseLate(r, <-got)
+			c.releaseAbandoned(r, <-got)
 		}
 		return st
 	}
 }
 
-// releaseLate gives back a claim that was granted after its caller had gone.
-func (c *Claims) releaseLate(r request, v verdict) {
+// releaseAbandoned releases a claim that was granted after its caller had left.
+func (c *Claims) releaseAbandoned(r request, v verdict) {
 	if r.op != opClaim || !c.table.revoked(r.rec.Ref) {
 		return
 	}
@@ -175,7 +175,7 @@
 	case granted:
 		c.writeRelease(op{Ref: r.rec.Ref, Key: r.rec.Key, Body: r.rec.Body, Until: time.Unix(r.rec.Until, 0)})
 	case refused:
-		if !v.sent {
+		if !v.mayBeWritten {
 			c.table.forget(r.rec.Ref)
 		}
 	case held:
@@ -188,10 +188,10 @@
 	c.write(request{op: opRelease, rec: rec})
 }
 
-// write hands the slot a request that must not be lost; the operation is forgotten once it is written.
+// write posts a request that must not be lost to its slot; the operation is forgotten once it is written.
 func (c *Claims) write(r request) {
 	r.reply = func(verdict) { c.table.forget(r.rec.Ref) }
-	c.slot(r.rec.Key).postAlways(r)
+	c.slot(r.rec.Key).postUnbounded(r)
 }
 
 func (c *Claims) slot(k Digest) *slotRunner {
@@ -211,12 +211,13 @@
 	return order[:min(len(order), maxHeirsAsked)]
 }
 
-// Answer answers another entry's question about a claim or ticket of this incarnation or of one whose heir it is.
+// Answer answers a question from another entry about a claim or ticket of this incarnation
+// or of one whose heir it is.
 func (c *Claims) Answer(q Question) Answer {
 	return c.table.answer(q)
 }
 
-// Flush waits until every outcome and release so far is on the platform.
+// Flush waits until every outcome and release recorded so far has been written to the platform.
 func (c *Claims) Flush(ctx context.Context) error {
 	for _, s := range c.slots {
 		if err := s.flush(ctx); err != nil {
@@ -226,7 +227,8 @@
 	return nil
 }
 
-// HandOver ends all granting here and returns, sealed, what the heir has to know; once an heir is named, another is refused with a *HeirError.
+// HandOver stops all granting here and returns the sealed state for the heir.
+// A second call with another heir returns a *HeirError.
 func (c *Claims) HandOver(heir ferryid.Incarnation) ([]byte, error) {
 	h, err := c.table.close(heir)
 	if err != nil {
@@ -239,7 +241,7 @@
 	return c.cfg.Seal.seal(handOverPurpose, b), nil
 }
 
-// TakeOver makes this incarnation the heir of the one that sealed the hand-over; a second delivery changes nothing.
+// TakeOver makes this incarnation the heir of the one that sealed the handover; it is idempotent.
 func (c *Claims) TakeOver(sealed []byte) error {
 	h, err := decodeHandOver(c.cfg.Seal, sealed)
 	if err != nil {
--- a/ferry/ferryclaim/claims_rapid_test.go
+++ b/ferry/ferryclaim/claims_rapid_test.go
@@ -12,9 +12,9 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// history plays one random history of faults and checks every promise after each step.
-func history(rt *rapid.T) {
-	w := newWorldSealing(3, rapid.SampledFrom([]int{100, sealBytes}).Draw(rt, "seal at"))
+// runHistory runs one random sequence of calls and faults and checks the invariants after each step.
+func runHistory(rt *rapid.T) {
+	w := newSimulationFlushing(3, rapid.SampledFrom([]int{100, tailFlushBytes}).Draw(rt, "flush bytes"))
 	faults := rapid.SampledFrom([]fault{faultNone, faultNone, faultNone, faultDown, faultLostApplied, faultLostDropped, faultLostLate})
 	down := false
 	w.store.fault = func(write bool) fault {
@@ -27,21 +27,23 @@
 		return faults.Draw(rt, "fault")
 	}
 	entry := rapid.IntRange(0, 2)
-	w.owners = func(t *try) *node {
+	w.chooseOwner = func(t *simCall) *simEntry {
 		if rapid.Bool().Draw(rt, "owner") {
-			return t.at
+			return t.entry
 		}
 		return w.entries[entry.Draw(rt, "owner")]
 	}
 	var tickets []Ticket
-	// A caller with a stale answer may still come to an entry that has handed over.
-	anyNode := func(rt *rapid.T) *node { return w.all[incarnation(rapid.IntRange(1, w.born).Draw(rt, "incarnation"))] }
-	pick := func() *try { return w.tries[rapid.IntRange(0, len(w.tries)-1).Draw(rt, "try")] }
+	// A caller with an outdated address may still reach an entry that has handed over.
+	anyEntry := func(rt *rapid.T) *simEntry {
+		return w.all[incarnation(rapid.IntRange(1, w.created).Draw(rt, "incarnation"))]
+	}
+	pick := func() *simCall { return w.calls[rapid.IntRange(0, len(w.calls)-1).Draw(rt, "try")] }
 	rt.Repeat(map[string]func(*rapid.T){
 		"begin": func(rt *rapid.T) {
 			key := rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key")
 			body := rapid.SampledFrom([]string{"one", "one", "one", "two"}).Draw(rt, "body")
-			w.begin(anyNode(rt), key, nil, body)
+			w.begin(anyEntry(rt), key, nil, body)
 		},
 		"issue": func(rt *rapid.T) {
 			c := Call{Customer: "c", Service: "s"}
@@ -54,22 +56,22 @@
 				rt.Skip()
 			}
 			tk := rapid.SampledFrom(tickets).Draw(rt, "ticket")
-			w.begin(anyNode(rt), "ticket "+tk.Ref.String(), &tk, "one")
+			w.begin(anyEntry(rt), "ticket "+tk.Ref.String(), &tk, "one")
 		},
 		"step": func(rt *rapid.T) {
-			if len(w.tries) == 0 {
+			if len(w.calls) == 0 {
 				rt.Skip()
 			}
 			w.step(pick(), rapid.IntRange(0, 9).Draw(rt, "lose") == 0)
 		},
 		"finish": func(rt *rapid.T) {
-			if len(w.tries) == 0 {
+			if len(w.calls) == 0 {
 				rt.Skip()
 			}
 			w.finish(pick())
 		},
 		"cancel": func(rt *rapid.T) {
-			if len(w.tries) == 0 || rapid.IntRange(0, 2).Draw(rt, "rarely") > 0 {
+			if len(w.calls) == 0 || rapid.IntRange(0, 2).Draw(rt, "rarely") > 0 {
 				rt.Skip()
 			}
 			w.cancel(pick())
@@ -81,10 +83,10 @@
 				w.io(n)
 			}
 		},
-		"late writes land": func(*rapid.T) { w.store.land() },
+		"late writes land": func(*rapid.T) { w.store.applyLate() },
 		"platform":         func(rt *rapid.T) { down = rapid.IntRange(0, 3).Draw(rt, "down") == 0 },
 		"time": func(rt *rapid.T) {
-			ds := []time.Duration{time.Millisecond, 100 * time.Millisecond, 3 * time.Second, worldRetention / 3}
+			ds := []time.Duration{time.Millisecond, 100 * time.Millisecond, 3 * time.Second, simRetention / 3}
 			w.now = w.now.Add(rapid.SampledFrom(ds).Draw(rt, "time"))
 		},
 		"crash": func(rt *rapid.T) {
@@ -105,29 +107,30 @@
 			}
 		},
 	})
-	w.owners = nil
-	w.settleAll()
+	w.chooseOwner = nil
+	w.runUntilIdle()
 	checkRetries(rt, w, tickets)
 }
 
-// checkRetries retries every key and ticket without faults: Unknown is right only if a dead incarnation alone knew.
-func checkRetries(rt *rapid.T, w *world, tickets []Ticket) {
-	var last []*try
+// checkRetries retries every key and ticket without faults.
+// Unknown is allowed only if the outcome was known to a crashed incarnation alone.
+func checkRetries(rt *rapid.T, w *simulation, tickets []Ticket) {
+	var last []*simCall
 	for _, key := range []string{"a", "b"} {
 		last = append(last, w.begin(w.entries[0], key, nil, "one"))
 	}
 	for _, tk := range tickets {
 		last = append(last, w.begin(w.entries[0], "ticket "+tk.Ref.String(), &tk, "one"))
 	}
-	w.settleAll()
+	w.runUntilIdle()
 	for _, t := range last {
 		if !t.done {
-			rt.Fatalf("%s: the retry never ended, waits for %T", t.op, t.wait)
+			rt.Fatalf("%s: retry did not end, still waiting for %T", t.op, t.step)
 		}
 		var rep *Replay
 		unknown := !errors.As(t.err, &rep) && ferryoutcome.Of(t.err) == ferryoutcome.Unknown
-		if unknown && !w.tainted[t.op] && t.a.ticket == nil {
-			rt.Fatalf("%s: answered Unknown while its outcome was known: %v", t.op, t.err)
+		if unknown && !w.mayBeUnknown[t.op] && t.a.ticket == nil {
+			rt.Fatalf("%s: answered Unknown although its outcome was known: %v", t.op, t.err)
 		}
 	}
 	if len(w.failures) > 0 {
@@ -136,5 +139,5 @@
 }
 
 func TestHistoriesOfFaults(t *testing.T) {
-	rapid.Check(t, history)
+	rapid.Check(t, runHistory)
 }
--- a/ferry/ferryclaim/claims_test.go
+++ b/ferry/ferryclaim/claims_test.go
@@ -17,15 +17,15 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// fleet is a few entries over one platform, joined by direct calls, on the clock of a synctest bubble.
-type fleet struct {
+// testCluster is a few entries that share one fake platform and call each other directly, on a synctest clock.
+type testCluster struct {
 	platform *ferryplatformtest.Fake
 	claims   map[ferryid.Incarnation]*Claims
 	forwards atomic.Int32
 }
 
 // Ask implements Asker.
-func (f *fleet) Ask(_ context.Context, id ferryid.Incarnation, q Question) (Answer, error) {
+func (f *testCluster) Ask(_ context.Context, id ferryid.Incarnation, q Question) (Answer, error) {
 	c, ok := f.claims[id]
 	if !ok {
 		return Answer{}, errLost
@@ -34,7 +34,7 @@
 }
 
 // Forward implements Forwarder; every fifth answer is lost.
-func (f *fleet) Forward(ctx context.Context, id ferryid.Incarnation, ws []Write) ([]Decision, error) {
+func (f *testCluster) Forward(ctx context.Context, id ferryid.Incarnation, ws []Write) ([]Decision, error) {
 	c, ok := f.claims[id]
 	if !ok {
 		return nil, errLost
@@ -46,10 +46,10 @@
 	return ds, err
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	f := &fleet{platform: ferryplatformtest.New(clock), claims: map[ferryid.Incarnation]*Claims{}}
+	f := &testCluster{platform: ferryplatformtest.New(clock), claims: map[ferryid.Incarnation]*Claims{}}
 	seal, err := NewSeal(make([]byte, 32))
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -76,7 +76,7 @@
 
 func TestOneOfManyConcurrentCallsRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
+		f := newTestCluster(t, 3)
 		f.platform.SetFaults(ferryplatformtest.Faults{LoseAnswers: 3, LateEffectMS: 20})
 		var ran, not atomic.Int32
 		var wg sync.WaitGroup
@@ -90,7 +90,7 @@
 				}
 				if cl.Dispatching() == nil {
 					ran.Add(1)
-					cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 200, Whole: true, Body: []byte("fed")})
+					cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 200, Complete: true, Body: []byte("fed")})
 				}
 			})
 		}
@@ -101,14 +101,14 @@
 			_, err := c.Begin(t.Context(), call("k0"))
 			var rep *Replay
 			assert.Check(t, errors.As(err, &rep), "%v", err)
-			assert.Check(t, rep != nil && rep.Whole && string(rep.Body) == "fed")
+			assert.Check(t, rep != nil && rep.Complete && string(rep.Body) == "fed")
 		}
 	})
 }
 
-func TestPlatformDownRefusesKeysAndLetsTicketsRun(t *testing.T) {
+func TestPlatformDownRefusesKeysButRunsTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 1)
+		f := newTestCluster(t, 1)
 		f.platform.SetFaults(ferryplatformtest.Faults{Outage: true})
 		c := f.claims["i1"]
 		_, err := c.Begin(t.Context(), call("a"))
@@ -124,7 +124,7 @@
 		cl, err := c.Begin(t.Context(), byTicket)
 		assert.NilError(t, err)
 		assert.NilError(t, cl.Dispatching())
-		cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 204, Whole: true})
+		cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 204, Complete: true})
 		_, err = c.Begin(t.Context(), byTicket)
 		var rep *Replay
 		assert.Assert(t, errors.As(err, &rep))
@@ -134,7 +134,7 @@
 
 func TestHandOverNamesOneHeirOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
+		f := newTestCluster(t, 3)
 		sealed, err := f.claims["i1"].HandOver("i2")
 		assert.NilError(t, err)
 		_, err = f.claims["i1"].HandOver("i3")
@@ -146,9 +146,9 @@
 	})
 }
 
-func TestCallerThatGivesUpIsNotRun(t *testing.T) {
+func TestCancelledCallIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 2)
+		f := newTestCluster(t, 2)
 		f.platform.SetFaults(ferryplatformtest.Faults{DelayMS: 1000})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/ferry/ferryclaim/doc.go
+++ b/ferry/ferryclaim/doc.go
@@ -1,2 +1,3 @@
-// Package ferryclaim runs non-idempotent calls at most once, by tickets that need no platform write and by idempotency keys claimed first in a journal on the platform.
+// Package ferryclaim runs non-idempotent calls at most once. Tickets need no write to the platform;
+// idempotency keys are claimed in a journal on the platform before the call is dispatched.
 package ferryclaim
--- a/ferry/ferryclaim/faults_test.go
+++ b/ferry/ferryclaim/faults_test.go
@@ -9,11 +9,11 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// play lets one entry's slot and one try go on until the try waits for nothing more.
-func (w *world) play(t *try) {
+// runCall advances one call and the slot of its entry until the call waits for nothing.
+func (w *simulation) runCall(t *simCall) {
 	for range 20 {
 		for range 4 {
-			w.io(t.at)
+			w.io(t.entry)
 		}
 		w.step(t, false)
 	}
@@ -28,10 +28,10 @@
 }
 
 func TestHeirWithStaleCacheWritesOutcome(t *testing.T) {
-	w := newWorld(2)
-	w.play(w.begin(w.entries[1], "warm", nil, "x"))
+	w := newSimulation(2)
+	w.runCall(w.begin(w.entries[1], "warm", nil, "x"))
 	first := w.begin(w.entries[0], "a", nil, "one")
-	w.play(first)
+	w.runCall(first)
 	w.finish(first)
 	assert.NilError(t, w.stop(0))
 	heir := w.entries[1]
@@ -41,47 +41,47 @@
 	w.all["i1"].dead = true
 	w.crash(1)
 	retry := w.begin(w.entries[1], "a", nil, "one")
-	w.play(retry)
+	w.runCall(retry)
 	assert.Equal(t, outcomeOf(retry.err), ferryoutcome.Ran)
 }
 
-func TestJournalIsReadAgainWhenHolderIsGone(t *testing.T) {
-	w := newWorld(2)
+func TestJournalIsReadAgainWhenHolderCrashed(t *testing.T) {
+	w := newSimulation(2)
 	first := w.begin(w.entries[0], "a", nil, "one")
-	w.play(first)
+	w.runCall(first)
 	retry := w.begin(w.entries[1], "a", nil, "one")
 	for range 4 {
-		w.io(retry.at)
-		w.io(retry.at)
+		w.io(retry.entry)
+		w.io(retry.entry)
 		if retry.verdict != nil {
 			break
 		}
 	}
 	w.step(retry, false)
-	_, asking := retry.wait.(askStep)
+	_, asking := retry.step.(askStep)
 	assert.Assert(t, asking)
 	w.finish(first)
 	for range 4 {
-		w.io(first.at)
+		w.io(first.entry)
 	}
 	w.crash(0)
-	w.play(retry)
+	w.runCall(retry)
 	assert.Equal(t, outcomeOf(retry.err), ferryoutcome.Ran)
 }
 
-func TestLostAnswerHoldsTheDispatchBack(t *testing.T) {
+func TestLostAnswerDelaysDispatch(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		fault  fault
-		settle func(*world)
+		settle func(*simulation)
 		want   bool
 	}{
-		{"landed", faultLostApplied, func(*world) {}, true},
-		{"dropped", faultLostDropped, func(*world) {}, true},
-		{"lands later", faultLostLate, func(w *world) { w.store.land() }, true},
+		{"applied", faultLostApplied, func(*simulation) {}, true},
+		{"dropped", faultLostDropped, func(*simulation) {}, true},
+		{"applied late", faultLostLate, func(w *simulation) { w.store.applyLate() }, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(2)
+			w := newSimulation(2)
 			w.store.fault = func(write bool) fault {
 				if write {
 					return tc.fault
@@ -89,24 +89,24 @@
 				return faultNone
 			}
 			first := w.begin(w.entries[0], "a", nil, "one")
-			w.play(first)
+			w.runCall(first)
 			assert.Assert(t, !first.sent && !first.done)
 			w.store.fault = nil
 			tc.settle(w)
 			w.now = w.now.Add(maxBackoff)
-			w.play(first)
+			w.runCall(first)
 			assert.Equal(t, first.sent, tc.want)
 		})
 	}
 }
 
 func TestKeyReusedWithAnotherBody(t *testing.T) {
-	w := newWorld(2)
+	w := newSimulation(2)
 	first := w.begin(w.entries[0], "a", nil, "one")
-	w.play(first)
+	w.runCall(first)
 	for _, n := range w.entries {
 		other := w.begin(n, "a", nil, "two")
-		w.play(other)
+		w.runCall(other)
 		var p *ferryoutcome.Problem
 		assert.Assert(t, errors.As(other.err, &p))
 		assert.Equal(t, p.Kind, ferryoutcome.KindKeyReused)
@@ -114,30 +114,30 @@
 	}
 }
 
-func TestTicketOfGoneIncarnationIsUnknown(t *testing.T) {
-	w := newWorld(2)
+func TestTicketOfCrashedIncarnationIsUnknown(t *testing.T) {
+	w := newSimulation(2)
 	tk, _ := w.entries[0].table.issue(Call{Customer: "c", Service: "s"}, w.now)
 	w.crash(0)
 	use := w.begin(w.entries[1], "ticket", &tk, "one")
-	w.play(use)
+	w.runCall(use)
 	assert.Equal(t, outcomeOf(use.err), ferryoutcome.Unknown)
 	assert.Equal(t, len(w.ran["ticket"]), 0)
 }
 
 func TestTicketOutlivesPlannedStop(t *testing.T) {
-	w := newWorld(3)
+	w := newSimulation(3)
 	tk, _ := w.entries[0].table.issue(Call{Customer: "c", Service: "s"}, w.now)
 	assert.NilError(t, w.stop(0))
 	w.all["i1"].dead = true
 	for range 3 {
 		for _, n := range w.entries {
-			w.play(w.begin(n, "ticket", &tk, "one"))
+			w.runCall(w.begin(n, "ticket", &tk, "one"))
 		}
 	}
 	assert.Equal(t, len(w.ran["ticket"]), 1)
 }
 
-func TestOldTickets(t *testing.T) {
+func TestExpiredTickets(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		age  int
@@ -147,7 +147,7 @@
 		{"forgotten", 2, ferryoutcome.Unknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(1)
+			w := newSimulation(1)
 			tk, _ := w.entries[0].table.issue(Call{Customer: "c", Service: "s"}, w.now)
 			for range tc.age {
 				w.now = w.now.Add(TicketLifetime)
--- a/ferry/ferryclaim/forward.go
+++ b/ferry/ferryclaim/forward.go
@@ -18,7 +18,7 @@
 	maxWrites      = 2 * maxWaiting
 )
 
-// Write is one change to a slot's journal, passed to the entry that owns the slot; it is safe to pass it on more than once.
+// Write is one change to a slot's journal, forwarded to the entry that owns the slot; it is idempotent.
 type Write struct {
 	Op       Op     `cbor:"1,keyasint"`
 	Slot     int    `cbor:"2,keyasint"`
@@ -29,15 +29,15 @@
 // Decision is the owner's answer to one Write.
 type Decision struct {
 	Kind DecisionKind `cbor:"1,keyasint"`
-	// Held is the record that the key has, after DecisionHeld.
+	// Held is the current record of the key, set with DecisionHeld.
 	Held Record `cbor:"2,keyasint"`
-	// Sent is true after DecisionRefused if the record may be on the platform all the same.
+	// Sent is true with DecisionRefused if the record may have been written nevertheless.
 	Sent bool `cbor:"3,keyasint"`
-	// RetryAfter is set after DecisionRefused if the owner may not ask the platform before then.
+	// RetryAfter is set with DecisionRefused if the owner's request budget is exhausted for that long.
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// DecisionKind says which answer a Decision is.
+// DecisionKind is the kind of a Decision.
 type DecisionKind uint8
 
 // The kinds of decisions.
@@ -47,20 +47,20 @@
 	DecisionRefused DecisionKind = 3
 )
 
-// Forwarder passes writes on to the owner of their slot, over whatever joins the processes.
+// Forwarder forwards writes to the owner of their slot over the peer transport.
 type Forwarder interface {
-	// Forward returns one decision for each write, or an error if any answer is missing.
+	// Forward returns one decision for each write, or an error if any decision is missing.
 	Forward(ctx context.Context, owner ferryid.Incarnation, ws []Write) ([]Decision, error)
 }
 
-var errOwnerDown = &ferryplatform.UnavailableError{Op: "claim", Err: errors.New("the slot's owner can't reach it")}
+var errOwnerDown = &ferryplatform.UnavailableError{Op: "claim", Err: errors.New("unreachable from the slot's owner")}
 
 func decisionOf(v verdict) Decision {
 	switch v := v.(type) {
 	case held:
 		return Decision{Kind: DecisionHeld, Held: v.rec}
 	case refused:
-		d := Decision{Kind: DecisionRefused, Sent: v.sent}
+		d := Decision{Kind: DecisionRefused, Sent: v.mayBeWritten}
 		var budget *ferryplatform.BudgetError
 		if errors.As(v.err, &budget) {
 			d.RetryAfter = budget.RetryAfter
@@ -83,7 +83,7 @@
 	return granted{}
 }
 
-// Check returns an error unless the write is sound.
+// Check returns an error if the write has an invalid operation, slot or result.
 func (w Write) Check(slots int) error {
 	if w.Slot < 0 || w.Slot >= slots || w.Op >= opBarrier {
 		return merry.Errorf("write has operation %d on slot %d of %d", w.Op, w.Slot, slots)
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// Write does another entry's writes and waits for all decisions, or returns an error if the context ends first.
+// Write performs writes that another entry forwarded and waits for all decisions,
+// or returns an error if the context ends first.
 func (c *Claims) Write(ctx context.Context, ws []Write) ([]Decision, error) {
 	if len(ws) == 0 {
 		return nil, nil
@@ -112,14 +113,14 @@
 		}
 	}
 	for i, w := range ws {
-		r := request{op: w.Op, rec: w.Record, replaces: w.Replaces, passed: true}
+		r := request{op: w.Op, rec: w.Record, replaces: w.Replaces, forwarded: true}
 		r.reply = func(v verdict) {
 			out[i] = decisionOf(v)
 			if left.Add(-1) == 0 {
 				close(done)
 			}
 		}
-		c.slots[w.Slot].postAlways(r)
+		c.slots[w.Slot].postUnbounded(r)
 	}
 	select {
 	case <-done:
@@ -129,9 +130,10 @@
 	}
 }
 
-// pass hands what waits to the slot's owner and reports whether all of it was decided; if not, this entry writes it itself.
-func (s *slotRunner) pass(ctx context.Context) bool {
-	if s.forward == nil || s.core.flight != nil || len(s.core.waiting) == 0 {
+// forwardWaiting forwards the waiting requests to the slot's owner and reports whether all were decided.
+// If not, this entry writes them itself.
+func (s *slotRunner) forwardWaiting(ctx context.Context) bool {
+	if s.forwarder == nil || s.core.inFlight != nil || len(s.core.waiting) == 0 {
 		return false
 	}
 	owner := s.owner()
@@ -140,7 +142,7 @@
 	}
 	var ws []Write
 	for _, r := range s.core.waiting {
-		if r.passed {
+		if r.forwarded {
 			return false
 		}
 		if r.op != opBarrier {
@@ -149,9 +151,9 @@
 	}
 	ctx, cancel := clockwork.WithTimeout(ctx, s.clock, forwardTimeout)
 	defer cancel()
-	ds, err := s.forward.Forward(ctx, owner, ws)
+	ds, err := s.forwarder.Forward(ctx, owner, ws)
 	if err != nil || len(ds) != len(ws) {
-		s.core.mayBeSent()
+		s.core.markForwarded()
 		return false
 	}
 	for _, r := range s.core.takeAll() {
@@ -164,11 +166,11 @@
 	return true
 }
 
-// mayBeSent notes that another entry may write what waits here.
-func (s *slot) mayBeSent() {
+// markForwarded records that another entry may write the waiting requests.
+func (s *slot) markForwarded() {
 	for i := range s.waiting {
-		s.waiting[i].sent = true
-		s.waiting[i].passed = true
+		s.waiting[i].mayBeWritten = true
+		s.waiting[i].forwarded = true
 	}
 }
 
@@ -178,7 +180,8 @@
 	return out
 }
 
-// ownerOf is the live entry that should write a slot; several may believe to be it, which only costs conflicts.
+// ownerOf returns the live entry that should write a slot. Entries with different lists of live entries
+// may choose different owners, which only costs write conflicts.
 func ownerOf(name string, live []ferryid.Incarnation) ferryid.Incarnation {
 	order := HeirOrder(ferryid.Incarnation("slot "+name), live)
 	if len(order) == 0 {
--- a/ferry/ferryclaim/handover.go
+++ b/ferry/ferryclaim/handover.go
@@ -10,7 +10,7 @@
 
 const handOverPurpose = "ferryclaim hand-over"
 
-// handOver is all that a stopping incarnation alone knows.
+// handOver is the state of a stopping incarnation that is stored nowhere else.
 type handOver struct {
 	From   ferryid.Incarnation   `cbor:"1,keyasint"`
 	To     ferryid.Incarnation   `cbor:"2,keyasint"`
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// HeirError says that the tickets were already promised to another heir, which may have them.
+// HeirError is returned if the tickets were already promised to another heir, which may have them.
 type HeirError struct {
 	Heir ferryid.Incarnation
 }
@@ -44,7 +44,7 @@
 	return "tickets already handed over to " + string(e.Heir)
 }
 
-// close ends all granting here and returns what the heir has to know; only one heir is ever named.
+// close stops all granting here and returns the state for the heir; only one heir is ever named.
 func (t *table) close(heir ferryid.Incarnation) (handOver, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,7 +71,7 @@
 	return h, nil
 }
 
-// takeOver makes this incarnation the heir; a second delivery changes nothing.
+// takeOver makes this incarnation the heir; it is idempotent.
 func (t *table) takeOver(h handOver) ([]op, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/heir.go
+++ b/ferry/ferryclaim/heir.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// HeirOrder ranks live incarnations as heirs of one that stops, the first preferred.
+// HeirOrder ranks the live incarnations as heirs of one that stops, by rendezvous hashing, best first.
 func HeirOrder(of ferryid.Incarnation, live []ferryid.Incarnation) []ferryid.Incarnation {
 	type ranked struct {
 		id    ferryid.Incarnation
--- a/ferry/ferryclaim/held.go
+++ b/ferry/ferryclaim/held.go
@@ -6,39 +6,41 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// Claim is the right to run one call once.
+// Claim is the permission to run one call once.
 type Claim struct {
 	c   *Claims
 	ref Ref
 }
 
-// Ref identifies the claim in the time line.
+// Ref returns the reference that identifies the claim in the time line.
 func (cl *Claim) Ref() Ref {
 	return cl.ref
 }
 
-// Dispatching must be called just before the first byte is sent, and returns a NotRun *ferryoutcome.Problem if the right is gone.
+// Dispatching must be called just before the first byte is sent.
+// It returns a NotRun *ferryoutcome.Problem if the claim is no longer valid.
 func (cl *Claim) Dispatching() error {
 	if cl.c.table.dispatch(cl.ref, cl.c.cfg.Clock.Now()) {
 		return nil
 	}
 	cl.Release(context.Background())
-	return lostRight()
+	return claimLost()
 }
 
-// Finish records what came of the call, with the response if it is Whole and small; it does not wait for the platform, and NotRun releases the claim.
+// Finish records the result of the call, with the response if that is Complete and small enough.
+// It does not wait for the platform; an outcome of NotRun releases the claim.
 func (cl *Claim) Finish(ctx context.Context, res Result) {
 	if res.Outcome == ferryoutcome.NotRun {
 		cl.Release(ctx)
 		return
 	}
-	o, ok := cl.c.table.finish(cl.ref, res.kept(), cl.c.cfg.Clock.Now())
+	o, ok := cl.c.table.finish(cl.ref, res.truncated(), cl.c.cfg.Clock.Now())
 	if ok && !o.Ticket {
 		cl.c.write(finishRequest(o))
 	}
 }
 
-// Release gives the claim back; it may be called only if no byte was sent, and does not wait for the platform.
+// Release releases the claim without waiting for the platform; it must only be called if no byte was sent.
 func (cl *Claim) Release(context.Context) {
 	o, ok := cl.c.table.release(cl.ref)
 	if ok && !o.Ticket {
--- a/ferry/ferryclaim/hour_test.go
+++ b/ferry/ferryclaim/hour_test.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	hourTick    = 200 * time.Millisecond
-	callerTries = 3
-	callerPause = 5 * time.Second
-	serviceTime = 300 * time.Millisecond
+	hourTick         = 200 * time.Millisecond
+	maxCallerTries   = 3
+	callerRetryDelay = 5 * time.Second
+	serviceTime      = 300 * time.Millisecond
 )
 
-// caller retries one call with the same key, or the same ticket.
-type caller struct {
+// retryingCaller retries one call with the same key or ticket.
+type retryingCaller struct {
 	op     string
 	ticket *Ticket
-	try    *try
+	try    *simCall
 	tries  int
 	due    time.Time
 	sentAt time.Time
-	issuer *node
+	issuer *simEntry
 }
 
-// hour counts what comes of calls in an hour of faults.
-type hour struct {
-	w       *world
+// hourRun simulates one hour of faults and counts the outcomes of the calls.
+type hourRun struct {
+	w       *simulation
 	r       *rand.Rand
-	active  []*caller
+	active  []*retryingCaller
 	counts  map[ferryoutcome.Outcome]int
 	tickets bool
 	every   int // ticks between calls
 }
 
-func (h *hour) tick(i int) {
+func (h *hourRun) tick(i int) {
 	h.w.now = h.w.now.Add(hourTick)
 	if i%h.every == 0 {
 		h.arrive(i)
@@ -64,16 +64,16 @@
 		}
 	}
 	h.active = keep
-	h.w.tries = h.w.tries[:0]
+	h.w.calls = h.w.calls[:0]
 	for _, c := range h.active {
 		if c.try != nil {
-			h.w.tries = append(h.w.tries, c.try)
+			h.w.calls = append(h.w.calls, c.try)
 		}
 	}
 }
 
-// advance reports whether the caller has its final answer.
-func (h *hour) advance(c *caller) bool {
+// advance moves the call on and reports whether the caller has its final answer.
+func (h *hourRun) advance(c *retryingCaller) bool {
 	if c.try == nil {
 		if h.w.now.Before(c.due) {
 			return false
@@ -95,25 +95,25 @@
 	return false
 }
 
-func (h *hour) entry(c *caller) *node {
+func (h *hourRun) entry(c *retryingCaller) *simEntry {
 	if c.ticket != nil && !c.issuer.dead {
 		return c.issuer
 	}
 	return h.w.entries[h.r.IntN(len(h.w.entries))]
 }
 
-func (h *hour) answered(c *caller) bool {
+func (h *hourRun) answered(c *retryingCaller) bool {
 	o := outcomeOf(c.try.err)
 	var rep *Replay
-	if !errors.As(c.try.err, &rep) && c.tries < callerTries {
-		c.try, c.sentAt, c.due = nil, time.Time{}, h.w.now.Add(callerPause)
+	if !errors.As(c.try.err, &rep) && c.tries < maxCallerTries {
+		c.try, c.sentAt, c.due = nil, time.Time{}, h.w.now.Add(callerRetryDelay)
 		return false
 	}
 	h.counts[o]++
 	return true
 }
 
-func (h *hour) run(minutes func(int) bool) string {
+func (h *hourRun) run(minutes func(int) bool) string {
 	down := false
 	h.w.store.fault = func(write bool) fault {
 		if down {
@@ -134,7 +134,7 @@
 			_ = h.w.stop(h.r.IntN(len(h.w.entries)))
 		}
 		if i%5 == 0 {
-			h.w.store.land()
+			h.w.store.applyLate()
 		}
 		h.tick(i)
 	}
@@ -146,9 +146,9 @@
 		h.counts[ferryoutcome.Ran], h.counts[ferryoutcome.NotRun], h.counts[ferryoutcome.Unknown])
 }
 
-// arrive adds a caller, which asks for a ticket first if it uses them.
-func (h *hour) arrive(i int) {
-	c := &caller{op: fmt.Sprintf("k%d", i), due: h.w.now}
+// arrive adds a caller, with a new ticket if the run uses tickets.
+func (h *hourRun) arrive(i int) {
+	c := &retryingCaller{op: fmt.Sprintf("k%d", i), due: h.w.now}
 	if h.tickets {
 		c.issuer = h.w.entries[h.r.IntN(len(h.w.entries))]
 		tk, _ := c.issuer.table.issue(Call{Customer: "c", Service: "s"}, h.w.now)
@@ -169,9 +169,9 @@
 	{"tickets, the same and the platform away 5 minutes of 20", func(m int) bool { return m%20 >= 15 }, true},
 }
 
-func newHour(tc hourCase, every int) *hour {
-	return &hour{
-		w: newWorld(9), r: rand.New(rand.NewPCG(1, 2)), counts: map[ferryoutcome.Outcome]int{},
+func newHourRun(tc hourCase, every int) *hourRun {
+	return &hourRun{
+		w: newSimulation(9), r: rand.New(rand.NewPCG(1, 2)), counts: map[ferryoutcome.Outcome]int{},
 		tickets: tc.tickets, every: every,
 	}
 }
@@ -179,19 +179,19 @@
 func TestHourOfFaults(t *testing.T) {
 	var out strings.Builder
 	for _, tc := range hourCases {
-		h := newHour(tc, 25)
+		h := newHourRun(tc, 25)
 		fmt.Fprintf(&out, "%s\n  %s\n", tc.name, h.run(tc.down))
 		assert.Assert(t, len(h.w.failures) == 0, strings.Join(h.w.failures, "\n"))
 	}
 	golden.Assert(t, out.String(), "hour.golden")
 }
 
-// BenchmarkHourOfFaults counts the outcomes of one call a second.
+// BenchmarkHourOfFaults reports the outcomes at one call per second.
 func BenchmarkHourOfFaults(b *testing.B) {
 	for _, tc := range hourCases {
 		b.Run(tc.name, func(b *testing.B) {
 			for b.Loop() {
-				h := newHour(tc, 5)
+				h := newHourRun(tc, 5)
 				h.run(tc.down)
 				for _, o := range []ferryoutcome.Outcome{ferryoutcome.Ran, ferryoutcome.NotRun, ferryoutcome.Unknown} {
 					b.ReportMetric(float64(h.counts[o]), string(o))
--- a/ferry/ferryclaim/journal.go
+++ b/ferry/ferryclaim/journal.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// The kinds under which the journal is kept in the object API.
+// The object kinds of the journal.
 const (
 	ObjectKindSlot    = "claim-slots"
 	ObjectKindSegment = "claim-segments"
@@ -48,14 +48,14 @@
 	return m
 }
 
-// segmentRef names one immutable object of older records.
+// segmentRef refers to a segment, an immutable object of older records.
 type segmentRef struct {
 	Name   string `cbor:"1,keyasint"`
 	Level  uint8  `cbor:"2,keyasint"`
 	Newest int64  `cbor:"3,keyasint"` // the latest Until in it, in Unix seconds
 }
 
-// journal is the value of one slot's object, or of one segment.
+// journal is the decoded value of a slot's object or of a segment.
 type journal struct {
 	records  []Record
 	segments []segmentRef
--- a/ferry/ferryclaim/lookup.go
+++ b/ferry/ferryclaim/lookup.go
@@ -14,12 +14,12 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// KeyStatus is what the journal says of one idempotency key.
+// KeyStatus is the state of one idempotency key in the journal.
 type KeyStatus struct {
 	Customer ferryid.CustomerName `json:"Customer"`
 	Key      string               `json:"Key"`
 	State    string               `json:"State"`
-	// By is the incarnation that claimed it; while the state is Claimed only it knows whether the call was sent.
+	// By is the claiming incarnation; in state Claimed, no other knows whether the call was sent.
 	By      ferryid.Incarnation  `json:"By"`
 	Outcome ferryoutcome.Outcome `json:"Outcome,omitempty"`
 	Status  int                  `json:"Status,omitempty"`
@@ -42,13 +42,13 @@
 	return fmt.Sprintf("%04d", index)
 }
 
-// lookup reads the journal and keeps what it has read.
+// lookup reads the journal and caches the objects read.
 type lookup struct {
 	claims *Claims
 	read   map[string]journal
 }
 
-// Lookup reads the journal for a key of any of the customers, each object of it at most once.
+// Lookup returns the status of a key for each customer that uses it, reading each journal object at most once.
 func (c *Claims) Lookup(ctx context.Context, s ferryid.ServiceName, key string, customers []ferryid.CustomerName) ([]KeyStatus, error) {
 	l := &lookup{claims: c, read: map[string]journal{}}
 	found := []KeyStatus{}
@@ -71,7 +71,7 @@
 	}
 }
 
-// find looks in the slot's object, then in its segments from the newest.
+// find searches the slot's object, then its segments from the newest to the oldest.
 func (l *lookup) find(ctx context.Context, k Digest) (Record, bool, error) {
 	j, err := l.journal(ctx, ObjectKindSlot, slotName(l.claims.slotIndex(k)))
 	if err != nil {
@@ -100,7 +100,7 @@
 	return j.records[i], true
 }
 
-// journal reads one object of the journal; one that is not there holds nothing.
+// journal returns one object of the journal, empty if the object does not exist.
 func (l *lookup) journal(ctx context.Context, kind, name string) (journal, error) {
 	if j, ok := l.read[name]; ok {
 		return j, nil
--- a/ferry/ferryclaim/planner.go
+++ b/ferry/ferryclaim/planner.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// planner decides the waiting requests of one slot against the records it holds and the changes planned so far.
+// planner decides the waiting requests of one slot against the cached records and the changes planned so far.
 type planner struct {
-	slot    *slot
-	now     time.Time
-	changed map[Digest]Record
-	order   []Digest
-	batch   []request
-	keep    []request
-	out     []decided
-	reload  bool
+	slot     *slot
+	now      time.Time
+	changed  map[Digest]Record
+	order    []Digest
+	batch    []request
+	deferred []request
+	resolved []decided
+	reload   bool
 }
 
 func (p *planner) current(k Digest) (rec Record, planned bool) {
@@ -29,13 +29,13 @@
 	p.batch = append(p.batch, r)
 }
 
-func (p *planner) settle(r request, v verdict) {
-	p.out = append(p.out, decided{r, v})
+func (p *planner) resolve(r request, v verdict) {
+	p.resolved = append(p.resolved, decided{r, v})
 }
 
 func (p *planner) decide(r request) {
 	if len(p.batch) >= maxBatch {
-		p.keep = append(p.keep, r)
+		p.deferred = append(p.deferred, r)
 		return
 	}
 	cur, planned := p.current(r.rec.Key)
@@ -46,8 +46,8 @@
 		p.release(r, cur)
 	case opFinish:
 		p.finish(r, cur)
-	case opLook:
-		p.look(r, cur)
+	case opRead:
+		p.read(r, cur)
 	case opBarrier:
 		p.batch = append(p.batch, r)
 	}
@@ -56,18 +56,18 @@
 func (p *planner) claim(r request, cur Record, planned bool) {
 	switch {
 	case planned && cur.State != StateReleased:
-		p.keep = append(p.keep, r)
+		p.deferred = append(p.deferred, r)
 	case cur.Ref == r.rec.Ref && cur.State == StateClaimed:
-		p.settle(r, granted{})
-	case free(cur, r.replaces, p.now):
+		p.resolve(r, granted{})
+	case claimable(cur, r.replaces, p.now):
 		p.change(r, r.rec)
 	default:
-		p.settle(r, held{cur})
+		p.resolve(r, held{cur})
 	}
 }
 
-// free reports whether a key may be claimed; only a claim that its holder revoked may be replaced.
-func free(cur Record, replaces Ref, now time.Time) bool {
+// claimable reports whether a key may be claimed; an unexpired claim may be replaced only if its holder revoked it.
+func claimable(cur Record, replaces Ref, now time.Time) bool {
 	switch cur.State {
 	case StateClaimed:
 		return cur.expired(now) || cur.Ref == replaces
@@ -80,34 +80,35 @@
 func (p *planner) release(r request, cur Record) {
 	rec := cur
 	rec.State = StateReleased
-	p.conclude(r, cur, rec)
+	p.endClaim(r, cur, rec)
 }
 
 func (p *planner) finish(r request, cur Record) {
-	p.conclude(r, cur, r.rec)
+	p.endClaim(r, cur, r.rec)
 }
 
-// conclude ends a claim that still stands; that it doesn't is believed only after a fresh read.
-func (p *planner) conclude(r request, cur, rec Record) {
+// endClaim replaces the record of a claim that the cached journal still holds. If it holds another record,
+// the slot is read again before the request is dropped, since the cache may be stale.
+func (p *planner) endClaim(r request, cur, rec Record) {
 	switch {
 	case cur.Ref == r.rec.Ref && cur.State == StateClaimed:
 		p.change(r, rec)
 	case !r.fresh:
 		p.reload = true
-		p.keep = append(p.keep, r)
+		p.deferred = append(p.deferred, r)
 	default:
-		p.settle(r, granted{})
+		p.resolve(r, granted{})
 	}
 }
 
-func (p *planner) look(r request, cur Record) {
+func (p *planner) read(r request, cur Record) {
 	if !r.fresh {
 		p.reload = true
-		p.keep = append(p.keep, r)
+		p.deferred = append(p.deferred, r)
 		return
 	}
 	if cur.expired(p.now) {
 		cur = Record{}
 	}
-	p.settle(r, held{cur})
+	p.resolve(r, held{cur})
 }
--- a/ferry/ferryclaim/replay.go
+++ b/ferry/ferryclaim/replay.go
@@ -16,31 +16,32 @@
 	progressRetryAfter = time.Second
 )
 
-// Replay is the error for a call that has finished before; it carries the recorded outcome and the response if that was kept.
+// Replay is the error for a call that has already finished, with the recorded outcome and,
+// if it was stored, the response.
 type Replay struct {
 	Outcome ferryoutcome.Outcome
 	Status  int
 	Header  http.Header
 	Body    []byte
-	// Whole is false if the response was too large to be kept, or never came.
-	Whole bool
+	// Complete is false if the response was too large to store or never arrived.
+	Complete bool
 }
 
 func (r *Replay) Error() string {
-	return fmt.Sprintf("the call has finished before with outcome %s and status %d", r.Outcome, r.Status)
+	return fmt.Sprintf("call already finished with outcome %s and status %d", r.Outcome, r.Status)
 }
 
-// ElsewhereError says that only another incarnation may run the ticket, so that the call can be passed on to it.
+// ElsewhereError is returned if only another incarnation may run the ticket, to which the call can be redirected.
 type ElsewhereError struct {
 	Incarnation ferryid.Incarnation
 }
 
 func (e *ElsewhereError) Error() string {
-	return "the ticket is for incarnation " + string(e.Incarnation)
+	return "ticket can be run only by incarnation " + string(e.Incarnation)
 }
 
 func replayOf(res Result) error {
-	return &Replay{Outcome: res.Outcome, Status: res.Status, Header: res.Header, Body: res.Body, Whole: res.Whole}
+	return &Replay{Outcome: res.Outcome, Status: res.Status, Header: res.Header, Body: res.Body, Complete: res.Complete}
 }
 
 func inProgress() error {
@@ -53,8 +54,9 @@
 		"the key or ticket was used for another method, path or body; this call was not run")
 }
 
-// unclaimed is the refusal of a key that could not be claimed, for want of the platform or of calls to it.
-func unclaimed(err error) error {
+// claimFailed returns the problem for a key that could not be claimed because the platform is unavailable
+// or the budget of requests to it is exhausted.
+func claimFailed(err error) error {
 	var budget *ferryplatform.BudgetError
 	if errors.As(err, &budget) {
 		return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun,
@@ -68,7 +70,7 @@
 		After(platformRetryAfter).Because(err)
 }
 
-func holderGone(r Ref) error {
+func holderUnreachable(r Ref) error {
 	return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.Unknown,
 		"the entry that had the call, %s, does not answer; it may have run and will not be run again", r.By)
 }
@@ -77,12 +79,12 @@
 	return ferryoutcome.New(ferryoutcome.KindDraining, ferryoutcome.NotRun, "this entry is stopping")
 }
 
-func lostRight() error {
+func claimLost() error {
 	return ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun,
 		"the claim was given up before anything was sent; retry with the same key").After(progressRetryAfter)
 }
 
-func notNow(err error) error {
+func claimTimedOut(err error) error {
 	return ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.NotRun,
 		"the key could not be claimed in time; this call was not run").After(progressRetryAfter).Because(err)
 }
--- a/ferry/ferryclaim/request.go
+++ b/ferry/ferryclaim/request.go
@@ -2,49 +2,50 @@
 
 import "cactusferry.dev/ferry/ferryplatform"
 
-// Op is what a Write asks of a slot's journal.
+// Op is the operation of a Write on a slot's journal.
 type Op uint8
 
 const (
-	opClaim   Op = iota // write the record if the key is free
-	opRelease           // give the claim back
+	opClaim   Op = iota // write the record if the key is claimable
+	opRelease           // release the claim
 	opFinish            // record the outcome
-	opLook              // read the record as it is on the platform now
-	opBarrier           // wait until everything submitted before is written
+	opRead              // read the current record from the platform
+	opBarrier           // wait until all earlier requests are written
 )
 
-// request is one message to a slot.
+// request is one request to a slot.
 type request struct {
 	op  Op
 	rec Record
-	// replaces is another incarnation's claim that may be taken over, because it was revoked.
+	// replaces refers to another incarnation's claim that may be replaced because it was revoked.
 	replaces Ref
-	// fresh is true once the slot was read after the request came.
+	// fresh is true once the slot was read after the request was submitted.
 	fresh bool
-	// sent is true once the record was in a write that may have landed.
-	sent bool
-	// passed is true if the request came from another entry, or was passed to one in vain.
-	passed bool
-	reply  func(verdict)
+	// mayBeWritten is true once the record was in a write that may have taken effect.
+	mayBeWritten bool
+	// forwarded is true if another entry forwarded the request, or if forwarding it to the owner failed.
+	forwarded bool
+	reply     func(verdict)
 }
 
 func (r request) needsAnswer() bool {
-	return r.op == opClaim || r.op == opLook
+	return r.op == opClaim || r.op == opRead
 }
 
 // verdict is a slot's answer to one request.
 type verdict interface{ isVerdict() }
 
-// granted says that the record is on the platform.
+// granted means that the record is written.
 type granted struct{}
 
-// held says that the key has another record; State is 0 if it has none.
+// held means that the key has another record; its State is 0 if it has none.
 type held struct{ rec Record }
 
-// refused says that the platform could not be asked; unless sent is true, the record certainly is not and will not be there.
+// refused means that the platform did not serve the request.
+// Unless mayBeWritten is true, the record is not written and never will be.
 type refused struct {
-	err  error
-	sent bool
+	err          error
+	mayBeWritten bool
 }
 
 func (granted) isVerdict() {}
@@ -57,7 +58,7 @@
 	v   verdict
 }
 
-// action is one call to the object API; a slot has at most one under way.
+// action is one call to the object API; a slot has at most one in progress.
 type action interface{ isAction() }
 
 type getTail struct{}
@@ -82,8 +83,8 @@
 func (putSegment) isAction()    {}
 func (deleteSegment) isAction() {}
 
-// answer is what came of an action.
-type answer struct {
+// actionResult is the result of an action.
+type actionResult struct {
 	object  ferryplatform.Object
 	version ferryplatform.Version
 	err     error
--- a/ferry/ferryclaim/runner.go
+++ b/ferry/ferryclaim/runner.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	slotRing   = 256
-	maxWaiting = 1024
-	// platformTimeout ends one call; a write that it ends is repeated until its outcome is known.
+	claimQueueLength = 256
+	maxWaiting       = 1024
+	// platformTimeout bounds one call; a write that times out is repeated until its outcome is known.
 	platformTimeout = 2 * time.Second
 )
 
-// slotRunner is the duty that alone owns one slot's core: it makes the core's calls to the platform one at a time.
+// slotRunner is the only user of one slot's state machine and makes its platform calls one at a time.
 type slotRunner struct {
-	core    *slot
-	index   int
-	owner   func() ferryid.Incarnation
-	forward Forwarder
-	store   ferryplatform.Store
-	clock   clockwork.Clock
-	window  time.Duration
-	// claims is bounded; when it is full, callers wait until their deadline.
+	core      *slot
+	index     int
+	owner     func() ferryid.Incarnation
+	forwarder Forwarder
+	store     ferryplatform.Store
+	clock     clockwork.Clock
+	window    time.Duration
+	// claims is bounded; while it is full, callers block until their deadline.
 	claims chan request
-	// must holds outcomes and releases, at most one for each claim that was granted.
-	mu    sync.Mutex
-	must  []request
-	ready chan struct{}
+	// unbounded holds requests that must not be dropped or wait for space: outcomes, releases, barriers
+	// and forwarded writes. A granted claim adds at most one outcome or release.
+	mu        sync.Mutex
+	unbounded []request
+	ready     chan struct{}
 }
 
 func newSlotRunner(cfg Config, index int) *slotRunner {
@@ -44,12 +45,12 @@
 		return ownerOf(name, cfg.Live())
 	}
 	return &slotRunner{
-		core: newSlot(name, cfg.Self), index: index, owner: owner, forward: cfg.Forwarder, store: cfg.Store, clock: cfg.Clock, window: cfg.Window,
-		claims: make(chan request, slotRing), ready: make(chan struct{}, 1),
+		core: newSlot(name, cfg.Self), index: index, owner: owner, forwarder: cfg.Forwarder, store: cfg.Store, clock: cfg.Clock, window: cfg.Window,
+		claims: make(chan request, claimQueueLength), ready: make(chan struct{}, 1),
 	}
 }
 
-func (s *slotRunner) post(ctx context.Context, r request) bool {
+func (s *slotRunner) postClaim(ctx context.Context, r request) bool {
 	select {
 	case s.claims <- r:
 		return true
@@ -58,9 +59,9 @@
 	}
 }
 
-func (s *slotRunner) postAlways(r request) {
+func (s *slotRunner) postUnbounded(r request) {
 	s.mu.Lock()
-	s.must = append(s.must, r)
+	s.unbounded = append(s.unbounded, r)
 	s.mu.Unlock()
 	select {
 	case s.ready <- struct{}{}:
@@ -70,7 +71,7 @@
 
 func (s *slotRunner) flush(ctx context.Context) error {
 	done := make(chan struct{})
-	s.postAlways(request{op: opBarrier, reply: func(verdict) { close(done) }})
+	s.postUnbounded(request{op: opBarrier, reply: func(verdict) { close(done) }})
 	select {
 	case <-done:
 		return nil
@@ -80,10 +81,10 @@
 }
 
 func (s *slotRunner) run(ctx context.Context) {
-	for s.gather(ctx) {
+	for s.waitForWork(ctx) {
 		for ctx.Err() == nil {
-			s.drain()
-			if s.pass(ctx) {
+			s.submitPosted()
+			if s.forwardWaiting(ctx) {
 				continue
 			}
 			now := s.clock.Now()
@@ -93,7 +94,7 @@
 				break
 			}
 			ans := s.do(ctx, a)
-			deliver(s.core.done(s.clock.Now(), a, ans))
+			deliver(s.core.complete(s.clock.Now(), a, ans))
 		}
 	}
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// gather waits for something to do and returns false when the context is done.
-func (s *slotRunner) gather(ctx context.Context) bool {
+// waitForWork blocks until there is a request or a retry is due; it returns false once the context is done.
+func (s *slotRunner) waitForWork(ctx context.Context) bool {
 	var retry <-chan time.Time
 	if s.core.idle() {
 		retry = nil
@@ -133,13 +134,13 @@
 	return true
 }
 
-// drain moves everything that waits into the core, outcomes and releases first.
-func (s *slotRunner) drain() {
+// submitPosted submits the posted requests to the slot, those of unbounded first.
+func (s *slotRunner) submitPosted() {
 	s.mu.Lock()
-	must := s.must
-	s.must = nil
+	unbounded := s.unbounded
+	s.unbounded = nil
 	s.mu.Unlock()
-	for _, r := range must {
+	for _, r := range unbounded {
 		s.core.submit(r)
 	}
 	for len(s.claims) > 0 && len(s.core.waiting) < maxWaiting {
@@ -147,8 +148,8 @@
 	}
 }
 
-func (s *slotRunner) do(ctx context.Context, a action) answer {
-	var ans answer
+func (s *slotRunner) do(ctx context.Context, a action) actionResult {
+	var ans actionResult
 	ctx, cancel := clockwork.WithTimeout(ctx, s.clock, platformTimeout)
 	defer cancel()
 	switch a := a.(type) {
--- a/ferry/ferryclaim/seal.go
+++ b/ferry/ferryclaim/seal.go
@@ -12,12 +12,12 @@
 
 const maxSealedBytes = 16 << 20
 
-// Seal encrypts and authenticates tickets and hand-overs with keys that all entries share.
+// Seal encrypts and authenticates tickets and handovers with keys that all entries share.
 type Seal struct {
 	aeads []cipher.AEAD
 }
 
-// NewSeal returns a seal that writes with the first key and reads with any; each has 16, 24 or 32 bytes.
+// NewSeal returns a seal that encrypts with the first key and decrypts with any; keys have 16, 24 or 32 bytes.
 func NewSeal(keys ...[]byte) (*Seal, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("a seal needs at least one key")
--- a/ferry/ferryclaim/segment.go
+++ b/ferry/ferryclaim/segment.go
@@ -9,10 +9,11 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// startSealing begins to move records out of a tail that has grown large, or to merge small segments; it reports whether there is a segment to write.
-func (s *slot) startSealing(now time.Time) bool {
+// startSegment starts to move the records of a large tail to a segment, or to merge small segments.
+// It reports whether there is a segment to write.
+func (s *slot) startSegment(now time.Time) bool {
 	if now.After(s.mergeAfter) {
-		for level := range uint8(topLevel) {
+		for level := range uint8(maxSegmentLevel) {
 			small := s.segmentsAt(level)
 			if len(small) < mergeSegments {
 				continue
@@ -23,7 +24,7 @@
 			s.mergeAfter = now.Add(mergeRetry)
 		}
 	}
-	if s.size-s.listed < s.sealAt {
+	if s.size-s.refBytes < s.flushBytes {
 		return false
 	}
 	var live []Record
@@ -79,41 +80,41 @@
 		ref.Newest = max(ref.Newest, r.Until)
 		keys = append(keys, r.Key)
 	}
-	s.sealing = &sealing{put: putSegment{ref.Name, b}, ref: ref, keys: keys, replaces: replaces}
+	s.segment = &segmentWrite{put: putSegment{ref.Name, b}, ref: ref, keys: keys, replaces: replaces}
 	return true
 }
 
-// segmentName is unique to this slot, incarnation and serial, and short since the tail lists it.
+// segmentName returns a name unique to this slot, incarnation and serial number; it is short since the tail lists it.
 func (s *slot) segmentName() string {
 	d := DigestOf([]byte(s.name), []byte(s.self), binary.BigEndian.AppendUint64(nil, s.serial))
 	return s.name + "." + hex.EncodeToString(d[:])
 }
 
-func (s *slot) putSegment(now time.Time, ans answer) []decided {
+func (s *slot) onSegmentPut(now time.Time, ans actionResult) []decided {
 	var conflict *ferryplatform.ConflictError
 	switch {
 	case ans.err == nil, errors.As(ans.err, &conflict):
-		// The name is ours alone, so a conflict means that an earlier try landed.
-		s.sealing.stored = true
-		s.succeeded()
+		// Only this incarnation uses the name, so a conflict means that an earlier try succeeded.
+		s.segment.stored = true
+		s.resetBackoff()
 		return nil
-	case certainlyNot(ans.err):
-		return s.failed(now, ans.err)
+	case hadNoEffect(ans.err):
+		return s.fail(now, ans.err)
 	}
-	s.down = nil
-	s.delay(now)
+	s.outageErr = nil
+	s.backOff(now)
 	return nil
 }
 
-// nextSegments returns the segments that the next tail names, and those that it no longer does.
+// nextSegments returns the segments that the next tail refers to and the names of those that it drops.
 func (s *slot) nextSegments(now time.Time) (refs []segmentRef, dropped []string) {
-	merged := s.sealing != nil && s.sealing.replaces != nil
+	merged := s.segment != nil && s.segment.replaces != nil
 	placed := false
 	for _, ref := range s.tail.segments {
-		if merged && s.sealing.replaces[ref.Name] {
-			// Later segments override earlier ones, so the merged one stands where the first of its parts stood.
+		if merged && s.segment.replaces[ref.Name] {
+			// Later segments override earlier ones, so the merged one takes the position of the first one it replaces.
 			if !placed {
-				refs = append(refs, s.sealing.ref)
+				refs = append(refs, s.segment.ref)
 			}
 			placed = true
 			dropped = append(dropped, ref.Name)
@@ -125,31 +126,31 @@
 		}
 		refs = append(refs, ref)
 	}
-	if s.sealing != nil && !merged {
-		refs = append(refs, s.sealing.ref)
+	if s.segment != nil && !merged {
+		refs = append(refs, s.segment.ref)
 	}
 	return refs, dropped
 }
 
-// finishSealing notes the segment that the tail names now, and forgets records that have expired.
-func (s *slot) finishSealing(now time.Time) {
-	if s.sealing == nil {
+// finishSegment registers the segment that the tail now refers to and purges expired records.
+func (s *slot) finishSegment(now time.Time) {
+	if s.segment == nil {
 		return
 	}
-	s.segKeys[s.sealing.ref.Name] = s.sealing.keys
-	s.sealing = nil
-	s.sweep(now)
+	s.segKeys[s.segment.ref.Name] = s.segment.keys
+	s.segment = nil
+	s.purgeExpired(now)
 }
 
-// dropSealing gives up a segment that no tail will name.
-func (s *slot) dropSealing(named map[string]bool) {
-	if s.sealing != nil && !named[s.sealing.ref.Name] {
-		s.discard(s.sealing.ref.Name)
+// dropSegment discards the segment being written unless a tail refers to it.
+func (s *slot) dropSegment(named map[string]bool) {
+	if s.segment != nil && !named[s.segment.ref.Name] {
+		s.discard(s.segment.ref.Name)
 	}
-	s.sealing = nil
+	s.segment = nil
 }
 
-// discard notes an object to delete; when the list is full, the object stays behind.
+// discard queues an object for deletion; if the queue is full, the object is left on the platform.
 func (s *slot) discard(name string) {
 	delete(s.segKeys, name)
 	if len(s.garbage) < maxGarbageList {
@@ -157,8 +158,8 @@
 	}
 }
 
-// sweep forgets the records that no longer count.
-func (s *slot) sweep(now time.Time) {
+// purgeExpired deletes expired records from the cache.
+func (s *slot) purgeExpired(now time.Time) {
 	for k, r := range s.records {
 		if r.expired(now) {
 			delete(s.records, k)
--- a/ferry/ferryclaim/slot.go
+++ b/ferry/ferryclaim/slot.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	sealBytes      = 4 << 10
-	mergeSegments  = 12
-	topLevel       = 2
-	mergeRetry     = time.Minute
-	listedBytes    = 50 // of one segment in the tail
-	maxBatch       = 128
-	minBackoff     = 50 * time.Millisecond
-	maxBackoff     = 2 * time.Second
-	segmentGrace   = time.Minute
-	maxGarbageList = 64
+	tailFlushBytes  = 4 << 10
+	mergeSegments   = 12
+	maxSegmentLevel = 2
+	mergeRetry      = time.Minute
+	segmentRefBytes = 50 // estimated size of one segmentRef in the encoded tail
+	maxBatch        = 128
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = 2 * time.Second
+	segmentGrace    = time.Minute
+	maxGarbageList  = 64
 )
 
-// flight is a conditional write of the tail that is under way or whose outcome is not known yet.
-type flight struct {
+// tailWrite is a conditional write of the tail that is in progress or has an unknown outcome.
+type tailWrite struct {
 	put        putTail
 	next       journal
 	batch      []request
@@ -31,8 +31,8 @@
 	unresolved bool
 }
 
-// sealing is a segment that is being written, to be named by the next tail.
-type sealing struct {
+// segmentWrite is a segment being written, to which the next tail will refer.
+type segmentWrite struct {
 	put      putSegment
 	ref      segmentRef
 	keys     []Digest
@@ -40,73 +40,74 @@
 	stored   bool
 }
 
-// slot is the pure core of one slot's journal: the slot's object decides everything, and segments are immutable parts of it.
+// slot is the state machine of one slot's journal; it does no I/O.
+// The slot's object, the tail, is the only mutable object and refers to the immutable segments.
 type slot struct {
-	name    string
-	self    ferryid.Incarnation
-	serial  uint64
-	version ferryplatform.Version
-	loaded  bool
-	tail    journal
-	sealAt  int // bytes of a tail that are worth a segment
-	size    int
-	listed  int
-	records map[Digest]Record
-	segKeys map[string][]Digest
-	missing []segmentRef
-	waiting []request
-	reading int
-	flight  *flight
-	sealing *sealing
-	garbage []string
+	name          string
+	self          ferryid.Incarnation
+	serial        uint64
+	version       ferryplatform.Version
+	loaded        bool
+	tail          journal
+	flushBytes    int // tail size from which records are moved to a segment
+	size          int
+	refBytes      int
+	records       map[Digest]Record
+	segKeys       map[string][]Digest
+	missing       []segmentRef
+	waiting       []request
+	waitingAtRead int
+	inFlight      *tailWrite
+	segment       *segmentWrite
+	garbage       []string
 
 	mergeAfter time.Time
 	notBefore  time.Time
 	backoff    time.Duration
-	down       error
+	outageErr  error
 }
 
 func newSlot(name string, self ferryid.Incarnation) *slot {
-	return &slot{name: name, self: self, sealAt: sealBytes, records: map[Digest]Record{}, segKeys: map[string][]Digest{}}
+	return &slot{name: name, self: self, flushBytes: tailFlushBytes, records: map[Digest]Record{}, segKeys: map[string][]Digest{}}
 }
 
-// submit hands a request to the slot.
+// submit queues a request.
 func (s *slot) submit(r request) {
 	s.waiting = append(s.waiting, r)
 }
 
-// next returns the call to make now, or nil, and the verdicts that are already certain.
+// next returns the platform call to make now, or nil, and the verdicts already decided.
 func (s *slot) next(now time.Time) (action, []decided) {
-	if out := s.barriers(); out != nil {
+	if out := s.resolveBarriers(); out != nil {
 		return nil, out
 	}
 	if now.Before(s.notBefore) {
-		if s.down != nil {
-			return nil, s.refuse(s.down)
+		if s.outageErr != nil {
+			return nil, s.refuse(s.outageErr)
 		}
 		return nil, nil
 	}
 	switch {
-	case s.flight != nil:
-		return s.flight.put, nil
+	case s.inFlight != nil:
+		return s.inFlight.put, nil
 	case len(s.waiting) == 0:
-		return s.tidy(), nil
+		return s.nextGarbage(), nil
 	case !s.loaded:
-		s.reading = len(s.waiting)
+		s.waitingAtRead = len(s.waiting)
 		return getTail{}, nil
 	case len(s.missing) > 0:
 		return getSegment{s.missing[0]}, nil
-	case s.sealing != nil && !s.sealing.stored:
-		return s.sealing.put, nil
-	case s.sealing == nil && s.startSealing(now):
-		return s.sealing.put, nil
+	case s.segment != nil && !s.segment.stored:
+		return s.segment.put, nil
+	case s.segment == nil && s.startSegment(now):
+		return s.segment.put, nil
 	}
 	return s.plan(now)
 }
 
-// barriers settles barriers that have nothing to wait for, without a call.
-func (s *slot) barriers() []decided {
-	if s.flight != nil {
+// resolveBarriers resolves waiting barriers without a platform call if no write is pending before them.
+func (s *slot) resolveBarriers() []decided {
+	if s.inFlight != nil {
 		return nil
 	}
 	var out []decided
@@ -122,45 +123,45 @@
 	return out
 }
 
-func (s *slot) tidy() action {
+func (s *slot) nextGarbage() action {
 	if len(s.garbage) == 0 {
 		return nil
 	}
 	return deleteSegment{s.garbage[0]}
 }
 
-// plan decides every waiting request and builds the next write.
+// plan decides the waiting requests and builds the next write.
 func (s *slot) plan(now time.Time) (action, []decided) {
 	p := planner{slot: s, now: now, changed: map[Digest]Record{}}
 	for _, r := range s.waiting {
 		p.decide(r)
 	}
-	s.waiting = p.keep
+	s.waiting = p.deferred
 	if len(p.changed) > 0 {
-		s.launch(p, now)
-		return s.flight.put, p.out
+		s.startTailWrite(p, now)
+		return s.inFlight.put, p.resolved
 	}
 	for _, r := range p.batch {
-		p.out = append(p.out, decided{r, granted{}})
+		p.resolved = append(p.resolved, decided{r, granted{}})
 	}
 	if p.reload {
 		s.loaded = false
-		s.reading = len(s.waiting)
-		return getTail{}, p.out
+		s.waitingAtRead = len(s.waiting)
+		return getTail{}, p.resolved
 	}
-	return nil, p.out
+	return nil, p.resolved
 }
 
-func (s *slot) launch(p planner, now time.Time) {
+func (s *slot) startTailWrite(p planner, now time.Time) {
 	next := journal{}
-	sealed := map[Digest]bool{}
-	if s.sealing != nil && s.sealing.replaces == nil {
-		for _, k := range s.sealing.keys {
-			sealed[k] = true
+	inSegment := map[Digest]bool{}
+	if s.segment != nil && s.segment.replaces == nil {
+		for _, k := range s.segment.keys {
+			inSegment[k] = true
 		}
 	}
 	for _, r := range s.tail.records {
-		if _, ok := p.changed[r.Key]; !ok && !sealed[r.Key] && !r.expired(now) {
+		if _, ok := p.changed[r.Key]; !ok && !inSegment[r.Key] && !r.expired(now) {
 			next.records = append(next.records, r)
 		}
 	}
@@ -171,60 +172,60 @@
 	next.segments, dropped = s.nextSegments(now)
 	b, err := next.encode()
 	if err != nil {
-		panic(fmt.Sprintf("claim journal can't be encoded: %v", err))
+		panic(fmt.Sprintf("encode claim journal: %v", err))
 	}
-	s.flight = &flight{put: putTail{s.version, b}, next: next, batch: p.batch, dropped: dropped}
+	s.inFlight = &tailWrite{put: putTail{s.version, b}, next: next, batch: p.batch, dropped: dropped}
 }
 
-// done takes the answer to an action and returns the verdicts that follow from it.
-func (s *slot) done(now time.Time, a action, ans answer) []decided {
+// complete handles the result of an action and returns the verdicts that follow from it.
+func (s *slot) complete(now time.Time, a action, ans actionResult) []decided {
 	switch a := a.(type) {
 	case getTail:
-		return s.gotTail(now, ans)
+		return s.onTail(now, ans)
 	case getSegment:
-		return s.gotSegment(now, a, ans)
+		return s.onSegment(now, a, ans)
 	case putTail:
-		return s.putTail(now, ans)
+		return s.onTailPut(now, ans)
 	case putSegment:
-		return s.putSegment(now, ans)
+		return s.onSegmentPut(now, ans)
 	case deleteSegment:
 		s.garbage = s.garbage[1:]
 	}
 	return nil
 }
 
-func (s *slot) gotTail(now time.Time, ans answer) []decided {
+func (s *slot) onTail(now time.Time, ans actionResult) []decided {
 	var missing *ferryplatform.NotFoundError
 	if errors.As(ans.err, &missing) {
-		ans = answer{}
+		ans = actionResult{}
 	}
 	if ans.err != nil {
-		return s.failed(now, ans.err)
+		return s.fail(now, ans.err)
 	}
 	if ans.object.Version != s.version {
 		j := journal{}
 		if ans.object.Version != ferryplatform.NoVersion {
 			var err error
 			if j, err = decodeJournal(ans.object.Value); err != nil {
-				return s.failed(now, err)
+				return s.fail(now, err)
 			}
 		}
-		s.adopt(ans.object.Version, j, len(ans.object.Value))
+		s.adoptTail(ans.object.Version, j, len(ans.object.Value))
 	}
-	s.succeeded()
+	s.resetBackoff()
 	s.loaded = true
-	for i := range s.waiting[:min(s.reading, len(s.waiting))] {
+	for i := range s.waiting[:min(s.waitingAtRead, len(s.waiting))] {
 		s.waiting[i].fresh = true
 	}
 	return nil
 }
 
-// adopt takes over a tail that another entry wrote.
-func (s *slot) adopt(v ferryplatform.Version, j journal, size int) {
+// adoptTail replaces the cached tail by one that another entry wrote.
+func (s *slot) adoptTail(v ferryplatform.Version, j journal, size int) {
 	s.version = v
 	s.tail = j
 	s.size = size
-	s.listed = listedBytes * len(j.segments)
+	s.refBytes = segmentRefBytes * len(j.segments)
 	s.missing = nil
 	named := map[string]bool{}
 	for _, ref := range j.segments {
@@ -238,7 +239,7 @@
 			delete(s.segKeys, name)
 		}
 	}
-	s.dropSealing(named)
+	s.dropSegment(named)
 	if len(s.missing) == 0 {
 		s.applyTail()
 	}
@@ -250,7 +251,7 @@
 	}
 }
 
-func (s *slot) gotSegment(now time.Time, a getSegment, ans answer) []decided {
+func (s *slot) onSegment(now time.Time, a getSegment, ans actionResult) []decided {
 	j, err := journal{}, ans.err
 	if err == nil {
 		j, err = decodeJournal(ans.object.Value)
@@ -258,7 +259,7 @@
 	if err != nil {
 		s.loaded = false
 		s.version = ferryplatform.NoVersion
-		return s.failed(now, err)
+		return s.fail(now, err)
 	}
 	keys := make([]Digest, 0, len(j.records))
 	for _, r := range j.records {
@@ -270,50 +271,50 @@
 	if len(s.missing) == 0 {
 		s.applyTail()
 	}
-	s.succeeded()
+	s.resetBackoff()
 	return nil
 }
 
-func (s *slot) putTail(now time.Time, ans answer) []decided {
-	f := s.flight
+func (s *slot) onTailPut(now time.Time, ans actionResult) []decided {
+	f := s.inFlight
 	var conflict *ferryplatform.ConflictError
 	switch {
 	case ans.err == nil:
-		return s.landed(now, ans.version)
+		return s.tailWritten(now, ans.version)
 	case errors.As(ans.err, &conflict):
-		s.flight = nil
+		s.inFlight = nil
 		s.loaded = false
 		s.waiting = append(f.batch, s.waiting...)
 		return nil
-	case !certainlyNot(ans.err):
+	case !hadNoEffect(ans.err):
 		f.unresolved = true
 		for i := range f.batch {
-			f.batch[i].sent = true
+			f.batch[i].mayBeWritten = true
 		}
-		s.down = nil
-		s.delay(now)
+		s.outageErr = nil
+		s.backOff(now)
 		return nil
 	case f.unresolved:
-		return s.failed(now, ans.err)
+		return s.fail(now, ans.err)
 	}
-	s.flight = nil
+	s.inFlight = nil
 	s.waiting = append(f.batch, s.waiting...)
-	return s.failed(now, ans.err)
+	return s.fail(now, ans.err)
 }
 
-func (s *slot) landed(now time.Time, v ferryplatform.Version) []decided {
-	f := s.flight
-	s.flight = nil
+func (s *slot) tailWritten(now time.Time, v ferryplatform.Version) []decided {
+	f := s.inFlight
+	s.inFlight = nil
 	s.version = v
 	s.tail = f.next
 	s.size = len(f.put.value)
-	s.listed = listedBytes * len(s.tail.segments)
+	s.refBytes = segmentRefBytes * len(s.tail.segments)
 	s.applyTail()
-	s.finishSealing(now)
+	s.finishSegment(now)
 	for _, name := range f.dropped {
 		s.discard(name)
 	}
-	s.succeeded()
+	s.resetBackoff()
 	out := make([]decided, 0, len(f.batch))
 	for _, r := range f.batch {
 		out = append(out, decided{r, granted{}})
@@ -321,17 +322,17 @@
 	return out
 }
 
-// certainlyNot reports whether a failed write had no effect and will have none.
-func certainlyNot(err error) bool {
+// hadNoEffect reports whether a failed write certainly had no effect and never will.
+func hadNoEffect(err error) bool {
 	var down *ferryplatform.UnavailableError
 	var budget *ferryplatform.BudgetError
 	return errors.As(err, &down) || errors.As(err, &budget)
 }
 
-// failed refuses what waits for an answer; outcomes and releases stay until they are written.
-func (s *slot) failed(now time.Time, err error) []decided {
-	s.down = err
-	s.delay(now)
+// fail refuses the requests that need an answer; outcomes and releases stay queued until they are written.
+func (s *slot) fail(now time.Time, err error) []decided {
+	s.outageErr = err
+	s.backOff(now)
 	return s.refuse(err)
 }
 
@@ -343,24 +344,24 @@
 			keep = append(keep, r)
 			continue
 		}
-		out = append(out, decided{r, refused{err, r.sent}})
+		out = append(out, decided{r, refused{err, r.mayBeWritten}})
 	}
 	s.waiting = keep
 	return out
 }
 
-func (s *slot) delay(now time.Time) {
+func (s *slot) backOff(now time.Time) {
 	s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
 	s.notBefore = now.Add(s.backoff)
 }
 
-func (s *slot) succeeded() {
+func (s *slot) resetBackoff() {
 	s.backoff = 0
 	s.notBefore = time.Time{}
-	s.down = nil
+	s.outageErr = nil
 }
 
-// idle reports whether the slot waits for nothing but new requests.
+// idle reports whether the slot has nothing to do until the next request.
 func (s *slot) idle() bool {
-	return s.flight == nil && len(s.waiting) == 0 && len(s.garbage) == 0
+	return s.inFlight == nil && len(s.waiting) == 0 && len(s.garbage) == 0
 }
--- a/ferry/ferryclaim/store_test.go
+++ b/ferry/ferryclaim/store_test.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// fault is what goes wrong with one call to memStore.
+// fault is the fault injected into one call to memStore.
 type fault int
 
 const (
@@ -22,24 +22,24 @@
 
 var errLost = errors.New("answer lost")
 
-// memStore is an object API in memory with the faults of the brief.
+// memStore is an in-memory object API that can fail, lose answers and apply writes late.
 type memStore struct {
-	mu      sync.Mutex
-	version ferryplatform.Version
-	objects map[string]ferryplatform.Object
-	late    []func()
-	puts    int
-	bytes   int
-	gets    int
-	got     int
-	fault   func(write bool) fault
+	mu           sync.Mutex
+	version      ferryplatform.Version
+	objects      map[string]ferryplatform.Object
+	late         []func()
+	puts         int
+	bytesWritten int
+	gets         int
+	bytesRead    int
+	fault        func(write bool) fault
 }
 
 func newMemStore() *memStore {
 	return &memStore{objects: map[string]ferryplatform.Object{}}
 }
 
-func (s *memStore) fails(write bool) fault {
+func (s *memStore) nextFault(write bool) fault {
 	if s.fault == nil {
 		return faultNone
 	}
@@ -49,7 +49,7 @@
 func (s *memStore) Get(_ context.Context, kind, name string) (ferryplatform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fails(false) == faultDown {
+	if s.nextFault(false) == faultDown {
 		return ferryplatform.Object{}, &ferryplatform.UnavailableError{Op: "get", Err: errLost}
 	}
 	s.gets++
@@ -57,7 +57,7 @@
 	if !ok {
 		return o, &ferryplatform.NotFoundError{Kind: kind, Name: name}
 	}
-	s.got += len(o.Value)
+	s.bytesRead += len(o.Value)
 	return o, nil
 }
 
@@ -74,9 +74,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.puts++
-	s.bytes += len(value)
+	s.bytesWritten += len(value)
 	lost := &ferryplatform.UnknownOutcomeError{Op: "put", Err: errLost}
-	switch s.fails(true) {
+	switch s.nextFault(true) {
 	case faultDown:
 		return 0, &ferryplatform.UnavailableError{Op: "put", Err: errLost}
 	case faultLostApplied:
@@ -91,7 +91,7 @@
 	return s.apply(kind, name, expected, value)
 }
 
-func (s *memStore) land() {
+func (s *memStore) applyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.late {
--- a/ferry/ferryclaim/table.go
+++ b/ferry/ferryclaim/table.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// TicketLifetime is how long after its issue a ticket can be used.
+	// TicketLifetime is how long a ticket can be used after its issue.
 	TicketLifetime = 15 * time.Minute
-	// ticketMemory is how long after its issue a used ticket is recognised.
-	ticketMemory = 2 * TicketLifetime
-	purgeGrace   = time.Minute
+	// ticketRetention is how long a used ticket is recognized after its issue.
+	ticketRetention = 2 * TicketLifetime
+	purgeGrace      = time.Minute
 )
 
-// phase is how far one operation has come at this incarnation.
+// phase is the progress of one operation at this incarnation.
 type phase uint8
 
 const (
 	phasePending    phase = 1 // the claim is being written
 	phaseGranted    phase = 2 // may be dispatched
-	phaseDispatched phase = 3 // may have been sent
+	phaseDispatched phase = 3 // the call may have been sent
 	phaseFinished   phase = 4
 	phaseRevoked    phase = 5 // will never be dispatched
 )
 
-// op is one claim or used ticket that this incarnation answers for.
+// op is one claim or used ticket for which this incarnation is authoritative.
 type op struct {
 	Ref    Ref       `cbor:"1,keyasint"`
 	Key    Digest    `cbor:"2,keyasint"`
 	Body   Digest    `cbor:"3,keyasint"`
 	Phase  phase     `cbor:"4,keyasint"`
-	Until  time.Time `cbor:"5,keyasint"` // a key's Until; for a ticket, the end of its memory
+	Until  time.Time `cbor:"5,keyasint"` // expiry of the key, or the end of a ticket's retention
 	Start  time.Time `cbor:"6,keyasint"`
 	Result Result    `cbor:"7,keyasint"`
 	Ticket bool      `cbor:"8,keyasint"`
-	// Retention is how long the outcome is kept.
+	// Retention is how long the outcome of a key is kept.
 	Retention time.Duration `cbor:"9,keyasint"`
 }
 
-// table is what one incarnation alone knows: which of its claims and tickets were dispatched.
-// A mutex guards it, since the callers' goroutines need its answer just before the first byte.
+// table holds the state that only this incarnation knows: which of its claims and tickets were dispatched.
+// It has a mutex because callers' goroutines use it directly, just before they send the first byte.
 type table struct {
 	mu     sync.Mutex
 	self   ferryid.Incarnation
@@ -62,13 +62,13 @@
 	return Ref{By: t.self, N: t.serial}
 }
 
-// answersFor reports whether this incarnation knows all about another's claims.
-func (t *table) answersFor(id ferryid.Incarnation) bool {
+// authoritativeFor reports whether this incarnation has the complete state of the other's claims.
+func (t *table) authoritativeFor(id ferryid.Incarnation) bool {
 	return !t.closed && (id == t.self || t.heirOf[id])
 }
 
-// local returns the operation that this incarnation has under the key.
-func (t *table) local(k Digest) (op, bool) {
+// findByKey returns this incarnation's operation for the key.
+func (t *table) findByKey(k Digest) (op, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o, ok := t.ops[t.byKey[k]]
@@ -78,7 +78,7 @@
 	return *o, true
 }
 
-// claim starts an operation under a key and returns false if this incarnation takes no more.
+// claim adds a pending operation for a key; it returns false if the table is closed.
 func (t *table) claim(c Call, k Digest, now time.Time) (op, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +94,7 @@
 	return *o, true
 }
 
-// grant lets a pending operation be dispatched, unless it was revoked meanwhile.
+// grant allows a pending operation to be dispatched, unless it was revoked in the meantime.
 func (t *table) grant(r Ref) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +106,8 @@
 	return true
 }
 
-// dispatch makes the operation one that may have been sent; a claim is good for half of its retention, so that it can't run beside a later one.
+// dispatch marks a granted operation as possibly sent. A claim must be dispatched within half of its retention,
+// so that it can't run concurrently with a later claim of the same key.
 func (t *table) dispatch(r Ref, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +123,7 @@
 	return true
 }
 
-// finish records the result and returns the operation as it stands then.
+// finish records the result and returns the updated operation.
 func (t *table) finish(r Ref, res Result, now time.Time) (op, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +141,7 @@
 	return *o, true
 }
 
-// release makes an operation of which nothing was sent one that never will be; a ticket can be used again.
+// release revokes an operation of which nothing was sent; a ticket can be used again.
 func (t *table) release(r Ref) (op, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +156,7 @@
 	return *o, true
 }
 
-// forget drops an operation about which the journal says all.
+// forget drops an operation whose state the journal holds in full.
 func (t *table) forget(r Ref) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// purge drops used tickets that are refused for their age anyway.
+// purge drops finished, revoked and inherited operations after their expiry.
 func (t *table) purge(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/ticket.go
+++ b/ferry/ferryclaim/ticket.go
@@ -14,13 +14,13 @@
 	maxTicketBytes = 1 << 10
 )
 
-// HeirRule says how the entry that took over a stopped incarnation's tickets is found.
+// HeirRule is the rule for finding the entry that inherited a stopped incarnation's tickets.
 type HeirRule uint8
 
-// HeirRendezvous ranks the live entries by HeirOrder and asks the first few.
+// HeirRendezvous asks the first few live entries in the order of HeirOrder.
 const HeirRendezvous HeirRule = 1
 
-// Ticket is the right to run one call once, at the incarnation that issued it or at its heir.
+// Ticket is the permission to run one call once, at the incarnation that issued it or at its heir.
 type Ticket struct {
 	Ref      Ref                  `cbor:"1,keyasint"`
 	Issued   int64                `cbor:"2,keyasint"` // Unix milliseconds
@@ -35,7 +35,7 @@
 
 func (t Ticket) check() error {
 	if t.Ref.By == "" || t.Ref.N == 0 {
-		return merry.New("ticket names no incarnation or serial")
+		return merry.New("ticket without incarnation or serial number")
 	}
 	if t.Heir != HeirRendezvous {
 		return merry.Errorf("ticket has unknown heir rule %d", t.Heir)
@@ -56,10 +56,10 @@
 	return encodeSealed(ts, b), nil
 }
 
-// Open returns the ticket that the text carries, or an error if it is forged or damaged.
+// Open returns the ticket encoded in the text, or an error if it is forged or damaged.
 func (ts Tickets) Open(text string) (Ticket, error) {
 	if len(text) > maxTicketBytes {
-		return Ticket{}, merry.Errorf("ticket of %d bytes is too long", len(text))
+		return Ticket{}, merry.Errorf("ticket too long: %d bytes", len(text))
 	}
 	sealed, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
--- a/ferry/ferryclaim/use.go
+++ b/ferry/ferryclaim/use.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// use is what comes of presenting a ticket to the incarnation that answers for it.
-type use uint8
+// ticketUse is the result of presenting a ticket to the incarnation that is authoritative for it.
+type ticketUse uint8
 
 const (
-	useGranted   use = iota
-	useKnown         // the operation is returned
-	useOld           // too old, and certainly never used
-	useForgotten     // so old that it may have been used
-	useClosed        // this incarnation takes no more
+	useGranted ticketUse = iota
+	useKnown             // used before; the operation is returned
+	useExpired           // past its lifetime and never used
+	usePurged            // past its retention, so it may have been used
+	useClosed            // the table is closed
 )
 
-// issue makes the next ticket of this incarnation.
+// issue returns a new ticket; it returns false if the table is closed.
 func (t *table) issue(c Call, now time.Time) (Ticket, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -26,8 +26,8 @@
 	}, true
 }
 
-// useTicket grants an unused ticket, or returns what became of a used one.
-func (t *table) useTicket(tk Ticket, body Digest, now time.Time) (use, op) {
+// useTicket grants an unused ticket, or returns the operation of a used one.
+func (t *table) useTicket(tk Ticket, body Digest, now time.Time) (ticketUse, op) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.ops[tk.Ref]; ok {
@@ -35,16 +35,16 @@
 	}
 	age := now.Sub(tk.issued())
 	switch {
-	case age >= ticketMemory:
-		return useForgotten, op{}
+	case age >= ticketRetention:
+		return usePurged, op{}
 	case age >= TicketLifetime:
-		return useOld, op{}
+		return useExpired, op{}
 	case t.closed:
 		return useClosed, op{}
 	}
 	o := &op{
 		Ref: tk.Ref, Body: body, Phase: phaseGranted, Start: now,
-		Until: tk.issued().Add(ticketMemory), Ticket: true,
+		Until: tk.issued().Add(ticketRetention), Ticket: true,
 	}
 	t.ops[o.Ref] = o
 	return useGranted, *o
--- a/ferry/ferryclaim/world_test.go
+++ b/ferry/ferryclaim/world_test.go
@@ -11,34 +11,34 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-const worldRetention = time.Hour
+const simRetention = time.Hour
 
-// world drives the cores of several entries, one step at a time, in any order.
-type world struct {
-	store    *memStore
-	now      time.Time
-	entries  []*node
-	all      map[ferryid.Incarnation]*node
-	born     int
-	ran      map[string][]execution // by key or ticket
-	tainted  map[string]bool        // a dead incarnation alone knew what became of it
-	tries    []*try
-	failures []string
-	owners   func(*try) *node
-	sealAt   int
+// simulation runs the state machines of several entries step by step in any order.
+type simulation struct {
+	store        *memStore
+	now          time.Time
+	entries      []*simEntry
+	all          map[ferryid.Incarnation]*simEntry
+	created      int
+	ran          map[string][]execution // dispatches by key or ticket
+	mayBeUnknown map[string]bool        // keys and tickets whose outcome only a crashed incarnation knew
+	calls        []*simCall
+	failures     []string
+	chooseOwner  func(*simCall) *simEntry
+	flushBytes   int
 }
 
 type execution struct {
 	at  time.Time
-	try *try
+	try *simCall
 }
 
-// try is one call by a caller.
-type try struct {
+// simCall is one simulated call.
+type simCall struct {
 	op      string
-	at      *node
+	entry   *simEntry
 	a       *attempt
-	wait    step
+	step    step
 	claim   *Ref
 	sent    bool
 	done    bool
@@ -47,42 +47,42 @@
 	answer  Answer
 	askErr  error
 	verdict verdict
-	// passedTo is the entry that writes for the try's own, as the owner of the slot.
-	passedTo *node
+	// forwardedTo is the entry that writes for this one as the owner of the slot.
+	forwardedTo *simEntry
 }
 
-// node is one entry incarnation.
-type node struct {
+// simEntry is one incarnation of an entry.
+type simEntry struct {
 	id      ferryid.Incarnation
 	table   *table
 	slot    *slot
 	dead    bool
-	under   action
-	ans     answer
+	action  action
+	result  actionResult
 	replied bool
 }
 
-func newWorld(n int) *world {
-	return newWorldSealing(n, sealBytes)
+func newSimulation(n int) *simulation {
+	return newSimulationFlushing(n, tailFlushBytes)
 }
 
-func newWorldSealing(n, sealAt int) *world {
-	w := &world{
-		sealAt: sealAt,
-		store:  newMemStore(), now: time.Unix(1_800_000_000, 0), all: map[ferryid.Incarnation]*node{},
-		ran: map[string][]execution{}, tainted: map[string]bool{},
+func newSimulationFlushing(n, flushBytes int) *simulation {
+	w := &simulation{
+		flushBytes: flushBytes,
+		store:      newMemStore(), now: time.Unix(1_800_000_000, 0), all: map[ferryid.Incarnation]*simEntry{},
+		ran: map[string][]execution{}, mayBeUnknown: map[string]bool{},
 	}
 	for range n {
-		w.entries = append(w.entries, w.newNode())
+		w.entries = append(w.entries, w.newEntry())
 	}
 	return w
 }
 
-func (w *world) newNode() *node {
-	w.born++
-	id := incarnation(w.born)
-	n := &node{id: id, table: newTable(id), slot: newSlot("0000", id)}
-	n.slot.sealAt = w.sealAt
+func (w *simulation) newEntry() *simEntry {
+	w.created++
+	id := incarnation(w.created)
+	n := &simEntry{id: id, table: newTable(id), slot: newSlot("0000", id)}
+	n.slot.flushBytes = w.flushBytes
 	w.all[id] = n
 	return n
 }
@@ -91,11 +91,11 @@
 	return ferryid.Incarnation(fmt.Sprintf("i%d", n))
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	w.failures = append(w.failures, fmt.Sprintf(format, args...))
 }
 
-func (w *world) live() []ferryid.Incarnation {
+func (w *simulation) live() []ferryid.Incarnation {
 	var out []ferryid.Incarnation
 	for _, n := range w.entries {
 		out = append(out, n.id)
@@ -103,68 +103,68 @@
 	return out
 }
 
-func (w *world) begin(n *node, op string, ticket *Ticket, body string) *try {
-	t := &try{op: op, at: n}
+func (w *simulation) begin(n *simEntry, op string, ticket *Ticket, body string) *simCall {
+	t := &simCall{op: op, entry: n}
 	if n.dead {
 		t.done, t.err = true, errLost
 		return t
 	}
-	call := Call{Customer: "c", Service: "s", Key: op, Digest: DigestOf([]byte(body)), Retention: worldRetention}
+	call := Call{Customer: "c", Service: "s", Key: op, Digest: DigestOf([]byte(body)), Retention: simRetention}
 	t.a = &attempt{t: n.table, call: call, ticket: ticket, heirsOf: func(id ferryid.Incarnation) []ferryid.Incarnation {
 		return HeirOrder(id, w.live())
 	}}
-	w.tries = append(w.tries, t)
-	w.take(t, t.a.start(w.now))
+	w.calls = append(w.calls, t)
+	w.apply(t, t.a.start(w.now))
 	return t
 }
 
-// take does what of a step needs no waiting.
-func (w *world) take(t *try, st step) {
-	t.wait, t.asked, t.verdict = st, false, nil
+// apply executes the part of a step that needs no waiting.
+func (w *simulation) apply(t *simCall, st step) {
+	t.step, t.asked, t.verdict = st, false, nil
 	switch st := st.(type) {
 	case grantStep:
 		t.claim = &st.ref
 	case endStep:
 		w.end(t, st.err)
 		if st.release != nil {
-			w.release(t.at, *st.release)
+			w.release(t.entry, *st.release)
 		}
 	case submitStep:
 		r := st.req
-		r.reply = func(v verdict) { w.settle(t, r, v) }
-		t.passedTo = w.owner(t)
-		t.passedTo.slot.submit(r)
+		r.reply = func(v verdict) { w.deliverVerdict(t, r, v) }
+		t.forwardedTo = w.owner(t)
+		t.forwardedTo.slot.submit(r)
 	}
 }
 
-// writeItself gives up on the slot's owner, which may still write later.
-func (w *world) writeItself(t *try, r request) {
-	t.passedTo = t.at
-	w.tainted[t.op] = true
-	r.sent = true
-	r.reply = func(v verdict) { w.settle(t, r, v) }
-	t.at.slot.submit(r)
+// writeLocally submits the request to the call's own entry after forwarding failed; the owner may still write later.
+func (w *simulation) writeLocally(t *simCall, r request) {
+	t.forwardedTo = t.entry
+	w.mayBeUnknown[t.op] = true
+	r.mayBeWritten = true
+	r.reply = func(v verdict) { w.deliverVerdict(t, r, v) }
+	t.entry.slot.submit(r)
 }
 
-func (w *world) owner(t *try) *node {
-	if w.owners == nil {
-		return t.at
+func (w *simulation) owner(t *simCall) *simEntry {
+	if w.chooseOwner == nil {
+		return t.entry
 	}
-	return w.owners(t)
+	return w.chooseOwner(t)
 }
 
-func (w *world) settle(t *try, r request, v verdict) {
-	st, waiting := t.wait.(submitStep)
+func (w *simulation) deliverVerdict(t *simCall, r request, v verdict) {
+	st, waiting := t.step.(submitStep)
 	if !t.done && waiting && st.req.op == r.op && st.req.rec.Ref == r.rec.Ref {
 		t.verdict = v
 		return
 	}
-	if _, ok := v.(granted); ok && r.op == opClaim && t.at.table.revoked(r.rec.Ref) {
-		w.release(t.at, op{Ref: r.rec.Ref, Key: r.rec.Key, Body: r.rec.Body, Until: time.Unix(r.rec.Until, 0)})
+	if _, ok := v.(granted); ok && r.op == opClaim && t.entry.table.revoked(r.rec.Ref) {
+		w.release(t.entry, op{Ref: r.rec.Ref, Key: r.rec.Key, Body: r.rec.Body, Until: time.Unix(r.rec.Until, 0)})
 	}
 }
 
-func (w *world) release(n *node, o op) {
+func (w *simulation) release(n *simEntry, o op) {
 	if o.Ticket {
 		return
 	}
@@ -172,43 +172,43 @@
 	n.slot.submit(request{op: opRelease, rec: rec, reply: func(verdict) { n.table.forget(o.Ref) }})
 }
 
-func (w *world) end(t *try, err error) {
+func (w *simulation) end(t *simCall, err error) {
 	t.done, t.err = true, err
 	if ferryoutcome.Of(err) == ferryoutcome.NotRun && t.sent {
-		w.fail("%s: answered NotRun after it was sent: %v", t.op, err)
+		w.fail("%s: answered NotRun although it was sent: %v", t.op, err)
 	}
 	if rep, ok := err.(*Replay); ok && rep.Outcome == ferryoutcome.Ran && len(w.ran[t.op]) == 0 {
-		w.fail("%s: answered Ran and never ran", t.op)
+		w.fail("%s: answered Ran but was never dispatched", t.op)
 	}
 }
 
-// step lets one try go on, if what it waits for has come.
-func (w *world) step(t *try, lose bool) {
-	if t.done || t.at.dead {
+// step advances one call if the reply that it waits for has arrived.
+func (w *simulation) step(t *simCall, lose bool) {
+	if t.done || t.entry.dead {
 		return
 	}
-	switch st := t.wait.(type) {
+	switch st := t.step.(type) {
 	case submitStep:
 		if v := t.verdict; v != nil {
-			w.take(t, t.a.onVerdict(v, w.now))
+			w.apply(t, t.a.onVerdict(v, w.now))
 			return
 		}
-		if t.passedTo != t.at && (lose || t.passedTo.dead) {
-			w.writeItself(t, st.req)
+		if t.forwardedTo != t.entry && (lose || t.forwardedTo.dead) {
+			w.writeLocally(t, st.req)
 		}
 	case askStep:
 		if t.asked {
-			w.take(t, t.a.onAnswer(st.id, t.answer, t.askErr, w.now))
+			w.apply(t, t.a.onAnswer(st.id, t.answer, t.askErr, w.now))
 			return
 		}
 		t.asked = true
-		t.answer, t.askErr = w.ask(t.at, st, lose)
+		t.answer, t.askErr = w.ask(t.entry, st, lose)
 	case grantStep:
 		w.dispatch(t)
 	}
 }
 
-func (w *world) ask(from *node, st askStep, lose bool) (Answer, error) {
+func (w *simulation) ask(from *simEntry, st askStep, lose bool) (Answer, error) {
 	to := w.all[st.id]
 	if from.table.owns(st.id) {
 		to = from
@@ -223,95 +223,95 @@
 	return ans, nil
 }
 
-func (w *world) dispatch(t *try) {
-	if !t.at.table.dispatch(*t.claim, w.now) {
-		if o, ok := t.at.table.release(*t.claim); ok {
-			w.release(t.at, o)
+func (w *simulation) dispatch(t *simCall) {
+	if !t.entry.table.dispatch(*t.claim, w.now) {
+		if o, ok := t.entry.table.release(*t.claim); ok {
+			w.release(t.entry, o)
 		}
-		w.end(t, lostRight())
+		w.end(t, claimLost())
 		return
 	}
 	t.sent = true
 	for _, e := range w.ran[t.op] {
-		if w.now.Sub(e.at) < worldRetention/2 {
-			w.fail("%s: ran twice, at %s and %s", t.op, e.try.at.id, t.at.id)
+		if w.now.Sub(e.at) < simRetention/2 {
+			w.fail("%s: ran twice, at %s and %s", t.op, e.try.entry.id, t.entry.id)
 		}
 	}
 	w.ran[t.op] = append(w.ran[t.op], execution{w.now, t})
-	t.wait = nil
+	t.step = nil
 }
 
-func (w *world) finish(t *try) {
-	if !t.sent || t.done || t.at.dead {
+func (w *simulation) finish(t *simCall) {
+	if !t.sent || t.done || t.entry.dead {
 		return
 	}
 	w.end(t, &Replay{Outcome: ferryoutcome.Ran})
-	o, ok := t.at.table.finish(*t.claim, Result{Outcome: ferryoutcome.Ran, Status: 200, Body: []byte("fed")}, w.now)
+	o, ok := t.entry.table.finish(*t.claim, Result{Outcome: ferryoutcome.Ran, Status: 200, Body: []byte("fed")}, w.now)
 	if ok && !o.Ticket {
 		r := finishRequest(o)
-		r.reply = func(verdict) { t.at.table.forget(o.Ref) }
-		t.at.slot.submit(r)
+		r.reply = func(verdict) { t.entry.table.forget(o.Ref) }
+		t.entry.slot.submit(r)
 	}
 }
 
-func (w *world) cancel(t *try) {
-	if t.done || t.sent || t.at.dead {
+func (w *simulation) cancel(t *simCall) {
+	if t.done || t.sent || t.entry.dead {
 		return
 	}
 	if t.claim != nil {
-		if o, ok := t.at.table.release(*t.claim); ok {
-			w.release(t.at, o)
+		if o, ok := t.entry.table.release(*t.claim); ok {
+			w.release(t.entry, o)
 		}
-		w.end(t, notNow(errLost))
+		w.end(t, claimTimedOut(errLost))
 		return
 	}
-	late, v := t.wait.(submitStep)
+	late, v := t.step.(submitStep)
 	got := t.verdict
-	w.take(t, t.a.cancelled(errLost))
+	w.apply(t, t.a.onCancel(errLost))
 	if v && got != nil {
-		w.settle(t, late.req, got)
+		w.deliverVerdict(t, late.req, got)
 	}
 }
 
-// io makes or answers the slot's call to the platform.
-func (w *world) io(n *node) bool {
+// io starts or completes the slot's platform call.
+func (w *simulation) io(n *simEntry) bool {
 	if n.dead {
 		return false
 	}
-	if n.under == nil {
+	if n.action == nil {
 		a, out := n.slot.next(w.now)
 		deliver(out)
 		if a == nil {
 			return len(out) > 0
 		}
-		n.under = a
+		n.action = a
 		r := slotRunner{core: n.slot, store: w.store, clock: clockwork.NewFakeClock()}
-		n.ans = r.do(context.Background(), a)
+		n.result = r.do(context.Background(), a)
 		return true
 	}
-	a := n.under
-	n.under = nil
-	deliver(n.slot.done(w.now, a, n.ans))
+	a := n.action
+	n.action = nil
+	deliver(n.slot.complete(w.now, a, n.result))
 	return true
 }
 
-// crash ends an incarnation; whatever it alone knew may end Unknown.
-func (w *world) crash(i int) {
+// crash ends an incarnation; outcomes that only it knew may be answered Unknown.
+func (w *simulation) crash(i int) {
 	n := w.entries[i]
 	n.dead = true
 	for r := range n.table.ops {
-		w.taint(r)
+		w.allowUnknown(r)
 	}
-	for _, t := range w.tries {
-		if !t.done && t.at == n {
+	for _, t := range w.calls {
+		if !t.done && t.entry == n {
 			t.done, t.err = true, errLost
 		}
 	}
-	w.entries[i] = w.newNode()
+	w.entries[i] = w.newEntry()
 }
 
-// stop hands over to the best-placed heir; the stopped incarnation may still try to go on.
-func (w *world) stop(i int) error {
+// stop hands over to the first heir; calls may still reach the stopped incarnation.
+func (w *simulation) stop(i int) error {
 	n := w.entries[i]
 	heir := w.all[HeirOrder(n.id, w.live())[0]]
 	h, err := n.table.close(heir.id)
@@ -322,7 +322,7 @@
 	for _, o := range ops {
 		switch {
 		case o.Phase == phaseDispatched:
-			w.taint(o.Ref)
+			w.allowUnknown(o.Ref)
 		case o.Ticket:
 		case o.Phase == phaseFinished:
 			heir.slot.submit(finishRequest(o))
@@ -330,31 +330,31 @@
 			w.release(heir, o)
 		}
 	}
-	w.entries[i] = w.newNode()
+	w.entries[i] = w.newEntry()
 	return err
 }
 
-// taint notes that a dead incarnation alone knew what became of a call.
-func (w *world) taint(r Ref) {
-	for _, t := range w.tries {
-		if t.a.mine.Ref == r {
-			w.tainted[t.op] = true
+// allowUnknown records that only a crashed incarnation knew the outcome of a call.
+func (w *simulation) allowUnknown(r Ref) {
+	for _, t := range w.calls {
+		if t.a.claimed.Ref == r {
+			w.mayBeUnknown[t.op] = true
 		}
 	}
 }
 
-// settleAll lets everything finish with no more faults.
-func (w *world) settleAll() {
+// runUntilIdle runs everything to its end without further faults.
+func (w *simulation) runUntilIdle() {
 	w.store.fault = nil
-	w.store.land()
+	w.store.applyLate()
 	for range 100 {
 		w.now = w.now.Add(100 * time.Millisecond)
-		for i := range w.born {
+		for i := range w.created {
 			for range 4 {
 				w.io(w.all[incarnation(i+1)])
 			}
 		}
-		for _, t := range w.tries {
+		for _, t := range w.calls {
 			w.step(t, false)
 			w.finish(t)
 		}
--- a/ferryd/ferrycaller/claim.go
+++ b/ferryd/ferrycaller/claim.go
@@ -58,7 +58,7 @@
 	default:
 		res := ferryclaim.Result{Outcome: ferryoutcome.Ran, Status: answer.Status}
 		if answer.Rest == nil {
-			res.Body, res.Whole = answer.Body, true
+			res.Body, res.Complete = answer.Body, true
 			res.Header = http.Header{}
 			if v := answer.Header.Get("Content-Type"); v != "" {
 				res.Header.Set("Content-Type", v)
@@ -91,7 +91,7 @@
 }
 
 func replayed(r *ferryclaim.Replay) (*ferryplain.Answer, *ferryoutcome.Problem) {
-	if r.Outcome == ferryoutcome.Ran && r.Whole {
+	if r.Outcome == ferryoutcome.Ran && r.Complete {
 		h := r.Header.Clone()
 		if h == nil {
 			h = http.Header{}
