--- a/ferryd/doc.go
+++ b/ferryd/doc.go
@@ -1,2 +1,2 @@
-// Command ferryd is described in its --help.
+// Command ferryd runs one entry of the router; its flags and subcommands are described by ferryd --help.
 package main
--- a/ferryd/ferrycaller/claim.go
+++ b/ferryd/ferrycaller/claim.go
@@ -11,11 +11,11 @@
 	"cactusferry.dev/ferry/ferryplain"
 )
 
-// ReplayHeader marks an answer that was recorded when the call ran before.
+// ReplayHeader is the response header that marks an answer recorded by an earlier call.
 const ReplayHeader = "Replayed"
 
-// once runs a call that has a key or a ticket, at most once among all entries, even if its caller goes away.
-func (s *Server) once(ctx context.Context, c *caller, call ferryplain.Call, key, ticket string) (*ferryplain.Answer, *ferryoutcome.Problem) {
+// runOnce runs a call with a key or a ticket at most once across all entries, even if the caller disconnects.
+func (s *Server) runOnce(ctx context.Context, c *caller, call ferryplain.Call, key, ticket string) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	deadline, ok := ctx.Deadline()
 	ctx = context.WithoutCancel(ctx)
 	if ok {
@@ -28,12 +28,12 @@
 		Digest: digest(call), Retention: c.doc.Limits.Retention(),
 	})
 	if err != nil {
-		return s.notBegun(c, err)
+		return s.answerUnclaimed(c, err)
 	}
-	identityOf(ctx).lookedUp = true
+	callInfoOf(ctx).lookedUp = true
 	s.Events.Add("Claimed", claim.Ref().String(), "request %s", c.id)
 	dispatched := false
-	answer, p := s.repeat(ctx, c, call, func() *ferryoutcome.Problem {
+	answer, p := s.sendWithRetries(ctx, c, call, func() *ferryoutcome.Problem {
 		if dispatched {
 			return nil
 		}
@@ -43,12 +43,12 @@
 		dispatched = true
 		return nil
 	})
-	s.settle(ctx, claim, answer, p)
+	s.recordResult(ctx, claim, answer, p)
 	return answer, p
 }
 
-// settle records what came of the call, or gives the claim back if nothing was sent.
-func (s *Server) settle(ctx context.Context, claim *ferryclaim.Claim, answer *ferryplain.Answer, p *ferryoutcome.Problem) {
+// recordResult records the result of the call, or releases the claim if nothing was sent.
+func (s *Server) recordResult(ctx context.Context, claim *ferryclaim.Claim, answer *ferryplain.Answer, p *ferryoutcome.Problem) {
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case p != nil && p.Outcome == ferryoutcome.NotRun:
@@ -66,31 +66,31 @@
 		}
 		claim.Finish(ctx, res)
 	}
-	s.Events.Add("Settled", claim.Ref().String(), "%s", settledAs(p))
+	s.Events.Add("Settled", claim.Ref().String(), "%s", outcomeText(p))
 }
 
-func settledAs(p *ferryoutcome.Problem) string {
+func outcomeText(p *ferryoutcome.Problem) string {
 	if p == nil {
 		return string(ferryoutcome.Ran)
 	}
 	return string(p.Outcome)
 }
 
-// notBegun answers a call that may not run now: with its recorded answer, or with why not.
-func (s *Server) notBegun(c *caller, err error) (*ferryplain.Answer, *ferryoutcome.Problem) {
+// answerUnclaimed returns the recorded answer of a call that can't be claimed, or the problem that prevents it.
+func (s *Server) answerUnclaimed(c *caller, err error) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	var replay *ferryclaim.Replay
 	if errors.As(err, &replay) {
 		s.Events.Add("Replayed", string(c.customer.Name), "request %s: %s", c.id, replay.Outcome)
-		return replayed(replay)
+		return replayAnswer(replay)
 	}
 	var elsewhere *ferryclaim.ElsewhereError
 	if errors.As(err, &elsewhere) {
-		return nil, s.elsewhere(elsewhere)
+		return nil, s.redirectTicket(elsewhere)
 	}
 	return nil, asProblem(err)
 }
 
-func replayed(r *ferryclaim.Replay) (*ferryplain.Answer, *ferryoutcome.Problem) {
+func replayAnswer(r *ferryclaim.Replay) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	if r.Outcome == ferryoutcome.Ran && r.Complete {
 		h := r.Header.Clone()
 		if h == nil {
@@ -106,8 +106,8 @@
 	return nil, ferryoutcome.New(ferryoutcome.KindConflict, r.Outcome, "%s", text)
 }
 
-// elsewhere names the entry whose ticket it is.
-func (s *Server) elsewhere(e *ferryclaim.ElsewhereError) *ferryoutcome.Problem {
+// redirectTicket returns a problem with the address of the entry that can run the ticket.
+func (s *Server) redirectTicket(e *ferryclaim.ElsewhereError) *ferryoutcome.Problem {
 	p := ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun, "Only the entry that issued the ticket can run it; send the call there.")
 	if a, ok := s.AddressOf(e.Incarnation); ok {
 		p.Entries = []string{a}
@@ -115,11 +115,11 @@
 	return p
 }
 
-// tickets issues a ticket for one call that may not be repeated.
+// tickets handles POST /v1/tickets: it issues a ticket for one non-idempotent call.
 func (s *Server) tickets(w http.ResponseWriter, r *http.Request) {
 	c, p := s.authenticate(r, r.URL.Query().Get("service"), "")
 	if p == nil {
-		p = s.admitNew()
+		p = s.checkServing()
 	}
 	if p != nil {
 		s.fail(w, r, p)
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// EventIDHeader is the request header with which a caller resumes a stream where it broke off.
+	// EventIDHeader is the request header with the id of the last event received, from which a stream resumes.
 	EventIDHeader = "Last-Event-ID"
 	// StreamHeader is the response header with the stream's id.
 	StreamHeader = "Stream-ID"
-	// bytesPerToken turns a prompt's length into an estimate of its tokens.
+	// bytesPerToken is the assumed ratio for estimating a prompt's tokens from its length.
 	bytesPerToken = 4
-	// tokenBuffer bounds the tokens that wait for a slow caller; a stream whose buffer is full waits.
+	// tokenBuffer is how many tokens are buffered for a slow caller before generation blocks.
 	tokenBuffer       = 64
 	heartbeatInterval = 5 * time.Second
-	// progressTokens is how many tokens pass before the queue is told of them.
+	// progressTokens is the number of tokens between progress reports to the queue.
 	progressTokens = 16
 )
 
-// errPreempted cancels a run that has to give its slot to other work.
+// errPreempted is the cancellation cause of a run that the queue preempts.
 var errPreempted = errors.New("preempted")
 
-// stream is one completion that is being answered.
+// stream is one completion request in progress.
 type stream struct {
-	server *Server
-	caller *caller
-	req    *Completion
-	job    ferrypipeline.Job
-	grant  *ferryqueue.Grant
-	resume *ferrystream.Resume
-	timed  *streamMetrics
-	tokens chan ferrypipeline.Token
-	texts  []string
-	result ferrypipeline.Result
+	server  *Server
+	caller  *caller
+	req     *Completion
+	job     ferrypipeline.Job
+	grant   *ferryqueue.Grant
+	resume  *ferrystream.Resume
+	metrics *streamMetrics
+	tokens  chan ferrypipeline.Token
+	texts   []string
+	result  ferrypipeline.Result
 }
 
-// completions answers both shapes of the completions request.
+// completions handles completion and chat completion requests.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request, chat bool) {
-	defer s.opened(&s.openStreams)()
-	if p := s.admitNew(); p != nil {
+	defer s.trackOpen(&s.openStreams)()
+	if p := s.checkServing(); p != nil {
 		s.fail(w, r, p)
 		return
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	st.grant = grant
-	st.timed = s.Metrics.stream(st.job.Service, arrived)
+	st.metrics = s.Metrics.stream(st.job.Service, arrived)
 	defer func() { grant.Done(ferryid.Tokens(len(st.texts))) }()
 	s.Events.Add("StreamStarted", string(st.job.Stream), "customer %s, request %s", st.caller.customer.Name, st.caller.id)
 	ended := make(chan error, 1)
@@ -86,9 +86,9 @@
 	return ferrystream.ShapeCompletions
 }
 
-// openStream reads and checks the request and finds out whose stream it starts or resumes.
+// openStream reads and validates the request, authenticates the caller and opens its resume token.
 func (s *Server) openStream(w http.ResponseWriter, r *http.Request, chat bool) (*stream, *ferryoutcome.Problem) {
-	limit, ok := s.Documents.BodyLimit(bearer(r))
+	limit, ok := s.Documents.BodyLimit(bearerToken(r))
 	if !ok {
 		return nil, unauthorized()
 	}
@@ -107,32 +107,32 @@
 	if int64(len(body)) > c.doc.Limits.BodyBytes {
 		return nil, tooLarge(c.doc.Limits.BodyBytes)
 	}
-	if p := s.limited(c, 1); p != nil {
+	if p := s.checkRateLimit(c, 1); p != nil {
 		return nil, p
 	}
 	st := &stream{server: s, caller: c, req: req, tokens: make(chan ferrypipeline.Token, tokenBuffer)}
-	deadline, p := s.deadline(r, streamLimit(c.doc, ferryid.Tokens(req.tokens())))
+	deadline, p := s.deadline(r, streamDeadline(c.doc, ferryid.Tokens(req.maxTokens())))
 	if p != nil {
 		return nil, p
 	}
 	st.job = ferrypipeline.Job{
 		Service: c.doc.Service, Stream: ferryid.NewStreamID(), Customer: c.customer.Name, Prompt: req.text,
-		MaxTokens: req.tokens(), Seed: req.seed(), Deadline: deadline,
+		MaxTokens: req.maxTokens(), Seed: req.seedOrDefault(), Deadline: deadline,
 	}
 	p = st.openResume(r)
-	identityOf(r.Context()).stream = st.job.Stream
+	callInfoOf(r.Context()).stream = st.job.Stream
 	return st, p
 }
 
-// streamLimit is the deadline of the class that the work falls in at its longest.
-func streamLimit(d *ferryservice.Document, n ferryid.Tokens) ferryservice.Duration {
+// streamDeadline returns the deadline of the class of a stream that generates n tokens, its maximum.
+func streamDeadline(d *ferryservice.Document, n ferryid.Tokens) ferryservice.Duration {
 	if cl := d.Classes.Of(n); cl.Deadline > 0 {
 		return cl.Deadline
 	}
 	return d.Limits.Deadline
 }
 
-// openResume reads the resume token, if the caller sent one.
+// openResume opens the resume token, if the request has one.
 func (st *stream) openResume(r *http.Request) *ferryoutcome.Problem {
 	id := r.Header.Get(EventIDHeader)
 	if id == "" {
@@ -160,7 +160,7 @@
 	}
 }
 
-// run generates the answer, over as many grants as the queue takes and gives back, and closes tokens.
+// run generates the answer and closes tokens at its end. After each preemption it waits for the grant to resume.
 func (st *stream) run(ctx context.Context) error {
 	defer close(st.tokens)
 	job := st.job
@@ -177,7 +177,7 @@
 	}
 }
 
-// runGrant generates until the answer ends or the grant is taken back.
+// runGrant generates until the answer ends or the grant is preempted.
 func (st *stream) runGrant(ctx context.Context, job *ferrypipeline.Job) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -208,7 +208,7 @@
 	return err
 }
 
-// writeEvents sends tokens as they come, several in one write where they come faster than the caller takes them.
+// writeEvents sends tokens as they arrive, several in one write if the caller reads more slowly.
 func (st *stream) writeEvents(cancel func(), w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
 	out, err := st.newWriter(w, shape)
 	if err != nil {
@@ -217,40 +217,40 @@
 		st.server.fail(w, r, asProblem(err))
 		return
 	}
-	beat := st.server.Clock.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeats := st.server.Clock.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		select {
 		case t, ok := <-st.tokens:
 			if !ok {
-				st.endEvents(out, r, <-ended)
+				st.finishEvents(out, r, <-ended)
 				return
 			}
 			err = out.tokens(t, st.tokens)
-		case <-beat.Chan():
+		case <-heartbeats.Chan():
 			err = out.heartbeat()
 		}
 		if err != nil {
 			cancel()
 			<-ended
-			st.cutOff(out, r, err)
+			st.abortEvents(out, r, err)
 			return
 		}
 	}
 }
 
-func (st *stream) endEvents(out *eventWriter, r *http.Request, err error) {
+func (st *stream) finishEvents(out *eventWriter, r *http.Request, err error) {
 	if err == nil {
 		err = out.done(st.result.Reason)
 	}
 	if err != nil {
-		st.cutOff(out, r, err)
+		st.abortEvents(out, r, err)
 		return
 	}
 }
 
-// cutOff ends an answer that is not whole: with a status if nothing was sent, with an error event otherwise.
-func (st *stream) cutOff(out *eventWriter, r *http.Request, err error) {
+// abortEvents ends an incomplete answer: with a problem response if nothing was sent, else with an error event.
+func (st *stream) abortEvents(out *eventWriter, r *http.Request, err error) {
 	p := asProblem(err)
 	st.server.Events.Add("StreamFailed", string(st.job.Stream), "after %d tokens: %s", len(st.texts), p.Kind)
 	if !out.started {
@@ -261,12 +261,12 @@
 	_ = out.failed(p)
 }
 
-// writeWhole collects the answer and sends it at once.
+// writeWhole collects the answer and sends it in one response.
 func (st *stream) writeWhole(w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
 	var text strings.Builder
 	for t := range st.tokens {
 		text.WriteString(t.Text)
-		st.timed.wrote(1, st.server.Clock.Now())
+		st.metrics.recordTokens(1, st.server.Clock.Now())
 	}
 	if err := <-ended; err != nil {
 		st.server.fail(w, r, asProblem(err))
--- a/ferryd/ferrycaller/doc.go
+++ b/ferryd/ferrycaller/doc.go
@@ -1,2 +1,3 @@
-// Package ferrycaller answers callers: completions, plain services, tickets and the choice of an entry.
+// Package ferrycaller implements the callers' HTTP interface: completions, calls to plain services, tickets
+// and the list of entries to use.
 package ferrycaller
--- a/ferryd/ferrycaller/events.go
+++ b/ferryd/ferrycaller/events.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxWriteBytes bounds what is put together before it is sent.
-	maxWriteBytes  = 32 << 10
-	eventBytes     = 512
-	eventStreamTag = "text/event-stream; charset=utf-8"
+	// maxWriteBytes is the size of buffered events at which they are sent.
+	maxWriteBytes   = 32 << 10
+	eventBytes      = 512
+	eventStreamType = "text/event-stream; charset=utf-8"
 )
 
-// eventWriter writes one answer's events to a caller.
+// eventWriter writes the server-sent events of one answer.
 type eventWriter struct {
 	w        http.ResponseWriter
 	control  *http.ResponseController
 	server   *Server
 	composer *ferrystream.Composer
 	seam     *ferrystream.Seam
-	timed    *streamMetrics
+	metrics  *streamMetrics
 	buf      []byte
-	// waiting counts the tokens in buf.
-	waiting int
-	id      string
-	started bool
+	// pendingTokens is the number of tokens in buf.
+	pendingTokens int
+	id            string
+	started       bool
 }
 
 func (st *stream) newWriter(w http.ResponseWriter, shape ferrystream.Shape) (*eventWriter, error) {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &eventWriter{w: w, control: http.NewResponseController(w), server: s, timed: st.timed, id: string(st.job.Stream), buf: make([]byte, 0, eventBytes)}
+	out := &eventWriter{w: w, control: http.NewResponseController(w), server: s, metrics: st.metrics, id: string(st.job.Stream), buf: make([]byte, 0, eventBytes)}
 	out.composer = ferrystream.NewComposer(ferrystream.ComposerConfig{
 		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: s.Clock.Now(), Sealer: sealer,
 	})
@@ -52,7 +52,7 @@
 	return out, nil
 }
 
-// tokens writes a token and all that wait behind it.
+// tokens writes a token and those already buffered behind it.
 func (e *eventWriter) tokens(t ferrypipeline.Token, more <-chan ferrypipeline.Token) error {
 	for {
 		if err := e.token(t); err != nil {
@@ -73,12 +73,12 @@
 	}
 }
 
-// token adds one token, unless a resumed caller has it already.
+// token appends one token to the buffer, unless a resumed caller already has it.
 func (e *eventWriter) token(t ferrypipeline.Token) error {
 	if e.seam != nil {
 		needed, err := e.seam.Add(t)
 		if err != nil {
-			return seamBroken(err)
+			return resumeMismatch(err)
 		}
 		if !needed {
 			e.composer.Skip(t)
@@ -87,18 +87,18 @@
 	}
 	e.start()
 	e.buf = e.composer.Token(e.buf, t)
-	e.waiting++
+	e.pendingTokens++
 	return nil
 }
 
-// start sends the header before the first event.
+// start sets the response header and begins the stream, before the first event.
 func (e *eventWriter) start() {
 	if e.started {
 		return
 	}
 	e.started = true
 	h := e.w.Header()
-	h.Set("Content-Type", eventStreamTag)
+	h.Set("Content-Type", eventStreamType)
 	h.Set("Cache-Control", "no-store")
 	h.Set(StreamHeader, e.id)
 	e.buf = e.composer.Start(e.buf)
@@ -115,7 +115,7 @@
 func (e *eventWriter) done(reason string) error {
 	if e.seam != nil {
 		if err := e.seam.End(); err != nil {
-			return seamBroken(err)
+			return resumeMismatch(err)
 		}
 	}
 	e.start()
@@ -128,16 +128,16 @@
 	return e.flush()
 }
 
-// flush sends what was put together; a caller that does not take it in time is given up.
+// flush sends the buffered events; it fails if the caller does not read them within the write timeout.
 func (e *eventWriter) flush() error {
 	if len(e.buf) == 0 {
 		return nil
 	}
 	now := e.server.Clock.Now()
 	_ = e.control.SetWriteDeadline(now.Add(e.server.Limits.WriteTimeout))
-	if e.waiting > 0 {
-		e.timed.wrote(e.waiting, now)
-		e.waiting = 0
+	if e.pendingTokens > 0 {
+		e.metrics.recordTokens(e.pendingTokens, now)
+		e.pendingTokens = 0
 	}
 	_, err := e.w.Write(e.buf)
 	e.buf = e.buf[:0]
@@ -145,21 +145,21 @@
 		err = e.control.Flush()
 	}
 	if err != nil {
-		return callerGone(err)
+		return writeFailed(err)
 	}
 	return nil
 }
 
-func callerGone(err error) *ferryoutcome.Problem {
+func writeFailed(err error) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.Ran, "The caller did not take the answer in time.").Because(err)
 }
 
-func seamBroken(err error) *ferryoutcome.Problem {
+func resumeMismatch(err error) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.Ran,
 		"The answer can't be continued with the same text; send the request again without %s.", EventIDHeader).Because(err)
 }
 
-// asProblem turns any error into what a caller is answered with.
+// asProblem returns the problem that err carries, or an internal one caused by err.
 func asProblem(err error) *ferryoutcome.Problem {
 	var p *ferryoutcome.Problem
 	if errors.As(err, &p) {
--- a/ferryd/ferrycaller/metrics.go
+++ b/ferryd/ferrycaller/metrics.go
@@ -10,13 +10,13 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// The bounds of the histograms of waits, in steps that double from 1 ms to about 65 s.
+// The buckets of latency histograms double from 1 ms to about 65 s.
 const (
 	firstBucket = time.Millisecond
-	buckets     = 17
+	bucketCount = 17
 )
 
-// Metrics counts calls by service and times tokens.
+// Metrics records calls and token latencies by service.
 type Metrics struct {
 	scope tally.Scope
 }
@@ -26,49 +26,49 @@
 	return &Metrics{scope: scope}
 }
 
-func (m *Metrics) of(service ferryid.ServiceName) tally.Scope {
+func (m *Metrics) forService(service ferryid.ServiceName) tally.Scope {
 	return m.scope.Tagged(map[string]string{"service": string(service)})
 }
 
-func waits() tally.DurationBuckets {
-	return tally.MustMakeExponentialDurationBuckets(firstBucket, 2, buckets)
+func waitBuckets() tally.DurationBuckets {
+	return tally.MustMakeExponentialDurationBuckets(firstBucket, 2, bucketCount)
 }
 
-// failed counts a call that was answered with a problem.
-func (m *Metrics) failed(p *ferryoutcome.Problem) {
+// countFailure counts a call answered with a problem.
+func (m *Metrics) countFailure(p *ferryoutcome.Problem) {
 	m.scope.Tagged(map[string]string{"kind": string(p.Kind), "outcome": string(p.Outcome)}).Counter("calls_failed").Inc(1)
 }
 
-// answered counts a plain call that was answered with the upstream's status.
-func (m *Metrics) answered(service ferryid.ServiceName, status int, took time.Duration) {
-	s := m.of(service)
+// recordAnswer records the status and duration of an answered plain call.
+func (m *Metrics) recordAnswer(service ferryid.ServiceName, status int, took time.Duration) {
+	s := m.forService(service)
 	s.Tagged(map[string]string{"status": strconv.Itoa(status / 100 * 100)}).Counter("calls_answered").Inc(1)
-	s.Histogram("call_seconds", waits()).RecordDuration(took)
+	s.Histogram("call_seconds", waitBuckets()).RecordDuration(took)
 }
 
-// streamMetrics times one stream's tokens.
+// streamMetrics records the token latencies of one stream.
 type streamMetrics struct {
 	first   tally.Histogram
 	between tally.Histogram
 	tokens  tally.Counter
-	began   time.Time
+	arrived time.Time
 	last    time.Time
 }
 
 func (m *Metrics) stream(service ferryid.ServiceName, now time.Time) *streamMetrics {
-	s := m.of(service)
+	s := m.forService(service)
 	s.Counter("streams_started").Inc(1)
 	return &streamMetrics{
-		first: s.Histogram("first_token_seconds", waits()), between: s.Histogram("between_tokens_seconds", waits()),
-		tokens: s.Counter("tokens"), began: now,
+		first: s.Histogram("first_token_seconds", waitBuckets()), between: s.Histogram("between_tokens_seconds", waitBuckets()),
+		tokens: s.Counter("tokens"), arrived: now,
 	}
 }
 
-// wrote counts tokens that were sent together; the wait for the first one is from the call's arrival.
-func (s *streamMetrics) wrote(n int, now time.Time) {
+// recordTokens records n tokens sent in one write; the latency of the first counts from the request's arrival.
+func (s *streamMetrics) recordTokens(n int, now time.Time) {
 	s.tokens.Inc(int64(n))
 	if s.last.IsZero() {
-		s.first.RecordDuration(now.Sub(s.began))
+		s.first.RecordDuration(now.Sub(s.arrived))
 	} else {
 		s.between.RecordDuration(now.Sub(s.last) / time.Duration(n))
 	}
--- a/ferryd/ferrycaller/plain.go
+++ b/ferryd/ferrycaller/plain.go
@@ -17,26 +17,26 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TicketHeader carries a ticket for one call that may not be repeated.
+// TicketHeader is the request header with a ticket for one non-idempotent call.
 const TicketHeader = "Ticket"
 
 const maxKeyBytes = 256
 
-// service handles every call to a plain service.
+// service handles calls to a plain service.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	defer s.opened(&s.openCalls)()
+	defer s.trackOpen(&s.openCalls)()
 	began := s.Clock.Now()
-	identityOf(r.Context()).keyed = r.Header.Get(ferryplain.KeyHeader) != "" || r.Header.Get(TicketHeader) != ""
+	callInfoOf(r.Context()).keyed = r.Header.Get(ferryplain.KeyHeader) != "" || r.Header.Get(TicketHeader) != ""
 	c, p := s.authenticate(r, chi.URLParam(r, "service"), ferryservice.KindPlain)
 	if p != nil {
 		s.fail(w, r, p)
 		return
 	}
-	if p := s.admitNew(); p != nil {
+	if p := s.checkServing(); p != nil {
 		s.fail(w, r, p)
 		return
 	}
-	if p := s.limited(c, 1); p != nil {
+	if p := s.checkRateLimit(c, 1); p != nil {
 		s.fail(w, r, p)
 		return
 	}
@@ -66,7 +66,7 @@
 		s.fail(w, r, p)
 		return
 	}
-	s.Metrics.answered(c.doc.Service, answer.Status, s.Clock.Since(began))
+	s.Metrics.recordAnswer(c.doc.Service, answer.Status, s.Clock.Since(began))
 	s.writeAnswer(w, answer)
 }
 
@@ -83,34 +83,35 @@
 	}
 }
 
-// run carries out one call: as often as needed if it may be repeated, at most once otherwise.
+// run sends an idempotent call with retries, a call with a key or ticket at most once across all entries,
+// and any other call until it may have run.
 func (s *Server) run(ctx context.Context, c *caller, call ferryplain.Call, ticket string) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	if call.Idempotent {
-		return s.repeat(ctx, c, call, func() *ferryoutcome.Problem { return nil })
+		return s.sendWithRetries(ctx, c, call, func() *ferryoutcome.Problem { return nil })
 	}
 	key := call.Header.Get(ferryplain.KeyHeader)
 	if len(key) > maxKeyBytes {
 		return nil, badRequest("The header %s has %d bytes; at most %d are allowed.", ferryplain.KeyHeader, len(key), maxKeyBytes)
 	}
 	if key == "" && ticket == "" {
-		return s.repeat(ctx, c, call, func() *ferryoutcome.Problem { return nil })
+		return s.sendWithRetries(ctx, c, call, func() *ferryoutcome.Problem { return nil })
 	}
-	return s.once(ctx, c, call, key, ticket)
+	return s.runOnce(ctx, c, call, key, ticket)
 }
 
-// digest identifies what a call asks for, so that a key can't be used for two different calls.
+// digest returns the digest of a call's content, so that a key can't be used for two different calls.
 func digest(call ferryplain.Call) ferryclaim.Digest {
 	return ferryclaim.DigestOf([]byte(call.Method), []byte(call.Path), []byte(call.Query), call.Body)
 }
 
-// repeat sends the call to one upstream after another for as long as that is allowed.
-func (s *Server) repeat(ctx context.Context, c *caller, call ferryplain.Call, dispatching func() *ferryoutcome.Problem) (*ferryplain.Answer, *ferryoutcome.Problem) {
+// sendWithRetries sends the call to one upstream after another until one answers or no retry is allowed.
+func (s *Server) sendWithRetries(ctx context.Context, c *caller, call ferryplain.Call, dispatching func() *ferryoutcome.Problem) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	worst := ferryoutcome.NotRun
 	var tried []ferryid.UpstreamName
 	for {
 		up, dispatch, ok := s.Upstreams.Choose(c.doc, tried)
 		if !ok {
-			return nil, unavailable(c, worst, len(tried))
+			return nil, noUpstream(c, worst, len(tried))
 		}
 		if p := dispatching(); p != nil {
 			dispatch.Cancel(s.Clock.Now())
@@ -130,16 +131,16 @@
 			return nil, timedOut(worst, err)
 		}
 		if o != ferryoutcome.NotRun && !call.Idempotent {
-			return nil, failed(o, err)
+			return nil, upstreamFailed(o, err)
 		}
 		tried = append(tried, up.Name)
 		if !s.Upstreams.Retry(c.doc) {
-			return nil, failed(worst, err)
+			return nil, upstreamFailed(worst, err)
 		}
 	}
 }
 
-// outcomeOf says what is known of a failed call.
+// outcomeOf returns the outcome of a failed call.
 func outcomeOf(err error) ferryoutcome.Outcome {
 	var refused *ferryplain.RefusedError
 	if errors.As(err, &refused) {
@@ -154,12 +155,12 @@
 
 const retryAfterUnavailable = 2 * time.Second
 
-func unavailable(c *caller, o ferryoutcome.Outcome, tried int) *ferryoutcome.Problem {
+func noUpstream(c *caller, o ferryoutcome.Outcome, tried int) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindUnavailable, o,
 		"No upstream of service %q can take the call now; %d were tried.", c.doc.Service, tried).After(retryAfterUnavailable)
 }
 
-func failed(o ferryoutcome.Outcome, err error) *ferryoutcome.Problem {
+func upstreamFailed(o ferryoutcome.Outcome, err error) *ferryoutcome.Problem {
 	text := "The upstream failed before the call was sent; it was not run and may be sent again."
 	switch o {
 	case ferryoutcome.Ran:
@@ -174,7 +175,8 @@
 	return ferryoutcome.New(ferryoutcome.KindTimeout, o, "The call was not answered before its deadline.").Because(err)
 }
 
-// writeAnswer passes the upstream's answer on; a body that breaks off after the header breaks the caller's connection too.
+// writeAnswer copies the upstream's answer to the caller.
+// If the body breaks off after the header was sent, it aborts the caller's connection too.
 func (s *Server) writeAnswer(w http.ResponseWriter, a *ferryplain.Answer) {
 	ferryplain.CopyHeader(w.Header(), a.Header)
 	if a.Rest != nil {
--- a/ferryd/ferrycaller/request.go
+++ b/ferryd/ferrycaller/request.go
@@ -16,7 +16,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TimeoutHeader is the request header with the seconds that the caller will wait for a whole answer.
+// TimeoutHeader is the request header with the caller's timeout for the complete answer, in seconds.
 const TimeoutHeader = "Request-Timeout"
 
 const (
@@ -24,7 +24,7 @@
 	maxMaxTokens     = 1 << 20
 )
 
-// Completion is the common completions request; fields not listed are ignored.
+// Completion is a completion request in the common format; fields not listed are ignored.
 type Completion struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -47,7 +47,7 @@
 	return ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, format, args...)
 }
 
-// decodeCompletion reads and checks a request; chat says which of the two shapes it has.
+// decodeCompletion decodes and validates a completion request, or a chat completion request if chat is true.
 func decodeCompletion(body []byte, chat bool) (*Completion, *ferryoutcome.Problem) {
 	var c Completion
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -60,7 +60,7 @@
 	if c.Model == "" {
 		return nil, badRequest("The field model is missing; set it to the service's name.")
 	}
-	if n := c.tokens(); n < 1 || n > maxMaxTokens {
+	if n := c.maxTokens(); n < 1 || n > maxMaxTokens {
 		return nil, badRequest("The field max_tokens is %d; it must be from 1 to %d.", n, maxMaxTokens)
 	}
 	var p *ferryoutcome.Problem
@@ -72,7 +72,7 @@
 	return &c, p
 }
 
-func (c *Completion) tokens() int {
+func (c *Completion) maxTokens() int {
 	switch {
 	case c.MaxCompletionTokens != nil:
 		return *c.MaxCompletionTokens
@@ -134,8 +134,8 @@
 	return b.String(), true
 }
 
-// seed is the caller's, or one computed from the request, so that a repeat gives the same text.
-func (c *Completion) seed() uint64 {
+// seedOrDefault returns the caller's seed, or one computed from the prompt, so that a repeat gives the same text.
+func (c *Completion) seedOrDefault() uint64 {
 	if c.Seed != nil {
 		return uint64(*c.Seed)
 	}
@@ -144,7 +144,7 @@
 	return h.Sum64()
 }
 
-// readBody reads a whole body within the time and size allowed.
+// readBody reads the whole body within the body timeout and the size limit.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *ferryoutcome.Problem) {
 	if r.ContentLength > limit {
 		return nil, tooLarge(limit)
@@ -156,7 +156,7 @@
 		_ = c.SetReadDeadline(time.Time{})
 		return b, nil
 	}
-	// The deadline stays, so that net/http does not wait for the rest of the body before it answers.
+	// The read deadline is kept, so that net/http does not wait for the rest of the body before it answers.
 	w.Header().Set("Connection", "close")
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -171,7 +171,7 @@
 	return ferryoutcome.New(ferryoutcome.KindTooLarge, ferryoutcome.NotRun, "The body is over the limit of %d bytes; send less.", limit)
 }
 
-// deadline is the earlier of the service's and the caller's own.
+// deadline returns the earlier of the service's and the caller's deadline.
 func (s *Server) deadline(r *http.Request, limit ferryservice.Duration) (time.Time, *ferryoutcome.Problem) {
 	d := time.Duration(limit)
 	if v := r.Header.Get(TimeoutHeader); v != "" {
@@ -186,8 +186,8 @@
 
 const maxTimeoutSeconds = 86400
 
-// bearer returns the caller's key.
-func bearer(r *http.Request) string {
+// bearerToken returns the caller's key, empty if there is none.
+func bearerToken(r *http.Request) string {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
@@ -204,7 +204,7 @@
 	return ferryoutcome.New(ferryoutcome.KindNotFound, ferryoutcome.NotRun, "There is no service %.80q here; check the name.", name)
 }
 
-// caller is one authenticated call.
+// caller is the authenticated caller of one request.
 type caller struct {
 	id       ferryid.RequestID
 	doc      *ferryservice.Document
@@ -212,13 +212,13 @@
 	key      string
 }
 
-// authenticate finds the service and the customer; the kind of the service must be the one wanted, if any is.
+// authenticate finds the service and the customer; unless kind is empty, the service must be of that kind.
 func (s *Server) authenticate(r *http.Request, service string, kind ferryservice.Kind) (*caller, *ferryoutcome.Problem) {
 	doc, ok := s.Documents.Document(ferryid.ServiceName(service))
 	if !ok || (kind != "" && doc.Kind != kind) {
 		return nil, notFound(service)
 	}
-	key := bearer(r)
+	key := bearerToken(r)
 	if key == "" {
 		return nil, unauthorized()
 	}
@@ -226,6 +226,6 @@
 	if !ok {
 		return nil, unauthorized()
 	}
-	identityOf(r.Context()).customer = cu.Name
+	callInfoOf(r.Context()).customer = cu.Name
 	return &caller{id: requestID(r), doc: doc, customer: cu, key: key}, nil
 }
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -24,22 +24,23 @@
 	"cactusferry.dev/ferry/ferrystream"
 )
 
-// Documents gives the documents in force.
+// Documents provides the service documents in force.
 type Documents interface {
 	Document(name ferryid.ServiceName) (*ferryservice.Document, bool)
-	// Customer returns the customer of the service that a key belongs to.
+	// Customer returns the customer of the service with the given key.
 	Customer(name ferryid.ServiceName, key string) (ferryservice.Customer, bool)
-	// BodyLimit returns the bytes of the largest body that any model service takes from the key's customer, and false for a key of none.
+	// BodyLimit returns the largest body size, in bytes, that any model service accepts from the key's customer;
+	// it returns false for an unknown key.
 	BodyLimit(key string) (int64, bool)
 }
 
 // Upstreams chooses among the upstreams of plain services.
 type Upstreams interface {
-	// Choose returns an upstream that is not excluded, and counts the call at once.
+	// Choose returns an upstream that is not excluded and counts the call as dispatched to it.
 	Choose(d *ferryservice.Document, exclude []ferryid.UpstreamName) (ferryservice.Upstream, *ferryroute.Dispatch, bool)
-	// Done reports how a call went.
+	// Done reports the result of a call.
 	Done(d *ferryservice.Document, u ferryservice.Upstream, dispatch *ferryroute.Dispatch, err error)
-	// Retry takes one retry from the service's budget.
+	// Retry takes one retry from the service's retry budget and returns false if there is none left.
 	Retry(d *ferryservice.Document) bool
 }
 
@@ -51,20 +52,20 @@
 	Run(ctx context.Context, d *ferryservice.Document, job ferrypipeline.Job, emit func(ferrypipeline.Token) error) (ferrypipeline.Result, error)
 }
 
-// Limits are the listener's limits.
+// Limits are the timeouts of the callers' listener.
 type Limits struct {
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
 }
 
-// EntriesAnswer tells a caller which entries to use, the best first, and for how long.
+// EntriesAnswer lists the entries that a caller should use, the best first, and how long the list is valid.
 type EntriesAnswer struct {
 	Service         ferryid.ServiceName
 	Entries         []ferrysteer.Target
 	LifetimeSeconds int
 }
 
-// Server answers callers.
+// Server serves the callers' HTTP interface.
 type Server struct {
 	Clock     clockwork.Clock
 	Log       zerolog.Logger
@@ -78,37 +79,37 @@
 	Plain     *ferryplain.Client
 	Limits    Limits
 	Advertise string
-	// Steer chooses the entries that a customer should use.
+	// Steer returns the entries that a customer should use.
 	Steer func(d *ferryservice.Document, cu ferryservice.Customer, id ferryid.RequestID) EntriesAnswer
-	// Allow takes calls from a customer's limit, and says when to come back if there is none left.
+	// Allow takes n calls from the customer's rate limit, or returns how long to wait and false.
 	Allow func(d *ferryservice.Document, cu ferryservice.Customer, n float64) (time.Duration, bool)
-	// AddressOf finds the callers' address of another incarnation.
+	// AddressOf returns the address that callers of another incarnation use.
 	AddressOf func(ferryid.Incarnation) (string, bool)
-	// Refuse returns a problem if new calls are not taken here now.
+	// Refuse returns a problem while this entry accepts no new calls, else nil.
 	Refuse func() *ferryoutcome.Problem
 
 	openStreams atomic.Int64
 	openCalls   atomic.Int64
 }
 
-// Open counts the streams and calls that are being answered.
+// Open returns the numbers of open streams and calls.
 func (s *Server) Open() (streams, calls int) {
 	return int(s.openStreams.Load()), int(s.openCalls.Load())
 }
 
-// opened counts an open call until the function it returns is called.
-func (s *Server) opened(n *atomic.Int64) func() {
+// trackOpen increments n and returns the function that decrements it.
+func (s *Server) trackOpen(n *atomic.Int64) func() {
 	n.Add(1)
 	return func() { n.Add(-1) }
 }
 
-// admitNew refuses new calls while the entry is not serving.
-func (s *Server) admitNew() *ferryoutcome.Problem {
+// checkServing returns a problem while the entry accepts no new calls.
+func (s *Server) checkServing() *ferryoutcome.Problem {
 	return s.Refuse()
 }
 
-// limited takes a call from the customer's limit.
-func (s *Server) limited(c *caller, n float64) *ferryoutcome.Problem {
+// checkRateLimit takes n calls from the customer's rate limit.
+func (s *Server) checkRateLimit(c *caller, n float64) *ferryoutcome.Problem {
 	after, ok := s.Allow(c.doc, c.customer, n)
 	if ok {
 		return nil
@@ -117,7 +118,7 @@
 		"Customer %q is over its limit of %v calls a second for this service.", c.customer.Name, c.customer.RequestsPerSecond).After(after)
 }
 
-// entries answers which entry to use.
+// entries handles GET /v1/entries.
 func (s *Server) entries(w http.ResponseWriter, r *http.Request) {
 	c, p := s.authenticate(r, r.URL.Query().Get("service"), "")
 	if p != nil {
@@ -132,10 +133,10 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Handler returns the routes of the callers' listener.
+// Handler returns the handler of the callers' listener.
 func (s *Server) Handler() http.Handler {
 	m := chi.NewRouter()
-	m.Use(s.identify)
+	m.Use(s.assignRequestID)
 	m.Post("/v1/completions", func(w http.ResponseWriter, r *http.Request) { s.completions(w, r, false) })
 	m.Post("/v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { s.completions(w, r, true) })
 	m.HandleFunc("/v1/services/{service}/*", s.service)
@@ -152,29 +153,29 @@
 	return m
 }
 
-// identify gives every call an id that its answer, the log and the upstream carry.
-func (s *Server) identify(next http.Handler) http.Handler {
+// assignRequestID gives each request an id, which is in its answer, in the log and in the call to the upstream.
+func (s *Server) assignRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := ferryid.NewRequestID()
 		r.Header.Set(ferryplain.RequestIDHeader, string(id))
 		w.Header().Set(ferryplain.RequestIDHeader, string(id))
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, &identity{})))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callInfoKey{}, &callInfo{})))
 	})
 }
 
-type identityKey struct{}
+type callInfoKey struct{}
 
-// identity is what the log says of a call beside its id, as far as it is known when the call fails.
-type identity struct {
+// callInfo is what is known of a call when it fails, for its log line and the scope of its outcome.
+type callInfo struct {
 	customer ferryid.CustomerName
 	stream   ferryid.StreamID
-	// keyed is true for a call with a key or a ticket, and lookedUp once it is known what came of earlier ones.
+	// keyed is true for a call with a key or a ticket; lookedUp once earlier attempts with it were looked up.
 	keyed    bool
 	lookedUp bool
 }
 
-// scope marks a refusal that does not speak of earlier attempts.
-func (id *identity) scope(p *ferryoutcome.Problem) {
+// setScope marks a refusal that says nothing about earlier attempts.
+func (id *callInfo) setScope(p *ferryoutcome.Problem) {
 	switch p.Kind {
 	case ferryoutcome.KindKeyReused, ferryoutcome.KindConflict:
 		return
@@ -184,11 +185,11 @@
 	}
 }
 
-func identityOf(ctx context.Context) *identity {
-	if id, ok := ctx.Value(identityKey{}).(*identity); ok {
+func callInfoOf(ctx context.Context) *callInfo {
+	if id, ok := ctx.Value(callInfoKey{}).(*callInfo); ok {
 		return id
 	}
-	return &identity{}
+	return &callInfo{}
 }
 
 func requestID(r *http.Request) ferryid.RequestID {
@@ -197,23 +198,23 @@
 
 // fail answers with a problem and logs it.
 func (s *Server) fail(w http.ResponseWriter, r *http.Request, p *ferryoutcome.Problem) {
-	identityOf(r.Context()).scope(p)
+	callInfoOf(r.Context()).setScope(p)
 	s.logFailure(r, p)
 	p.Write(w)
 }
 
 func (s *Server) logFailure(r *http.Request, p *ferryoutcome.Problem) {
 	p.RequestID = string(requestID(r))
-	s.Metrics.failed(p)
+	s.Metrics.countFailure(p)
 	e := s.Log.Info()
 	if p.Status >= http.StatusInternalServerError && p.Outcome != ferryoutcome.NotRun {
 		e = s.Log.Warn()
 	}
-	id := identityOf(r.Context())
+	id := callInfoOf(r.Context())
 	e.Str("RequestID", p.RequestID).Str("Customer", string(id.customer)).Str("StreamID", string(id.stream)).Str("Kind", string(p.Kind)).Str("Outcome", string(p.Outcome)).AnErr("Cause", p.Cause).Msg("call failed")
 }
 
 func (s *Server) logCall(c *caller, u ferryservice.Upstream, err error) {
-	s.Log.Info().Str("RequestID", string(c.id)).Str("Customer", string(c.customer.Name)).Str("Upstream", string(u.Name)).Err(err).Msg("upstream failed a call")
+	s.Log.Info().Str("RequestID", string(c.id)).Str("Customer", string(c.customer.Name)).Str("Upstream", string(u.Name)).Err(err).Msg("upstream call failed")
 	s.Events.Add("UpstreamFailed", string(u.Name), "request %s: %v", c.id, err)
 }
--- a/ferryd/ferrycaller/server_test.go
+++ b/ferryd/ferrycaller/server_test.go
@@ -38,49 +38,50 @@
 	keyB = "key-of-smolyan"
 )
 
-// fakes stand in for everything behind the handlers.
-type fakes struct {
+// fakeBackend implements the interfaces that the handlers depend on.
+type fakeBackend struct {
 	docs      map[ferryid.ServiceName]*ferryservice.Document
 	admission *ferryqueue.Admission
-	words     []string
-	asked     ferryqueue.Item
+	texts     []string
+	acquired  ferryqueue.Item
 	failAt    int
 	upstream  string
 	refusal   error
 }
 
-func (f *fakes) Document(name ferryid.ServiceName) (*ferryservice.Document, bool) {
+func (f *fakeBackend) Document(name ferryid.ServiceName) (*ferryservice.Document, bool) {
 	d, ok := f.docs[name]
 	return d, ok
 }
 
-func (f *fakes) Customer(name ferryid.ServiceName, key string) (ferryservice.Customer, bool) {
+func (f *fakeBackend) Customer(name ferryid.ServiceName, key string) (ferryservice.Customer, bool) {
 	return f.docs[name].Customer(key)
 }
 
-func (f *fakes) BodyLimit(key string) (int64, bool) {
+func (f *fakeBackend) BodyLimit(key string) (int64, bool) {
 	_, ok := f.Customer("herd-llm", key)
 	return f.docs["herd-llm"].Limits.BodyBytes, ok
 }
 
-func (f *fakes) Choose(_ *ferryservice.Document, exclude []ferryid.UpstreamName) (ferryservice.Upstream, *ferryroute.Dispatch, bool) {
+func (f *fakeBackend) Choose(_ *ferryservice.Document, exclude []ferryid.UpstreamName) (ferryservice.Upstream, *ferryroute.Dispatch, bool) {
 	return ferryservice.Upstream{Name: "robots-1", Address: f.upstream}, nil, len(exclude) == 0
 }
 
-func (f *fakes) Done(*ferryservice.Document, ferryservice.Upstream, *ferryroute.Dispatch, error) {}
+func (f *fakeBackend) Done(*ferryservice.Document, ferryservice.Upstream, *ferryroute.Dispatch, error) {
+}
 
-func (f *fakes) Retry(*ferryservice.Document) bool { return true }
+func (f *fakeBackend) Retry(*ferryservice.Document) bool { return true }
 
-func (f *fakes) Acquire(ctx context.Context, _ *ferryservice.Document, it ferryqueue.Item) (*ferryqueue.Grant, error) {
-	f.asked = it
+func (f *fakeBackend) Acquire(ctx context.Context, _ *ferryservice.Document, it ferryqueue.Item) (*ferryqueue.Grant, error) {
+	f.acquired = it
 	if f.refusal != nil {
 		return nil, f.refusal
 	}
 	return f.admission.Acquire(ctx, it)
 }
 
-func (f *fakes) Run(_ context.Context, _ *ferryservice.Document, job ferrypipeline.Job, emit func(ferrypipeline.Token) error) (ferrypipeline.Result, error) {
-	for i, w := range f.words {
+func (f *fakeBackend) Run(_ context.Context, _ *ferryservice.Document, job ferrypipeline.Job, emit func(ferrypipeline.Token) error) (ferrypipeline.Result, error) {
+	for i, w := range f.texts {
 		if f.failAt > 0 && i == f.failAt {
 			return ferrypipeline.Result{}, ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "the engines are gone")
 		}
@@ -112,10 +113,10 @@
 	return out
 }
 
-func newServer(t *testing.T) (*Server, *fakes, string) {
+func newServer(t *testing.T) (*Server, *fakeBackend, string) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	f := &fakes{docs: documents(t), admission: ferryqueue.NewAdmission(clock), words: []string{"a", " b", " c"}}
+	f := &fakeBackend{docs: documents(t), admission: ferryqueue.NewAdmission(clock), texts: []string{"a", " b", " c"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.admission.Run(ctx, ferryqueue.ConfigOf(f.docs["herd-llm"]))
@@ -163,7 +164,7 @@
 	return w, string(b)
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	_, _, url := newServer(t)
 	const good = `{"model":"herd-llm","prompt":"x","max_tokens":3}`
 	tests := []struct {
@@ -199,18 +200,18 @@
 			assert.Equal(t, p.Kind, tt.kind)
 			assert.Equal(t, p.Outcome, ferryoutcome.NotRun)
 			assert.Assert(t, p.Detail != "" && p.RequestID != "")
-			assert.Assert(t, !strings.Contains(body, keyA), "a key must not come back")
+			assert.Assert(t, !strings.Contains(body, keyA), "the key must not be in the answer")
 		})
 	}
 }
 
-func TestHugeHeader(t *testing.T) {
+func TestOversizedHeader(t *testing.T) {
 	_, _, url := newServer(t)
 	w, _ := send(t, http.MethodGet, url+"/v1/entries", "", "", "X-Large", strings.Repeat("x", 1<<20))
 	assert.Equal(t, w.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
 }
 
-func TestSlowSender(t *testing.T) {
+func TestSlowBodyTimesOut(t *testing.T) {
 	s, _, url := newServer(t)
 	s.Limits.BodyTimeout = time.Millisecond
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -231,10 +232,10 @@
 	ids := eventIDs(whole)
 	assert.Equal(t, len(ids), 3)
 	assert.Equal(t, texts(t, whole), "a b c")
-	assert.Assert(t, !f.asked.Resumed)
+	assert.Assert(t, !f.acquired.Resumed)
 	_, rest := send(t, http.MethodPost, url+"/v1/completions", keyA, body, EventIDHeader, ids[0])
 	assert.Equal(t, texts(t, rest), " b c")
-	assert.Assert(t, f.asked.Resumed)
+	assert.Assert(t, f.acquired.Resumed)
 	_, end := send(t, http.MethodPost, url+"/v1/completions", keyA, body, EventIDHeader, ids[2])
 	assert.Equal(t, texts(t, end), "")
 	assert.Assert(t, strings.HasSuffix(end, "data: [DONE]\n\n"))
@@ -243,13 +244,13 @@
 		assert.Equal(t, w.StatusCode, http.StatusForbidden)
 	})
 	t.Run("another text is not spliced", func(t *testing.T) {
-		f.words = []string{"x", " y", " z"}
+		f.texts = []string{"x", " y", " z"}
 		w, text := send(t, http.MethodPost, url+"/v1/completions", keyA, body, EventIDHeader, ids[1])
 		assert.Equal(t, w.StatusCode, http.StatusConflict, text)
 	})
 }
 
-func TestStreamThatBreaksSaysSo(t *testing.T) {
+func TestBrokenStreamEndsWithError(t *testing.T) {
 	_, f, url := newServer(t)
 	f.failAt = 2
 	_, text := send(t, http.MethodPost, url+"/v1/completions", keyA, `{"model":"herd-llm","prompt":"x","max_tokens":3,"stream":true}`)
@@ -260,7 +261,7 @@
 	assert.Equal(t, w.Header.Get(ferryoutcome.Header), "Ran")
 }
 
-func TestKeyedCallRunsOnceAndItsAnswerIsKept(t *testing.T) {
+func TestKeyedCallRunsOnceAndReplaysAnswer(t *testing.T) {
 	_, f, url := newServer(t)
 	runs := 0
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -279,7 +280,7 @@
 	assert.Equal(t, runs, 1)
 }
 
-func TestRefusalSaysWhetherEarlierAttemptsWereLookedUp(t *testing.T) {
+func TestRefusalScope(t *testing.T) {
 	_, f, url := newServer(t)
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	f.upstream = strings.TrimPrefix(up.URL, "http://")
@@ -375,5 +376,5 @@
 	assert.Equal(t, line.Customer, "dobrich")
 	assert.Assert(t, line.StreamID != "")
 	assert.Equal(t, line.Outcome, "Ran")
-	assert.Assert(t, !strings.Contains(log.String(), keyA), "a key must not be logged")
+	assert.Assert(t, !strings.Contains(log.String(), keyA), "the key must not be logged")
 }
--- a/ferryd/main.go
+++ b/ferryd/main.go
@@ -17,7 +17,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
-// run picks the subcommand; without one the daemon runs.
+// run executes the subcommand, or the daemon if there is none, and returns the exit code.
 func run(args []string) int {
 	if len(args) > 0 {
 		switch args[0] {
@@ -31,8 +31,8 @@
 	return serve(args)
 }
 
-// parseFailed prints what the flag parser has to say and returns the exit code.
-func parseFailed(err error) int {
+// reportError prints an error of the flag parser or of the settings and returns the exit code.
+func reportError(err error) int {
 	var bad *flags.Error
 	if errors.As(err, &bad) && bad.Type == flags.ErrHelp {
 		fmt.Println(bad.Message)
--- a/ferryd/serve.go
+++ b/ferryd/serve.go
@@ -35,7 +35,7 @@
 
 const envPrefix = "FERRYD"
 
-// options are the daemon's flags: the file, and every setting.
+// options are the daemon's flags: the settings file and every setting.
 type options struct {
 	Config   string                 `long:"config" short:"c" env:"CONFIG" description:"settings file in TOML"`
 	Settings ferrysettings.Settings `group:"Settings"`
@@ -53,7 +53,8 @@
 	return p
 }
 
-// load reads the settings: file first, then environment, then flags; faults of the file and of the whole are reported together.
+// load reads the settings from the file, then the environment, then the flags.
+// Errors in the file and in the merged settings are reported together.
 func load(args []string) (ferrysettings.Settings, error) {
 	var first options
 	if _, err := newParser(&first).ParseArgs(args); err != nil {
@@ -61,26 +62,26 @@
 	}
 	o := options{Config: first.Config}
 	name, data := "settings", []byte(nil)
-	var inFile error
+	var fileErr error
 	if first.Config != "" {
 		b, err := os.ReadFile(first.Config)
 		if err != nil {
 			return ferrysettings.Settings{}, merry.Prepend(err, "read settings")
 		}
 		name, data = first.Config, b
-		o.Settings, inFile = ferrysettings.Decode(name, data)
+		o.Settings, fileErr = ferrysettings.Decode(name, data)
 	}
 	if _, err := newParser(&o).ParseArgs(args); err != nil {
 		return ferrysettings.Settings{}, err
 	}
 	o.Settings.SetDefaults()
-	return o.Settings, ferrytoml.Join(inFile, o.Settings.Validate(name, data))
+	return o.Settings, ferrytoml.Join(fileErr, o.Settings.Validate(name, data))
 }
 
 func serve(args []string) int {
 	cfg, err := load(args)
 	if err != nil {
-		return parseFailed(err)
+		return reportError(err)
 	}
 	log := newLog(cfg.Log)
 	stop := make(chan os.Signal, 2)
@@ -90,7 +91,7 @@
 		err = n.Run(context.Background(), stop)
 	}
 	if err != nil {
-		log.Error().Err(err).Msg("stopped")
+		log.Error().Err(err).Msg("ferryd failed")
 		fmt.Fprintln(os.Stderr, "ferryd:", err)
 		return exitFailed
 	}
--- a/ferryd/version.go
+++ b/ferryd/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// release is set by the linker of a release build.
+// release is set by the linker in release builds.
 var release = "development"
 
 func version() string {
