--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// inboxSize bounds the messages to the owner; a call that finds it full is refused, all else waits for room.
+	// inboxSize is the number of buffered messages; when full, new calls are refused and other messages block.
 	inboxSize = 4096
-	// tickEvery is how often deadlines, preemption and the published view are looked at without a message.
-	tickEvery = 100 * time.Millisecond
-	// publishEvery is how often the view is renewed under load.
-	publishEvery = 10 * time.Millisecond
-	// viewLifetime is how old a view may be to refuse by it.
-	viewLifetime = 2 * tickEvery
+	// tickInterval is how often the loop checks deadlines and preemption and publishes its view without a message.
+	tickInterval = 100 * time.Millisecond
+	// publishInterval is how often the view is published under load.
+	publishInterval = 10 * time.Millisecond
+	// maxViewAge is the age beyond which a view is too old to refuse calls by it.
+	maxViewAge = 2 * tickInterval
 )
 
-// Admission is the duty that owns the queue of one service; its methods may be called from any goroutine.
+// Admission runs the queue of one service in a single goroutine; its methods may be called from any goroutine.
 type Admission struct {
-	clock  clockwork.Clock
-	inbox  chan message
-	ended  chan struct{}
-	view   atomic.Pointer[view]
-	turned atomic.Uint64
-	missed atomic.Int64
+	clock         clockwork.Clock
+	inbox         chan message
+	ended         chan struct{}
+	view          atomic.Pointer[view]
+	refused       atomic.Uint64
+	refusedTokens atomic.Int64
 }
 
-// NewAdmission returns the duty; nothing is admitted until Run is called.
+// NewAdmission returns an Admission; it admits nothing until Run is called.
 func NewAdmission(clock clockwork.Clock) *Admission {
 	a := &Admission{clock: clock, inbox: make(chan message, inboxSize), ended: make(chan struct{})}
 	a.view.Store(&view{})
 	return a
 }
 
-// Run owns the queue until the context ends; calls that still wait are then refused as NotRun.
+// Run runs the queue until the context ends, then refuses the calls that still wait as NotRun.
 func (a *Admission) Run(ctx context.Context, cfg Config) {
-	o := newOwner(a, cfg)
-	tick := a.clock.NewTicker(tickEvery)
+	o := newAdmissionLoop(a, cfg)
+	tick := a.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer close(a.ended)
 	o.publish()
@@ -55,36 +55,36 @@
 			return
 		case <-tick.Chan():
 			o.tick()
-			if o.rest() {
+			if o.goIdle() {
 				tick.Stop()
 			}
 		case m := <-a.inbox:
 			o.handle(m)
-			if o.wake() {
-				tick.Reset(tickEvery)
+			if o.resumeTicks() {
+				tick.Reset(tickInterval)
 			}
 		}
-		o.start()
+		o.startAndRefuse()
 		o.publishIfDue()
 	}
 }
 
-// Acquire waits until the item may run; the error is a *ferryoutcome.Problem with the outcome NotRun.
+// Acquire waits until the item may run; its error is a *ferryoutcome.Problem with the outcome NotRun.
 func (a *Admission) Acquire(ctx context.Context, it Item) (*Grant, error) {
 	if it.Arrived.IsZero() {
 		it.Arrived = a.clock.Now()
 	}
-	if p := a.turnAway(&it); p != nil {
+	if p := a.refuseByView(&it); p != nil {
 		return nil, p
 	}
-	m := acquire{item: it, reply: make(chan answer, 1), preempt: make(chan struct{}, 1)}
+	m := acquire{item: it, reply: make(chan acquireResult, 1), preempt: make(chan struct{}, 1)}
 	select {
 	case a.inbox <- m:
 	case <-a.ended:
-		return nil, stopped()
+		return nil, draining()
 	default:
-		a.turned.Add(1)
-		return nil, ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "this entry has too many calls to look at").After(jittered(time.Second))
+		a.refused.Add(1)
+		return nil, ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "this entry has too many calls to look at").After(withJitter(time.Second))
 	}
 	return a.wait(ctx, m.item.ID, m.reply, m.preempt)
 }
@@ -94,34 +94,35 @@
 	a.post(setCapacity{n: n})
 }
 
-// SetDocument puts a service document in force.
+// SetDocument applies the configuration of a service document.
 func (a *Admission) SetDocument(d *ferryservice.Document) {
 	a.post(setDocument{document: d})
 }
 
-// Snapshot returns the state that was last published, at most a tenth of a second old while Run runs and any call waits or runs.
+// Snapshot returns the state last published. While Run runs and any call waits or runs,
+// the state is at most a tenth of a second old.
 func (a *Admission) Snapshot() Snapshot {
 	s := a.view.Load().snapshot
-	s.TurnedAway = a.turned.Load()
+	s.TurnedAway = a.refused.Load()
 	return s
 }
 
-// turnAway refuses by the published view, without a message to the owner.
-func (a *Admission) turnAway(it *Item) *ferryoutcome.Problem {
+// refuseByView refuses by the published view, without a message to the loop.
+func (a *Admission) refuseByView(it *Item) *ferryoutcome.Problem {
 	v := a.view.Load()
 	retry, full := v.refuses(it, a.clock.Now())
 	if !full {
 		return nil
 	}
-	a.turned.Add(1)
-	a.missed.Add(int64(max(1, it.Predicted)))
-	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "the service has more work than it can do in time").After(jittered(retry))
+	a.refused.Add(1)
+	a.refusedTokens.Add(int64(max(1, it.Predicted)))
+	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "the service has more work than it can do in time").After(withJitter(retry))
 }
 
-func (a *Admission) wait(ctx context.Context, id ferryid.RequestID, reply chan answer, preempt chan struct{}) (*Grant, error) {
+func (a *Admission) wait(ctx context.Context, id ferryid.RequestID, reply chan acquireResult, preempt chan struct{}) (*Grant, error) {
 	select {
 	case ans := <-reply:
-		return a.granted(id, ans, preempt)
+		return a.newGrant(id, ans, preempt)
 	case <-ctx.Done():
 		a.post(cancel{id: id, reply: reply})
 		return nil, ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.NotRun, "the caller went away or its time ran out while the call waited").Because(ctx.Err())
@@ -129,20 +130,20 @@
 	}
 	select {
 	case ans := <-reply:
-		return a.granted(id, ans, preempt)
+		return a.newGrant(id, ans, preempt)
 	default:
-		return nil, stopped()
+		return nil, draining()
 	}
 }
 
-func (a *Admission) granted(id ferryid.RequestID, ans answer, preempt chan struct{}) (*Grant, error) {
+func (a *Admission) newGrant(id ferryid.RequestID, ans acquireResult, preempt chan struct{}) (*Grant, error) {
 	if ans.problem != nil {
 		return nil, ans.problem
 	}
 	return &Grant{Class: ans.class, Predicted: ans.predicted, admission: a, id: id, preempt: preempt}, nil
 }
 
-// post delivers a message that must not be lost, and gives up only when the owner has ended.
+// post delivers a message that must not be dropped; it blocks unless the loop has ended.
 func (a *Admission) post(m message) {
 	select {
 	case a.inbox <- m:
@@ -150,15 +151,15 @@
 	}
 }
 
-func stopped() *ferryoutcome.Problem {
+func draining() *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindDraining, ferryoutcome.NotRun, "this entry is stopping")
 }
 
-func jittered(d time.Duration) time.Duration {
+func withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + retryJitter*(rand.Float64()-0.5)))
 }
 
-// Grant is the right to run one call; Done must be called once.
+// Grant is the permission to run one call; Done must be called at its end.
 type Grant struct {
 	Class     ferryid.ClassName
 	Predicted ferryid.Tokens
@@ -168,14 +169,14 @@
 	done      atomic.Bool
 }
 
-// Done gives the slot back and tells how many tokens the call produced; later calls do nothing.
+// Done releases the slot and reports how many tokens the call produced; further calls do nothing.
 func (g *Grant) Done(n ferryid.Tokens) {
 	if g.done.CompareAndSwap(false, true) {
 		g.admission.post(finish{id: g.id, tokens: n})
 	}
 }
 
-// Progress tells how many tokens the call has produced so far; it is left out while the owner is busy.
+// Progress reports how many tokens the call has produced so far; the report is dropped while the loop is busy.
 func (g *Grant) Progress(n ferryid.Tokens) {
 	select {
 	case g.admission.inbox <- progress{id: g.id, tokens: n}:
@@ -183,14 +184,14 @@
 	}
 }
 
-// Preempted receives when the call should be cancelled at its upstream and resumed later.
+// Preempted returns a channel that receives when the call should be cancelled upstream and resumed later.
 func (g *Grant) Preempted() <-chan struct{} {
 	return g.preempt
 }
 
-// Resume gives the slot back after a preemption and waits for another; the work done so far counts.
+// Resume releases the slot after a preemption and waits for another; the tokens produced so far are kept.
 func (g *Grant) Resume(ctx context.Context) error {
-	reply := make(chan answer, 1)
+	reply := make(chan acquireResult, 1)
 	g.admission.post(requeue{id: g.id, reply: reply})
 	_, err := g.admission.wait(ctx, g.id, reply, g.preempt)
 	if err != nil {
--- a/ferry/ferryqueue/admission_test.go
+++ b/ferry/ferryqueue/admission_test.go
@@ -16,7 +16,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-func running(t *testing.T, cfg Config) (*Admission, *clockwork.FakeClock) {
+func runAdmission(t *testing.T, cfg Config) (*Admission, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(start)
 	a := NewAdmission(clock)
@@ -31,7 +31,7 @@
 }
 
 func TestAcquireNeverExceedsTheCapacity(t *testing.T) {
-	a, _ := running(t, Config{Classes: twoClasses(), Capacity: 3})
+	a, _ := runAdmission(t, Config{Classes: twoClasses(), Capacity: 3})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	now, most := 0, 0
@@ -58,8 +58,8 @@
 	assert.Assert(t, most <= 3, "%d at once", most)
 }
 
-func TestAcquireGivesBackAWaitingPlace(t *testing.T) {
-	a, _ := running(t, Config{Capacity: 1})
+func TestCancelledAcquireLeavesTheQueue(t *testing.T) {
+	a, _ := runAdmission(t, Config{Capacity: 1})
 	g, err := a.Acquire(context.Background(), Item{ID: "first"})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,10 +76,10 @@
 }
 
 func TestDuplicateCannotCancelTheFirst(t *testing.T) {
-	o := newOwner(NewAdmission(clockwork.NewFakeClockAt(start)), Config{Capacity: 1})
-	first, second := make(chan answer, 1), make(chan answer, 1)
+	o := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{Capacity: 1})
+	first, second := make(chan acquireResult, 1), make(chan acquireResult, 1)
 	o.handle(acquire{item: Item{ID: "same"}, reply: first})
-	o.start()
+	o.startAndRefuse()
 	assert.Assert(t, (<-first).problem == nil)
 	o.handle(acquire{item: Item{ID: "same"}, reply: second})
 	assert.Equal(t, (<-second).problem.Kind, ferryoutcome.KindConflict)
@@ -89,8 +89,8 @@
 	assert.Equal(t, o.queue.Free(), 1)
 }
 
-func TestDocumentKeepsTheCapacityThatWasSet(t *testing.T) {
-	o := newOwner(NewAdmission(clockwork.NewFakeClockAt(start)), Config{})
+func TestDocumentKeepsCapacitySetBefore(t *testing.T) {
+	o := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{})
 	d := &ferryservice.Document{Upstreams: ferryservice.Upstreams{{Slots: 8}}}
 	o.handle(setDocument{document: d})
 	assert.Equal(t, o.queue.Free(), 8)
@@ -99,7 +99,7 @@
 	assert.Equal(t, o.queue.Free(), 2)
 }
 
-func TestAcquireAfterTheEnd(t *testing.T) {
+func TestAcquireAfterRunEnded(t *testing.T) {
 	a := NewAdmission(clockwork.NewFakeClockAt(start))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -108,9 +108,9 @@
 	assert.Equal(t, ferryoutcome.Of(err), ferryoutcome.NotRun)
 }
 
-func TestTurnAwayByTheView(t *testing.T) {
+func TestRefusalByPublishedView(t *testing.T) {
 	q := New(Config{Classes: twoClasses(), Capacity: 1})
-	q.lanes[0].slotRate = 10
+	q.classQueues[0].slotRate = 10
 	fill(t, q, "a", 2, 30)
 	a := NewAdmission(clockwork.NewFakeClockAt(start))
 	a.view.Store(q.view(start, 0))
@@ -123,11 +123,11 @@
 	assert.Equal(t, p.Outcome, ferryoutcome.NotRun)
 	assert.Assert(t, p.RetryAfter > 0)
 	assert.Equal(t, a.Snapshot().TurnedAway, uint64(1))
-	assert.Assert(t, a.turnAway(&Item{Customer: "b", Class: "short"}) == nil)
-	assert.Assert(t, a.turnAway(&Item{Customer: "a", Class: "short", Resumed: true}) == nil)
+	assert.Assert(t, a.refuseByView(&Item{Customer: "b", Class: "short"}) == nil)
+	assert.Assert(t, a.refuseByView(&Item{Customer: "a", Class: "short", Resumed: true}) == nil)
 }
 
-func TestNoTicksWhileNoCallIsThere(t *testing.T) {
+func TestNoTicksWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAdmission(clockwork.NewRealClock())
 		ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +140,7 @@
 		first, err := a.Acquire(ctx, Item{ID: "1", Customer: "a", Predicted: 10})
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Assert(t, time.Since(a.Snapshot().At) <= tickEvery, "not published while a call runs")
+		assert.Assert(t, time.Since(a.Snapshot().At) <= tickInterval, "not published while a call runs")
 		late, stop := context.WithTimeout(ctx, time.Minute)
 		defer stop()
 		it := Item{ID: "2", Customer: "a", Predicted: 10, Deadline: time.Now().Add(300 * time.Millisecond)}
--- a/ferry/ferryqueue/bench_test.go
+++ b/ferry/ferryqueue/bench_test.go
@@ -34,7 +34,7 @@
 	return q, items
 }
 
-// BenchmarkEnqueue is one enqueue with 100,000 waiting.
+// BenchmarkEnqueue measures Enqueue with 100,000 items waiting.
 func BenchmarkEnqueue(b *testing.B) {
 	const batch = 1000
 	q, items := benchQueue(b)
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkNext is one enqueue, start and end with 100,000 waiting.
+// BenchmarkNext measures Next, Done and Enqueue with 100,000 items waiting.
 func BenchmarkNext(b *testing.B) {
 	q, items := benchQueue(b)
 	b.ReportAllocs()
@@ -61,7 +61,7 @@
 		now = now.Add(time.Millisecond)
 		it, ok := q.Next(now, q.Free())
 		if !ok {
-			b.Fatal("nothing to start")
+			b.Fatal("no item started")
 		}
 		q.Done(it.ID, it.Predicted, now)
 		it.Arrived = now
@@ -74,10 +74,10 @@
 	_ = items
 }
 
-// BenchmarkRefuse is one refusal of a customer that waits with too much.
+// BenchmarkRefuse measures the refusal of an item of a customer with a long backlog.
 func BenchmarkRefuse(b *testing.B) {
 	q, items := benchQueue(b)
-	q.lanes[0].slotRate, q.lanes[1].slotRate = 40, 40
+	q.classQueues[0].slotRate, q.classQueues[1].slotRate = 40, 40
 	b.ReportAllocs()
 	for b.Loop() {
 		if q.Enqueue(items[benchWaiting], start) == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// BenchmarkAcquire is one admission and its end through the owner's goroutine, from one caller.
+// BenchmarkAcquire measures Acquire and Done through the loop's goroutine, from one caller.
 func BenchmarkAcquire(b *testing.B) {
 	a := NewAdmission(clockwork.NewRealClock())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,10 +102,10 @@
 	}
 }
 
-// BenchmarkTurnAway is one refusal by the published view, without the owner.
-func BenchmarkTurnAway(b *testing.B) {
+// BenchmarkRefuseByView measures a refusal by the published view, without the loop.
+func BenchmarkRefuseByView(b *testing.B) {
 	q := New(Config{Classes: twoClasses(), Capacity: 1})
-	q.lanes[0].slotRate = 10
+	q.classQueues[0].slotRate = 10
 	for _, id := range []ferryid.RequestID{"1", "2", "3"} {
 		q.Enqueue(Item{ID: id, Customer: "a", Predicted: 50, Arrived: start}, start)
 	}
--- a/ferry/ferryqueue/configure.go
+++ b/ferry/ferryqueue/configure.go
@@ -8,15 +8,15 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// SetConfig puts a new configuration in force; what waits and runs stays, sorted into the new classes.
+// SetConfig applies a new configuration and sorts the waiting and running items into the new classes.
 func (q *Queue) SetConfig(cfg Config, now time.Time) {
 	cfg.setDefaults()
-	old := q.lanes
+	old := q.classQueues
 	q.cfg = cfg
-	q.makeLanes()
-	q.held = map[ferryid.CustomerName]*holding{}
-	q.shares, q.used = cfg.shares(), usage{}
-	for i, l := range q.lanes {
+	q.makeClassQueues()
+	q.customers = map[ferryid.CustomerName]*customerState{}
+	q.totalShares, q.usage = cfg.totalShares(), usage{}
+	for i, l := range q.classQueues {
 		l.slotRate = old[min(i, len(old)-1)].slotRate
 	}
 	all := make([]*entry, 0, len(q.entries))
@@ -27,23 +27,23 @@
 		return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.ID, b.ID))
 	})
 	for _, e := range all {
-		q.place(e, now)
+		q.reinsert(e, now)
 	}
 }
 
-func (q *Queue) place(e *entry, now time.Time) {
+func (q *Queue) reinsert(e *entry, now time.Time) {
 	it := e.Item
-	l := q.laneOf(&it)
+	l := q.classQueueOf(&it)
 	e.Class = it.Class
 	f := q.flowOf(l, e.Customer)
 	if e.running {
-		e.lane, e.flow = l, f
+		e.classQueue, e.flow = l, f
 		l.running++
 		f.running++
-		q.hold(e.Customer).running++
+		q.customer(e.Customer).running++
 	} else {
 		l.add(f, e)
-		q.hold(e.Customer).waiting++
+		q.customer(e.Customer).waiting++
 	}
 	l.trackDemand(now)
 }
--- a/ferry/ferryqueue/customer.go
+++ b/ferry/ferryqueue/customer.go
@@ -5,18 +5,18 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// maxIdleFlows bounds the customers that are remembered with no work in a class.
+// maxIdleFlows is the number of customers from which those without work are purged.
 const maxIdleFlows = 4096
 
-// holding is what one customer has waiting and running in all classes.
-type holding struct {
+// customerState counts the waiting and running items of one customer in all classes.
+type customerState struct {
 	weight  float64
 	waiting int
 	running int
-	used    usage
+	usage   usage
 }
 
-func (q *Queue) flowOf(l *lane, c ferryid.CustomerName) *flow {
+func (q *Queue) flowOf(l *classQueue, c ferryid.CustomerName) *flow {
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		c = ""
 	}
@@ -27,13 +27,13 @@
 	if len(l.flows) >= maxIdleFlows {
 		l.purge()
 	}
-	f = &flow{customer: c, weight: q.weight(c), at: -1}
+	f = &flow{customer: c, weight: q.weight(c), index: -1}
 	l.flows[c] = f
 	return f
 }
 
-// purge forgets customers that have nothing waiting or running in the class.
-func (l *lane) purge() {
+// purge deletes the flows of customers with nothing waiting or running in the class.
+func (l *classQueue) purge() {
 	for c, f := range l.flows {
 		if f.n == 0 && f.running == 0 {
 			delete(l.flows, c)
@@ -48,22 +48,22 @@
 	return 1
 }
 
-func (q *Queue) hold(c ferryid.CustomerName) *holding {
-	h, ok := q.held[c]
+func (q *Queue) customer(c ferryid.CustomerName) *customerState {
+	h, ok := q.customers[c]
 	if !ok {
-		if len(q.held) >= maxIdleFlows {
-			q.purgeHeld()
+		if len(q.customers) >= maxIdleFlows {
+			q.purgeCustomers()
 		}
-		h = &holding{weight: q.weight(c)}
-		q.held[c] = h
+		h = &customerState{weight: q.weight(c)}
+		q.customers[c] = h
 	}
 	return h
 }
 
-func (q *Queue) purgeHeld() {
-	for c, h := range q.held {
+func (q *Queue) purgeCustomers() {
+	for c, h := range q.customers {
 		if h.waiting == 0 && h.running == 0 {
-			delete(q.held, c)
+			delete(q.customers, c)
 		}
 	}
 }
--- a/ferry/ferryqueue/excess.go
+++ b/ferry/ferryqueue/excess.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// usageWindow is the time constant with which the work a customer began is forgotten.
+	// usageWindow is the time constant of the exponential decay of a customer's started work.
 	usageWindow = 30 * time.Second
-	// usageMargin is how much more than its share of all work a customer may have begun before it counts as beyond it.
+	// usageMargin is the ratio of a customer's started work to its share from which further work is excess.
 	usageMargin = 1.5
-	// ownSlotsShare is the part of its share of the slots that a customer has running before any of its work is excess.
+	// ownSlotsShare is the part of its share of the slots that a customer occupies before any of its work is excess.
 	ownSlotsShare = 0.5
 )
 
-// usage is work begun, of which older work counts less.
+// usage is an exponentially decaying sum of started work.
 type usage struct {
 	tokens float64
 	at     time.Time
@@ -31,8 +31,8 @@
 	return u.tokens * math.Exp(-max(0, now.Sub(u.at)).Seconds()/usageWindow.Seconds())
 }
 
-// shares is the sum of all customers' shares.
-func (c *Config) shares() float64 {
+// totalShares returns the sum of all customers' shares.
+func (c *Config) totalShares() float64 {
 	sum := 0.0
 	for _, s := range c.Shares {
 		sum += max(0, s)
@@ -40,15 +40,16 @@
 	return sum
 }
 
-// bounded reports whether excess work may only have a part of the slots.
-func (q *Queue) bounded() bool {
-	return q.cfg.ExcessShare < 1 && q.shares > 0
+// limitsExcess reports whether excess work is limited to a part of the slots.
+func (q *Queue) limitsExcess() bool {
+	return q.cfg.ExcessShare < 1 && q.totalShares > 0
 }
 
-// first is the item of the class that is served next; while excess work has all of its slots, that of a customer within its share.
-func (q *Queue) first(l *lane, now time.Time) *entry {
+// nextOf returns the next item of the class, or nil. While excess work occupies all its slots,
+// only customers within their share are considered.
+func (q *Queue) nextOf(l *classQueue, now time.Time) *entry {
 	e := l.head()
-	if e == nil || !q.bounded() || q.excess < q.excessSlots() || !q.beyondShare(e.Customer, now) {
+	if e == nil || !q.limitsExcess() || q.excess < q.excessSlots() || !q.beyondShare(e.Customer, now) {
 		return e
 	}
 	var best *flow
@@ -63,27 +64,28 @@
 	return best.head
 }
 
-// excessSlots is never 0, so that excess work is not starved.
+// excessSlots returns the number of slots for excess work, at least 1 so that it is not starved.
 func (q *Queue) excessSlots() int {
 	return max(1, int(q.cfg.ExcessShare*float64(q.cfg.Capacity)))
 }
 
-// beyondShare reports whether the customer has begun more than its share of the work of late, and holds enough slots for its share.
+// beyondShare reports whether the customer recently started more than its share of the work
+// and already occupies its own part of the slots.
 func (q *Queue) beyondShare(c ferryid.CustomerName, now time.Time) bool {
-	h := q.hold(c)
-	if h.used.value(now)*q.shares <= usageMargin*q.used.value(now)*h.weight {
+	h := q.customer(c)
+	if h.usage.value(now)*q.totalShares <= usageMargin*q.usage.value(now)*h.weight {
 		return false
 	}
-	return float64(h.running+1) > ownSlotsShare*float64(q.cfg.Capacity)*h.weight/q.shares
+	return float64(h.running+1) > ownSlotsShare*float64(q.cfg.Capacity)*h.weight/q.totalShares
 }
 
-// begin counts an item that starts.
-func (q *Queue) begin(e *entry, now time.Time) {
-	h := q.hold(e.Customer)
-	if q.bounded() {
+// countStart updates the counters for an item that starts.
+func (q *Queue) countStart(e *entry, now time.Time) {
+	h := q.customer(e.Customer)
+	if q.limitsExcess() {
 		e.excess = q.beyondShare(e.Customer, now)
-		h.used.add(e.Predicted, now)
-		q.used.add(e.Predicted, now)
+		h.usage.add(e.Predicted, now)
+		q.usage.add(e.Predicted, now)
 	}
 	h.running++
 	if e.excess {
@@ -91,9 +93,9 @@
 	}
 }
 
-// end counts an item that runs no more.
-func (q *Queue) end(e *entry) {
-	q.hold(e.Customer).running--
+// countEnd updates the counters for an item that no longer runs.
+func (q *Queue) countEnd(e *entry) {
+	q.customer(e.Customer).running--
 	if e.excess {
 		q.excess--
 	}
--- a/ferry/ferryqueue/excess_test.go
+++ b/ferry/ferryqueue/excess_test.go
@@ -10,8 +10,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// loud is a queue in which the hog has had four slots of ten for itself for a minute.
-func loud(t *testing.T, share float64) (*Queue, time.Time) {
+// queueWithHeavyCustomer returns a queue in which one customer, hog, used four of ten slots alone for a minute.
+func queueWithHeavyCustomer(t *testing.T, share float64) (*Queue, time.Time) {
 	t.Helper()
 	q := New(Config{
 		Capacity: 10, ExcessShare: share, MaxWait: time.Hour,
@@ -31,57 +31,57 @@
 	return q, now
 }
 
-func TestExcessHasItsPartOfTheSlots(t *testing.T) {
+func TestExcessIsLimitedToItsSlots(t *testing.T) {
 	tests := []struct {
 		share float64
 		runs  int
 	}{
 		{0, 10},
 		{1, 10},
-		{0.01, 2}, // one of its own share, and never none of the excess
+		{0.01, 2}, // one slot of its own share and the minimum of one excess slot
 		{0.3, 4},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.share), func(t *testing.T) {
-			q, now := loud(t, tt.share)
+			q, now := queueWithHeavyCustomer(t, tt.share)
 			fill(t, q, "hog", 20, 10)
-			assert.Equal(t, len(drain(q, now, 20)), tt.runs)
+			assert.Equal(t, len(startAll(q, now, 20)), tt.runs)
 		})
 	}
 }
 
-// Slots that the excess may not have go to the others, whoever's turn it is.
-func TestExcessDoesNotHoldUpOthers(t *testing.T) {
-	q, now := loud(t, 0.1)
+// Slots closed to excess work go to other customers even if the excess work is first in virtual time.
+func TestExcessDoesNotBlockOthers(t *testing.T) {
+	q, now := queueWithHeavyCustomer(t, 0.1)
 	fill(t, q, "hog", 20, 10)
-	drain(q, now, 20)
+	startAll(q, now, 20)
 	fill(t, q, "a", 2, 100)
-	got := drain(q, now, 20)
+	got := startAll(q, now, 20)
 	assert.Equal(t, len(got), 2)
 	for _, it := range got {
 		assert.Equal(t, it.Customer, ferryid.CustomerName("a"))
 	}
 }
 
-// What is beyond a share is forgotten, and an end gives the place back.
-func TestExcessEnds(t *testing.T) {
-	q, now := loud(t, 0.1)
+// Usage decays, and the end of an excess item frees its slot.
+func TestExcessExpires(t *testing.T) {
+	q, now := queueWithHeavyCustomer(t, 0.1)
 	fill(t, q, "hog", 20, 10)
-	ran := drain(q, now, 20)
+	ran := startAll(q, now, 20)
 	assert.Equal(t, len(ran), 2)
 	q.Done(ran[1].ID, 10, now)
-	assert.Equal(t, len(drain(q, now, 20)), 1)
+	assert.Equal(t, len(startAll(q, now, 20)), 1)
 	for _, c := range []ferryid.CustomerName{"a", "b"} {
-		q.hold(c).used.add(1000, now.Add(5*usageWindow))
+		q.customer(c).usage.add(1000, now.Add(5*usageWindow))
 	}
-	q.used.add(2000, now.Add(5*usageWindow))
-	assert.Equal(t, len(drain(q, now.Add(5*usageWindow), 20)), 8)
+	q.usage.add(2000, now.Add(5*usageWindow))
+	assert.Equal(t, len(startAll(q, now.Add(5*usageWindow), 20)), 8)
 }
 
-func TestExcessIsCountedThroughAllChanges(t *testing.T) {
-	q, now := loud(t, 0.3)
+func TestExcessCountFollowsAllChanges(t *testing.T) {
+	q, now := queueWithHeavyCustomer(t, 0.3)
 	fill(t, q, "hog", 20, 10)
-	ran := drain(q, now, 20)
+	ran := startAll(q, now, 20)
 	assert.Equal(t, q.excess, 3)
 	q.Requeue(ran[3].ID, now)
 	assert.Equal(t, q.excess, 2)
@@ -90,5 +90,5 @@
 	q.SetConfig(q.cfg, now)
 	q.Done(ran[1].ID, 10, now)
 	assert.Equal(t, q.excess, 0)
-	assert.Equal(t, q.hold("hog").running, 1)
+	assert.Equal(t, q.customer("hog").running, 1)
 }
--- a/ferry/ferryqueue/flow.go
+++ b/ferry/ferryqueue/flow.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// flow is the waiting work of one customer in one class, first in first out.
+// flow is the FIFO queue of one customer in one class.
 type flow struct {
 	customer   ferryid.CustomerName
 	weight     float64
@@ -15,7 +15,7 @@
 	n          int
 	backlog    ferryid.Tokens
 	running    int
-	at         int
+	index      int
 }
 
 func (f *flow) pushBack(e *entry) {
@@ -58,7 +58,7 @@
 	f.backlog -= e.Predicted
 }
 
-// flowHeap orders the flows that have waiting work by their virtual start time.
+// flowHeap is a heap of the flows with waiting work, ordered by virtual start time.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
@@ -66,26 +66,26 @@
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].index, h[j].index = i, j
 }
 
-// Push adds a flow.
+// Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.at = len(*h)
+	f.index = len(*h)
 	*h = append(*h, f)
 }
 
-// Pop removes the last flow.
+// Pop implements heap.Interface.
 func (h *flowHeap) Pop() any {
 	last := len(*h) - 1
 	f := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	f.at = -1
+	f.index = -1
 	return f
 }
 
 func (h *flowHeap) add(f *flow)    { heap.Push(h, f) }
-func (h *flowHeap) drop(f *flow)   { heap.Remove(h, f.at) }
-func (h *flowHeap) update(f *flow) { heap.Fix(h, f.at) }
+func (h *flowHeap) remove(f *flow) { heap.Remove(h, f.index) }
+func (h *flowHeap) update(f *flow) { heap.Fix(h, f.index) }
--- a/ferry/ferryqueue/item.go
+++ b/ferry/ferryqueue/item.go
@@ -7,8 +7,8 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// Item is one call that asks to run; its work is predicted from Prompt and MaxTokens if Predicted is zero.
-// One that is Resumed has already run in part, and is never refused for want of room.
+// Item is one call to admit; if Predicted is zero, its work is predicted from Prompt and MaxTokens.
+// A Resumed item has already run in part and is never refused because the queue is full.
 type Item struct {
 	ID        ferryid.RequestID    `json:"ID"`
 	Customer  ferryid.CustomerName `json:"Customer"`
@@ -21,7 +21,7 @@
 	Resumed   bool                 `json:"Resumed,omitempty"`
 }
 
-// Refusal says why an item will not run and when its caller should come back.
+// Refusal is the refusal of an item, with its reason and the time after which to retry.
 type Refusal struct {
 	Item       Item
 	Kind       ferryoutcome.Kind
@@ -29,7 +29,7 @@
 	RetryAfter time.Duration
 }
 
-// Problem returns the refusal as the problem a caller is answered with; its outcome is always NotRun.
+// Problem returns the refusal as a problem for the caller; its outcome is always NotRun.
 func (r *Refusal) Problem() *ferryoutcome.Problem {
 	return ferryoutcome.New(r.Kind, ferryoutcome.NotRun, "%s", r.Detail).After(r.RetryAfter)
 }
@@ -37,15 +37,15 @@
 // entry is an item in the queue or running.
 type entry struct {
 	Item
-	prev, next *entry
-	flow       *flow
-	lane       *lane
-	started    time.Time
-	tokens     ferryid.Tokens
-	charged    ferryid.Tokens
-	running    bool
-	excess     bool
-	preempted  int
-	done       ferryid.Tokens
-	at         int
+	prev, next  *entry
+	flow        *flow
+	classQueue  *classQueue
+	started     time.Time
+	tokens      ferryid.Tokens
+	charged     ferryid.Tokens
+	running     bool
+	excess      bool
+	preempted   int
+	priorTokens ferryid.Tokens
+	index       int
 }
--- a/ferry/ferryqueue/lane.go
+++ b/ferry/ferryqueue/lane.go
@@ -9,86 +9,87 @@
 )
 
 const (
-	// demandDecay is the time constant with which the demand of a class is forgotten.
+	// demandDecay is the time constant with which the tracked demand of a class decays.
 	demandDecay = 30 * time.Second
-	// demandMargin is how much more than its recent demand a class may keep reserved.
+	// demandMargin is the limit of a class's reserved slots, relative to its recent demand.
 	demandMargin = 1.25
-	// slotRateWeight is the weight of one finished item in the measured rate of a slot.
+	// slotRateWeight is the weight of one finished item in the moving average of a slot's rate.
 	slotRateWeight = 1.0 / 64
-	// slotFallWeight is that of one slower than the rate, since a rate taken for too high admits work that will be late.
+	// slotFallWeight is the weight of an item slower than the average. It is larger, since an overestimated rate
+	// admits work that then misses its deadline.
 	slotFallWeight = 1.0 / 16
 )
 
-// lane is the waiting work of one class; its customers share it by start-time fair queueing.
-type lane struct {
-	class    ferryservice.Class
-	virtual  float64
-	flows    map[ferryid.CustomerName]*flow
-	active   flowHeap
-	weights  float64
-	waiting  int
-	backlog  ferryid.Tokens
-	running  int
-	demand   float64
-	demandAt time.Time
-	slotRate float64
-	missed   ferryid.Tokens
-	missedAt time.Time
+// classQueue holds the waiting work of one class; customers share it by start-time fair queueing.
+type classQueue struct {
+	class         ferryservice.Class
+	virtualTime   float64
+	flows         map[ferryid.CustomerName]*flow
+	active        flowHeap
+	activeWeight  float64
+	waiting       int
+	backlog       ferryid.Tokens
+	running       int
+	demand        float64
+	demandAt      time.Time
+	slotRate      float64
+	refusedTokens ferryid.Tokens
+	refusedAt     time.Time
 }
 
-func newLane(c ferryservice.Class) *lane {
-	return &lane{class: c, flows: map[ferryid.CustomerName]*flow{}}
+func newClassQueue(c ferryservice.Class) *classQueue {
+	return &classQueue{class: c, flows: map[ferryid.CustomerName]*flow{}}
 }
 
-func (l *lane) add(f *flow, e *entry) {
-	e.flow, e.lane = f, l
+func (l *classQueue) add(f *flow, e *entry) {
+	e.flow, e.classQueue = f, l
 	f.pushBack(e)
-	l.entered(f, e)
+	l.onAdded(f, e)
 }
 
-// addFront puts work that had already begun before the customer's other work.
-func (l *lane) addFront(f *flow, e *entry) {
-	e.flow, e.lane = f, l
+// addFront adds work that has already run in part before the customer's other work.
+func (l *classQueue) addFront(f *flow, e *entry) {
+	e.flow, e.classQueue = f, l
 	f.pushFront(e)
-	l.entered(f, e)
+	l.onAdded(f, e)
 }
 
-func (l *lane) entered(f *flow, e *entry) {
+func (l *classQueue) onAdded(f *flow, e *entry) {
 	l.waiting++
 	l.backlog += e.Predicted
 	if f.n == 1 {
-		f.start = max(l.virtual, f.start)
+		f.start = max(l.virtualTime, f.start)
 		l.active.add(f)
-		l.weights += f.weight
+		l.activeWeight += f.weight
 	}
 }
 
-func (l *lane) remove(e *entry) {
+func (l *classQueue) remove(e *entry) {
 	f := e.flow
 	f.remove(e)
 	l.waiting--
 	l.backlog -= e.Predicted
 	if f.n == 0 {
-		l.active.drop(f)
-		l.weights -= f.weight
+		l.active.remove(f)
+		l.activeWeight -= f.weight
 	}
 	if len(l.active) == 0 {
-		l.weights = 0
+		l.activeWeight = 0
 	}
 }
 
-// head is the item that is served next, or nil.
-func (l *lane) head() *entry {
+// head returns the next item in virtual time, or nil.
+func (l *classQueue) head() *entry {
 	if len(l.active) == 0 {
 		return nil
 	}
 	return l.active[0].head
 }
 
-// dispatch takes the head out and charges its customer with the predicted work.
-func (l *lane) dispatch(e *entry, now time.Time) {
+// dispatch removes the item and charges its customer with the predicted work.
+func (l *classQueue) dispatch(e *entry, now time.Time) {
 	f := e.flow
-	l.virtual = max(l.virtual, f.start)
+	l.virtualTime = max(l.virtualTime, f.start)
 	l.remove(e)
 	e.running, e.started, e.charged = true, now, e.Predicted
 	l.running++
@@ -96,16 +97,16 @@
 	l.charge(f, e.Predicted)
 }
 
-// charge moves a customer's place by the work it has had.
-func (l *lane) charge(f *flow, n ferryid.Tokens) {
+// charge advances a flow's virtual start time by the work charged.
+func (l *classQueue) charge(f *flow, n ferryid.Tokens) {
 	f.start += float64(n) / f.weight
 	if f.n > 0 {
 		l.active.update(f)
 	}
 }
 
-// observe learns what one slot serves, from a finished item.
-func (l *lane) observe(n ferryid.Tokens, d time.Duration) {
+// observe updates the rate of a slot from a finished item.
+func (l *classQueue) observe(n ferryid.Tokens, d time.Duration) {
 	if n <= 0 || d <= 0 {
 		return
 	}
@@ -121,7 +122,7 @@
 	l.slotRate += w * (r - l.slotRate)
 }
 
-func (l *lane) trackDemand(now time.Time) {
+func (l *classQueue) trackDemand(now time.Time) {
 	dt := now.Sub(l.demandAt)
 	if dt > 0 {
 		l.demand *= math.Exp(-dt.Seconds() / demandDecay.Seconds())
@@ -130,14 +131,14 @@
 	l.demand = max(l.demand, float64(l.running+l.waiting))
 }
 
-// reserved is how many slots are kept for the class; what it has not needed of late is free for others.
-func (l *lane) reserved(capacity int) int {
+// reserved returns how many slots are reserved for the class: its share, limited by its recent demand.
+func (l *classQueue) reserved(capacity int) int {
 	share := math.Ceil(l.class.ReservedShare * float64(capacity))
 	return int(min(share, math.Ceil(demandMargin*l.demand)))
 }
 
-// service is how long work of n tokens takes once started, zero while unknown.
-func (l *lane) service(n ferryid.Tokens) time.Duration {
+// serviceTime returns how long work of n tokens takes once started, 0 while the rate is unknown.
+func (l *classQueue) serviceTime(n ferryid.Tokens) time.Duration {
 	if l.slotRate <= 0 {
 		return 0
 	}
--- a/ferry/ferryqueue/oracle_test.go
+++ b/ferry/ferryqueue/oracle_test.go
@@ -13,18 +13,18 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TestMain fixes the seed, which -rapid.seed overrides.
+// TestMain fixes the seed unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 20261204, Checks: 300})
 }
 
-// oracle is a queue that knows only who waits and who runs.
+// oracle is a reference model that only tracks which items wait and run.
 type oracle struct {
 	waiting map[ferryid.RequestID]Item
 	running map[ferryid.RequestID]Item
 }
 
-// TestQueueAgainstOracle checks that no item is lost, run twice, or started beyond the capacity.
+// TestQueueAgainstOracle checks that no item is lost, starved, run twice or started beyond the capacity.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]ferryservice.QueuePolicy{ferryservice.QueueFair, ferryservice.QueueFifo}).Draw(t, "policy")
@@ -42,17 +42,17 @@
 			case 3:
 				o.next(t, q, now)
 			case 4:
-				if id, ok := one(t, o.running); ok {
+				if id, ok := pickID(t, o.running); ok {
 					q.Done(id, ferryid.Tokens(rapid.IntRange(0, 400).Draw(t, "tokens")), now)
 					delete(o.running, id)
 				}
 			case 5:
-				if id, ok := one(t, o.waiting); ok {
+				if id, ok := pickID(t, o.waiting); ok {
 					q.Cancel(id)
 					delete(o.waiting, id)
 				}
 			case 6:
-				if id, ok := one(t, o.running); ok {
+				if id, ok := pickID(t, o.running); ok {
 					q.Progress(id, ferryid.Tokens(rapid.IntRange(0, 400).Draw(t, "tokens")), now)
 				}
 			case 7:
@@ -75,7 +75,7 @@
 			o.check(t, q)
 		}
 		if len(o.waiting) > 0 {
-			t.Fatalf("starved: %v", o.waiting)
+			t.Fatalf("items never started: %v", o.waiting)
 		}
 	})
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	if _, known := o.waiting[it.ID]; !known {
-		t.Fatalf("started %s, which does not wait", it.ID)
+		t.Fatalf("started %s, which was not waiting", it.ID)
 	}
 	o.running[it.ID] = it
 	delete(o.waiting, it.ID)
@@ -110,13 +110,13 @@
 func (o *oracle) check(t *rapid.T, q *Queue) {
 	for _, r := range q.Dropped() {
 		if _, ok := o.waiting[r.Item.ID]; !ok {
-			t.Fatalf("refused %s, which does not wait", r.Item.ID)
+			t.Fatalf("refused %s, which was not waiting", r.Item.ID)
 		}
 		delete(o.waiting, r.Item.ID)
 	}
 	s := q.Snapshot(start)
 	if s.Waiting != len(o.waiting) || s.Running != len(o.running) || s.Running > 3 || s.Waiting > 12+3 {
-		t.Fatalf("queue has %d waiting and %d running, oracle %d and %d", s.Waiting, s.Running, len(o.waiting), len(o.running))
+		t.Fatalf("queue has %d waiting and %d running, want %d and %d", s.Waiting, s.Running, len(o.waiting), len(o.running))
 	}
 	waiting, running := 0, 0
 	for _, c := range s.Classes {
@@ -124,11 +124,11 @@
 		running += c.Running
 	}
 	if waiting != s.Waiting || running != s.Running {
-		t.Fatalf("classes add up to %d waiting and %d running of %d and %d", waiting, running, s.Waiting, s.Running)
+		t.Fatalf("classes add up to %d waiting and %d running, want %d and %d", waiting, running, s.Waiting, s.Running)
 	}
 }
 
-func one(t *rapid.T, m map[ferryid.RequestID]Item) (ferryid.RequestID, bool) {
+func pickID(t *rapid.T, m map[ferryid.RequestID]Item) (ferryid.RequestID, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
--- a/ferry/ferryqueue/owner.go
+++ b/ferry/ferryqueue/owner.go
@@ -8,19 +8,19 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// message is what callers post to the owner of a queue.
+// message is a message to the admission loop.
 type message interface{ isMessage() }
 
 type acquire struct {
 	item    Item
-	reply   chan answer
+	reply   chan acquireResult
 	preempt chan struct{}
 }
 
-// cancel names the caller too, so that a refused duplicate can't cancel the call whose id it repeats.
+// cancel includes the reply channel, so that a refused duplicate can't cancel the call whose id it repeats.
 type cancel struct {
 	id    ferryid.RequestID
-	reply chan answer
+	reply chan acquireResult
 }
 
 type finish struct {
@@ -35,7 +35,7 @@
 
 type requeue struct {
 	id    ferryid.RequestID
-	reply chan answer
+	reply chan acquireResult
 }
 
 type setCapacity struct{ n int }
@@ -50,41 +50,41 @@
 func (setCapacity) isMessage() {}
 func (setDocument) isMessage() {}
 
-// answer is what the owner replies to a waiting call.
-type answer struct {
+// acquireResult is the loop's reply to a waiting call.
+type acquireResult struct {
 	class     ferryid.ClassName
 	predicted ferryid.Tokens
 	problem   *ferryoutcome.Problem
 }
 
-// caller is the waiting side of one item.
-type caller struct {
-	reply    chan answer
+// waiter is the caller's side of one item.
+type waiter struct {
+	reply    chan acquireResult
 	preempt  chan struct{}
 	customer ferryid.CustomerName
 	prompt   ferryid.Tokens
 }
 
-// owner is the state of the goroutine that owns one queue.
-type owner struct {
+// admissionLoop is the state of the goroutine that runs one queue.
+type admissionLoop struct {
 	admission *Admission
 	queue     *Queue
 	predictor *Predictor
-	callers   map[ferryid.RequestID]caller
+	waiters   map[ferryid.RequestID]waiter
 	capacity  int
 	published time.Time
-	resting   bool
+	idle      bool
 }
 
-func newOwner(a *Admission, cfg Config) *owner {
-	return &owner{admission: a, queue: New(cfg), predictor: NewPredictor(), callers: map[ferryid.RequestID]caller{}, capacity: -1}
+func newAdmissionLoop(a *Admission, cfg Config) *admissionLoop {
+	return &admissionLoop{admission: a, queue: New(cfg), predictor: NewPredictor(), waiters: map[ferryid.RequestID]waiter{}, capacity: -1}
 }
 
-func (o *owner) now() time.Time {
+func (o *admissionLoop) now() time.Time {
 	return o.admission.clock.Now()
 }
 
-func (o *owner) handle(m message) {
+func (o *admissionLoop) handle(m message) {
 	switch m := m.(type) {
 	case acquire:
 		o.enqueue(m)
@@ -104,45 +104,45 @@
 	}
 }
 
-func (o *owner) enqueue(m acquire) {
+func (o *admissionLoop) enqueue(m acquire) {
 	if m.item.Predicted <= 0 {
 		m.item.Predicted = o.predictor.Predict(m.item.Customer, m.item.Prompt, m.item.MaxTokens)
 	}
 	if r := o.queue.Enqueue(m.item, o.now()); r != nil {
-		m.reply <- answer{problem: r.Problem()}
+		m.reply <- acquireResult{problem: r.Problem()}
 		return
 	}
-	o.callers[m.item.ID] = caller{reply: m.reply, preempt: m.preempt, customer: m.item.Customer, prompt: m.item.Prompt}
+	o.waiters[m.item.ID] = waiter{reply: m.reply, preempt: m.preempt, customer: m.item.Customer, prompt: m.item.Prompt}
 }
 
-func (o *owner) cancel(m cancel) {
-	if o.callers[m.id].reply != m.reply {
+func (o *admissionLoop) cancel(m cancel) {
+	if o.waiters[m.id].reply != m.reply {
 		return
 	}
 	o.queue.Cancel(m.id)
-	delete(o.callers, m.id)
+	delete(o.waiters, m.id)
 }
 
-func (o *owner) finish(m finish) {
+func (o *admissionLoop) finish(m finish) {
 	if !o.queue.Done(m.id, m.tokens, o.now()) {
 		return
 	}
-	c := o.callers[m.id]
+	c := o.waiters[m.id]
 	o.predictor.Learn(c.customer, c.prompt, m.tokens)
-	delete(o.callers, m.id)
+	delete(o.waiters, m.id)
 }
 
-func (o *owner) requeue(m requeue) {
-	c, ok := o.callers[m.id]
+func (o *admissionLoop) requeue(m requeue) {
+	c, ok := o.waiters[m.id]
 	if !ok || !o.queue.Requeue(m.id, o.now()) {
-		m.reply <- answer{problem: ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Ran, "the call is not running here")}
+		m.reply <- acquireResult{problem: ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Ran, "the call is not running here")}
 		return
 	}
 	c.reply = m.reply
-	o.callers[m.id] = c
+	o.waiters[m.id] = c
 }
 
-func (o *owner) configure(d *ferryservice.Document) {
+func (o *admissionLoop) configure(d *ferryservice.Document) {
 	cfg := ConfigOf(d)
 	if o.capacity >= 0 {
 		cfg.Capacity = o.capacity
@@ -150,7 +150,7 @@
 	o.queue.SetConfig(cfg, o.now())
 }
 
-func (o *owner) tick() {
+func (o *admissionLoop) tick() {
 	now := o.now()
 	o.queue.Expire(now)
 	id, ok := o.queue.Preempt(now)
@@ -158,61 +158,61 @@
 		return
 	}
 	select {
-	case o.callers[id].preempt <- struct{}{}:
+	case o.waiters[id].preempt <- struct{}{}:
 	default:
 	}
 }
 
-// rest reports whether nothing needs the next tick; the state is published once more then.
-func (o *owner) rest() bool {
-	o.resting = len(o.callers) == 0
-	if o.resting {
+// goIdle reports whether no call waits or runs, so that ticks can stop; it then publishes a last time.
+func (o *admissionLoop) goIdle() bool {
+	o.idle = len(o.waiters) == 0
+	if o.idle {
 		o.publish()
 	}
-	return o.resting
+	return o.idle
 }
 
-// wake reports whether ticks are needed again.
-func (o *owner) wake() bool {
-	if !o.resting || len(o.callers) == 0 {
+// resumeTicks reports whether ticks were stopped and are needed again.
+func (o *admissionLoop) resumeTicks() bool {
+	if !o.idle || len(o.waiters) == 0 {
 		return false
 	}
-	o.resting = false
+	o.idle = false
 	return true
 }
 
-// start grants what may run and answers what was dropped.
-func (o *owner) start() {
+// startAndRefuse grants the items that may start and refuses those that the queue dropped.
+func (o *admissionLoop) startAndRefuse() {
 	now := o.now()
 	for {
 		it, ok := o.queue.Next(now, o.queue.Free())
 		if !ok {
 			break
 		}
-		o.callers[it.ID].reply <- answer{class: it.Class, predicted: it.Predicted}
+		o.waiters[it.ID].reply <- acquireResult{class: it.Class, predicted: it.Predicted}
 	}
 	for _, r := range o.queue.Dropped() {
-		o.callers[r.Item.ID].reply <- answer{problem: r.Problem()}
-		delete(o.callers, r.Item.ID)
+		o.waiters[r.Item.ID].reply <- acquireResult{problem: r.Problem()}
+		delete(o.waiters, r.Item.ID)
 	}
 }
 
-func (o *owner) refuseAll() {
-	for id, c := range o.callers {
+func (o *admissionLoop) refuseAll() {
+	for id, c := range o.waiters {
 		if e, ok := o.queue.entries[id]; ok && !e.running {
-			c.reply <- answer{problem: stopped()}
+			c.reply <- acquireResult{problem: draining()}
 		}
 	}
 }
 
-func (o *owner) publishIfDue() {
-	if o.now().Sub(o.published) >= publishEvery {
+func (o *admissionLoop) publishIfDue() {
+	if o.now().Sub(o.published) >= publishInterval {
 		o.publish()
 	}
 }
 
-func (o *owner) publish() {
+func (o *admissionLoop) publish() {
 	o.published = o.now()
-	missed := o.admission.missed.Swap(0)
-	o.admission.view.Store(o.queue.view(o.published, ferryid.Tokens(missed)))
+	refusedTokens := o.admission.refusedTokens.Swap(0)
+	o.admission.view.Store(o.queue.view(o.published, ferryid.Tokens(refusedTokens)))
 }
--- a/ferry/ferryqueue/predict.go
+++ b/ferry/ferryqueue/predict.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// predictQuantile is the quantile of past lengths that is predicted.
+	// predictQuantile is the predicted quantile of past lengths.
 	predictQuantile = 0.7
-	// predictStep is how far one observation moves a prediction, in the logarithm of the length.
+	// predictStep is the step of one observation, in the natural logarithm of the length.
 	predictStep      = 0.05
 	maxPredictions   = 16384
 	defaultPredicted = 128
 )
 
-// Predictor learns how many tokens a customer's calls produce, by the size of their prompts.
+// Predictor estimates how many tokens a call produces, by customer and size of the prompt.
 type Predictor struct {
 	logs map[predictKey]float64
 }
@@ -26,7 +26,7 @@
 	bucket   uint8
 }
 
-// NewPredictor returns a predictor that has learned nothing yet.
+// NewPredictor returns a predictor without observations.
 func NewPredictor() *Predictor {
 	return &Predictor{logs: map[predictKey]float64{}}
 }
@@ -35,7 +35,7 @@
 	return predictKey{customer: c, bucket: uint8(bits.Len64(uint64(max(0, prompt))))}
 }
 
-// Predict returns the expected length of an answer; maxTokens 0 means that the caller set no bound.
+// Predict returns the predicted length of an answer; a maxTokens of 0 means no limit.
 func (p *Predictor) Predict(c ferryid.CustomerName, prompt, maxTokens ferryid.Tokens) ferryid.Tokens {
 	n := ferryid.Tokens(defaultPredicted)
 	if l, ok := p.logs[keyOf(c, prompt)]; ok {
@@ -47,7 +47,7 @@
 	return max(1, n)
 }
 
-// Learn moves the prediction towards a finished answer's length.
+// Learn updates the prediction with the length of a finished answer.
 func (p *Predictor) Learn(c ferryid.CustomerName, prompt, tokens ferryid.Tokens) {
 	if tokens <= 0 {
 		return
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// DefaultMaxWait is how long work of the first class may be expected to wait before it is refused.
+	// DefaultMaxWait is the predicted wait from which work of the first class is refused.
 	DefaultMaxWait = 500 * time.Millisecond
-	// maxWaitShare is the part of its deadline that work of the other classes may be expected to wait.
+	// maxWaitShare is the same limit for the other classes, as a share of their deadline.
 	maxWaitShare = 0.25
-	// minBacklog is how many items of a class may wait however long that is, so that few slots don't run empty.
+	// minBacklog is how many items of a class may wait at any predicted wait, so that few slots are kept busy.
 	minBacklog = 2
-	// agingAfter is how long an item of a lower class waits before it goes before the higher ones.
+	// agingAfter is how long an item of a lower class waits before it takes precedence over higher classes.
 	agingAfter = 2 * time.Second
-	// lateServiceShare is the part of the predicted service that must still fit before the deadline at the start.
-	lateServiceShare = 0.5
-	defaultLength    = 1000
+	// lateServiceShare is the share of the predicted service time that must fit before the deadline at the start.
+	lateServiceShare   = 0.5
+	defaultQueueLength = 1000
 )
 
-// Config is what a queue is told by the service document and its shell.
+// Config configures a Queue; most of it comes from the service document.
 type Config struct {
 	Policy   ferryservice.QueuePolicy
 	Classes  ferryservice.Classes
 	Shares   map[ferryid.CustomerName]float64
 	Length   int
 	Capacity int
-	// ExcessShare is the part of the slots that work beyond customers' shares may hold, all if 0.
+	// ExcessShare is the part of the slots that work beyond customers' shares may occupy; 0 means all.
 	ExcessShare float64
 	MaxWait     time.Duration
 	Seed        uint64
 }
 
-// ConfigOf returns the configuration that a service document asks for.
+// ConfigOf returns the configuration given by a service document.
 func ConfigOf(d *ferryservice.Document) Config {
 	cfg := Config{Policy: d.Policy.Queue, Classes: d.Classes, Length: d.Limits.QueueLength, ExcessShare: d.Policy.ExcessShare}
 	cfg.Shares = make(map[ferryid.CustomerName]float64, len(d.Customers))
@@ -58,7 +58,7 @@
 		c.Classes = ferryservice.Classes{{Name: "all"}}
 	}
 	if c.Length <= 0 {
-		c.Length = defaultLength
+		c.Length = defaultQueueLength
 	}
 	if c.ExcessShare <= 0 || c.Policy == ferryservice.QueueFifo {
 		c.ExcessShare = 1
@@ -68,7 +68,8 @@
 	}
 }
 
-// Counts are the sums of a queue since its start; Thrown is work done twice because a running item was cancelled and requeued.
+// Counts are totals since the queue's creation.
+// Thrown is the work repeated because running items were cancelled and requeued.
 type Counts struct {
 	Enqueued     uint64         `json:"Enqueued"`
 	Started      uint64         `json:"Started"`
@@ -82,42 +83,42 @@
 	Thrown       ferryid.Tokens `json:"Thrown"`
 }
 
-// Queue is the pure core of admission: it owns no clock and no goroutine.
+// Queue implements admission without I/O, clock or goroutines; it must not be used concurrently.
 type Queue struct {
-	cfg     Config
-	lanes   []*lane
-	entries map[ferryid.RequestID]*entry
-	held    map[ferryid.CustomerName]*holding
-	shares  float64
-	used    usage
-	excess  int
-	waiting int
-	running int
-	dropped []Refusal
-	spare   *entry
-	live    []*entry
-	rng     *rand.Rand
-	counts  Counts
+	cfg            Config
+	classQueues    []*classQueue
+	entries        map[ferryid.RequestID]*entry
+	customers      map[ferryid.CustomerName]*customerState
+	totalShares    float64
+	usage          usage
+	excess         int
+	waiting        int
+	running        int
+	dropped        []Refusal
+	freeList       *entry
+	runningEntries []*entry
+	rng            *rand.Rand
+	counts         Counts
 }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
 	cfg.setDefaults()
 	q := &Queue{
-		cfg:     cfg,
-		entries: map[ferryid.RequestID]*entry{},
-		held:    map[ferryid.CustomerName]*holding{},
-		rng:     rand.New(rand.NewPCG(cfg.Seed, 1)),
+		cfg:       cfg,
+		entries:   map[ferryid.RequestID]*entry{},
+		customers: map[ferryid.CustomerName]*customerState{},
+		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
-	q.shares = cfg.shares()
-	q.makeLanes()
+	q.totalShares = cfg.totalShares()
+	q.makeClassQueues()
 	return q
 }
 
-func (q *Queue) makeLanes() {
-	q.lanes = nil
+func (q *Queue) makeClassQueues() {
+	q.classQueues = nil
 	for _, c := range q.cfg.Classes {
-		q.lanes = append(q.lanes, newLane(c))
+		q.classQueues = append(q.classQueues, newClassQueue(c))
 	}
 }
 
@@ -126,33 +127,33 @@
 	q.cfg.Capacity = max(0, n)
 }
 
-// Free is how many more items may start.
+// Free returns how many more items may start.
 func (q *Queue) Free() int {
 	return q.cfg.Capacity - q.running
 }
 
-// Waiting is how many items wait.
+// Waiting returns how many items wait.
 func (q *Queue) Waiting() int {
 	return q.waiting
 }
 
-// Counts returns the sums since the start.
+// Counts returns the totals since the queue's creation.
 func (q *Queue) Counts() Counts {
 	return q.counts
 }
 
-// Enqueue takes an item to wait, or returns the refusal; the refusal is decided before anything is stored.
+// Enqueue adds an item, or returns its refusal and leaves the item out of the queue.
 func (q *Queue) Enqueue(it Item, now time.Time) *Refusal {
 	if it.Predicted <= 0 {
 		it.Predicted = 1
 	}
-	l := q.laneOf(&it)
-	if r := q.judge(&it, l, now); r != nil {
+	l := q.classQueueOf(&it)
+	if r := q.checkAdmission(&it, l, now); r != nil {
 		q.counts.Refused++
 		return r
 	}
 	if q.waiting >= q.cfg.Length && !it.Resumed {
-		if r := q.makeRoom(&it, l, now); r != nil {
+		if r := q.evictFor(&it, l, now); r != nil {
 			q.counts.Refused++
 			return r
 		}
@@ -160,26 +161,26 @@
 	e := q.newEntry(it)
 	l.add(q.flowOf(l, it.Customer), e)
 	q.entries[it.ID] = e
-	q.hold(it.Customer).waiting++
+	q.customer(it.Customer).waiting++
 	q.waiting++
 	q.counts.Enqueued++
 	l.trackDemand(now)
 	return nil
 }
 
-// Next takes out the item that starts now, if any may start on the free slots.
+// Next removes and returns the item to start now; it returns false if none may start on the free slots.
 func (q *Queue) Next(now time.Time, free int) (Item, bool) {
 	for free > 0 && q.waiting > 0 {
-		l := q.pick(now, free)
+		l := q.pickClass(now, free)
 		if l == nil {
 			return Item{}, false
 		}
-		e := q.first(l, now)
-		if q.late(e, now) {
+		e := q.nextOf(l, now)
+		if q.tooLate(e, now) {
 			q.expire(e, now)
 			continue
 		}
-		q.begin(e, now)
+		q.countStart(e, now)
 		l.dispatch(e, now)
 		q.leaveWaiting(e)
 		q.startRunning(e)
@@ -189,49 +190,49 @@
 	return Item{}, false
 }
 
-// Cancel forgets an item, waiting or running, and reports whether it was known.
+// Cancel removes a waiting or running item and reports whether it existed.
 func (q *Queue) Cancel(id ferryid.RequestID) bool {
 	e, ok := q.entries[id]
 	if !ok {
 		return false
 	}
 	if e.running {
-		q.stop(e)
-		e.lane.charge(e.flow, e.tokens-e.charged)
+		q.stopRunning(e)
+		e.classQueue.charge(e.flow, e.tokens-e.charged)
 	} else {
-		e.lane.remove(e)
+		e.classQueue.remove(e)
 		q.leaveWaiting(e)
 	}
-	q.forget(e)
+	q.removeEntry(e)
 	return true
 }
 
-// Done ends a running item that produced the given number of tokens in all.
+// Done ends a running item, which produced the given tokens in total, and reports whether it was running.
 func (q *Queue) Done(id ferryid.RequestID, tokens ferryid.Tokens, now time.Time) bool {
 	e, ok := q.entries[id]
 	if !ok || !e.running {
 		return false
 	}
 	tokens = max(tokens, e.tokens)
-	e.lane.observe(tokens-e.done, now.Sub(e.started))
-	e.lane.charge(e.flow, tokens-e.done-e.charged)
+	e.classQueue.observe(tokens-e.priorTokens, now.Sub(e.started))
+	e.classQueue.charge(e.flow, tokens-e.priorTokens-e.charged)
 	q.counts.Finished++
 	q.counts.Served += tokens
-	q.stop(e)
-	q.forget(e)
+	q.stopRunning(e)
+	q.removeEntry(e)
 	return true
 }
 
-// Dropped returns the items refused since the last call though they had been enqueued.
+// Dropped returns the items refused after they were enqueued, since the last call.
 func (q *Queue) Dropped() []Refusal {
 	out := q.dropped
 	q.dropped = nil
 	return out
 }
 
-// Expire drops the first waiting items of each customer whose deadline has passed.
+// Expire drops items past their deadline from the front of each customer's queue.
 func (q *Queue) Expire(now time.Time) {
-	for _, l := range q.lanes {
+	for _, l := range q.classQueues {
 		for i := 0; i < len(l.active); {
 			e := l.active[i].head
 			if e.Deadline.IsZero() || now.Before(e.Deadline) {
@@ -244,12 +245,12 @@
 	}
 }
 
-// pick chooses the class to serve: the first that may start, unless a lower one has waited too long.
-func (q *Queue) pick(now time.Time, free int) *lane {
-	var best *lane
+// pickClass returns the class to serve: the first that may start, unless a lower one has waited too long.
+func (q *Queue) pickClass(now time.Time, free int) *classQueue {
+	var best *classQueue
 	var oldest time.Duration
-	for _, l := range q.lanes {
-		e := q.first(l, now)
+	for _, l := range q.classQueues {
+		e := q.nextOf(l, now)
 		if e == nil || !q.mayStart(l, free, now) {
 			continue
 		}
@@ -264,28 +265,28 @@
 	return best
 }
 
-// mayStart reports whether a slot is left for the class beside what is reserved for the others.
-func (q *Queue) mayStart(l *lane, free int, now time.Time) bool {
+// mayStart reports whether a slot is free for the class beside those reserved for others.
+func (q *Queue) mayStart(l *classQueue, free int, now time.Time) bool {
 	l.trackDemand(now)
 	if l.running < l.reserved(q.cfg.Capacity) {
 		return true
 	}
-	kept := 0
-	for _, o := range q.lanes {
+	reservedForOthers := 0
+	for _, o := range q.classQueues {
 		if o == l {
 			continue
 		}
 		o.trackDemand(now)
-		kept += max(0, o.reserved(q.cfg.Capacity)-o.running)
+		reservedForOthers += max(0, o.reserved(q.cfg.Capacity)-o.running)
 	}
-	return free > kept || q.running == 0
+	return free > reservedForOthers || q.running == 0
 }
 
-func (q *Queue) late(e *entry, now time.Time) bool {
+func (q *Queue) tooLate(e *entry, now time.Time) bool {
 	if e.Deadline.IsZero() {
 		return false
 	}
-	need := seconds(lateServiceShare * e.lane.service(e.Predicted).Seconds())
+	need := seconds(lateServiceShare * e.classQueue.serviceTime(e.Predicted).Seconds())
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		need = 0
 	}
@@ -293,63 +294,63 @@
 }
 
 func (q *Queue) expire(e *entry, now time.Time) {
-	e.lane.remove(e)
+	e.classQueue.remove(e)
 	q.leaveWaiting(e)
 	q.counts.Expired++
-	q.dropped = append(q.dropped, *q.refuse(&e.Item, e.lane, now, ferryoutcome.KindTimeout, "the call waited until it could not be in time"))
-	q.forget(e)
+	q.dropped = append(q.dropped, *q.refuse(&e.Item, e.classQueue, now, ferryoutcome.KindTimeout, "the call waited until it could not be in time"))
+	q.removeEntry(e)
 }
 
 func (q *Queue) leaveWaiting(e *entry) {
 	q.waiting--
-	q.held[e.Customer].waiting--
+	q.customers[e.Customer].waiting--
 }
 
 func (q *Queue) startRunning(e *entry) {
-	e.at = len(q.live)
-	q.live = append(q.live, e)
+	e.index = len(q.runningEntries)
+	q.runningEntries = append(q.runningEntries, e)
 	q.running++
 }
 
-func (q *Queue) stop(e *entry) {
-	last := q.live[len(q.live)-1]
-	q.live[e.at], last.at = last, e.at
-	q.live[len(q.live)-1] = nil
-	q.live = q.live[:len(q.live)-1]
-	q.end(e)
+func (q *Queue) stopRunning(e *entry) {
+	last := q.runningEntries[len(q.runningEntries)-1]
+	q.runningEntries[e.index], last.index = last, e.index
+	q.runningEntries[len(q.runningEntries)-1] = nil
+	q.runningEntries = q.runningEntries[:len(q.runningEntries)-1]
+	q.countEnd(e)
 	e.running = false
-	e.lane.running--
+	e.classQueue.running--
 	e.flow.running--
 	q.running--
 }
 
-func (q *Queue) forget(e *entry) {
+func (q *Queue) removeEntry(e *entry) {
 	delete(q.entries, e.ID)
-	*e = entry{next: q.spare}
-	q.spare = e
+	*e = entry{next: q.freeList}
+	q.freeList = e
 }
 
 func (q *Queue) newEntry(it Item) *entry {
-	e := q.spare
+	e := q.freeList
 	if e == nil {
 		return &entry{Item: it}
 	}
-	q.spare = e.next
+	q.freeList = e.next
 	*e = entry{Item: it}
 	return e
 }
 
-func (q *Queue) laneOf(it *Item) *lane {
-	for _, l := range q.lanes {
+func (q *Queue) classQueueOf(it *Item) *classQueue {
+	for _, l := range q.classQueues {
 		if it.Class != "" && l.class.Name == it.Class {
 			return l
 		}
 	}
 	it.Class = q.cfg.Classes.Of(it.Predicted).Name
-	for _, l := range q.lanes {
+	for _, l := range q.classQueues {
 		if l.class.Name == it.Class {
 			return l
 		}
 	}
-	return q.lanes[0]
+	return q.classQueues[0]
 }
--- a/ferry/ferryqueue/queue_test.go
+++ b/ferry/ferryqueue/queue_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func drain(q *Queue, now time.Time, n int) []Item {
+func startAll(q *Queue, now time.Time, n int) []Item {
 	var out []Item
 	for range n {
 		it, ok := q.Next(now, q.Free())
@@ -50,7 +50,7 @@
 	fill(t, q, "b", 1, 1000)
 	fill(t, q, "a", 1, 10)
 	fill(t, q, "c", 1, 10)
-	got := drain(q, start, 3)
+	got := startAll(q, start, 3)
 	assert.Equal(t, got[0].Customer, ferryid.CustomerName("b"))
 	assert.Equal(t, got[1].Customer, ferryid.CustomerName("a"))
 	assert.Equal(t, got[2].Customer, ferryid.CustomerName("c"))
@@ -61,7 +61,7 @@
 	fill(t, q, "a", 100, 50)
 	fill(t, q, "b", 100, 50)
 	served := map[ferryid.CustomerName]int{}
-	for _, it := range drain(q, start, 80) {
+	for _, it := range startAll(q, start, 80) {
 		served[it.Customer]++
 	}
 	assert.Equal(t, served["a"], 60)
@@ -92,20 +92,20 @@
 func TestReservedSlotsAreKeptForShortWork(t *testing.T) {
 	q := New(Config{Classes: twoClasses(), Capacity: 8})
 	fill(t, q, "a", 4, 10)
-	assert.Equal(t, len(drain(q, start, 8)), 4)
+	assert.Equal(t, len(startAll(q, start, 8)), 4)
 	fill(t, q, "a", 8, 5000)
-	got := drain(q, start, 8)
+	got := startAll(q, start, 8)
 	assert.Equal(t, len(got), 4)
 	q.Done("a-10-0", 10, start.Add(time.Second))
-	assert.Equal(t, len(drain(q, start.Add(time.Second), 8)), 0, "a freed reserved slot went to long work")
+	assert.Equal(t, len(startAll(q, start.Add(time.Second), 8)), 0, "a reserved slot was given to long work")
 	fill(t, q, "b", 1, 10)
-	assert.Equal(t, len(drain(q, start.Add(time.Second), 8)), 1)
+	assert.Equal(t, len(startAll(q, start.Add(time.Second), 8)), 1)
 }
 
-func TestUnusedReserveIsUsed(t *testing.T) {
+func TestUnusedReservedSlotsAreUsed(t *testing.T) {
 	q := New(Config{Classes: twoClasses(), Capacity: 8})
 	fill(t, q, "a", 8, 5000)
-	assert.Equal(t, len(drain(q, start, 8)), 8)
+	assert.Equal(t, len(startAll(q, start, 8)), 8)
 }
 
 func TestLongWorkAges(t *testing.T) {
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestFullQueueTakesFromTheCustomerMostOverItsShare(t *testing.T) {
+func TestFullQueueEvictsFromCustomerMostOverItsShare(t *testing.T) {
 	q := New(Config{Classes: twoClasses(), Length: 10, Shares: map[ferryid.CustomerName]float64{"big": 8, "hog": 1}})
 	fill(t, q, "big", 6, 10)
 	fill(t, q, "hog", 4, 10)
@@ -217,10 +217,10 @@
 	assert.Assert(t, q.Enqueue(again, start) == nil)
 }
 
-func TestOutgrownWorkChangesClassAndGivesWay(t *testing.T) {
+func TestOutgrownWorkChangesClassAndIsPreempted(t *testing.T) {
 	q := New(Config{Classes: twoClasses(), Capacity: 4})
 	fill(t, q, "a", 4, 10)
-	assert.Equal(t, len(drain(q, start, 4)), 4)
+	assert.Equal(t, len(startAll(q, start, 4)), 4)
 	for i := range 4 {
 		q.Progress(ferryid.RequestID(fmt.Sprintf("a-10-%d", i)), ferryid.Tokens(200+i), start.Add(time.Second))
 	}
@@ -229,7 +229,7 @@
 	b.Arrived = start.Add(time.Second)
 	assert.Assert(t, q.Enqueue(b, b.Arrived) == nil)
 	_, ok := q.Preempt(b.Arrived)
-	assert.Assert(t, !ok, "preempted before the waiting time was over")
+	assert.Assert(t, !ok, "preempted before preemptAfter had passed")
 	q.counts.Served = 10000
 	id, ok := q.Preempt(b.Arrived.Add(time.Second))
 	assert.Assert(t, ok)
@@ -252,19 +252,20 @@
 	assert.Equal(t, p.Predict("b", 10, 0), ferryid.Tokens(defaultPredicted))
 }
 
-func TestSetConfigKeepsWhatWaitsAndRuns(t *testing.T) {
+func TestSetConfigKeepsWaitingAndRunningItems(t *testing.T) {
 	q := New(Config{Policy: ferryservice.QueueFifo, Capacity: 1})
 	fill(t, q, "a", 3, 500)
-	drain(q, start, 1)
+	startAll(q, start, 1)
 	q.SetConfig(Config{Classes: twoClasses(), Capacity: 3}, start)
 	assert.Equal(t, q.Waiting(), 2)
-	assert.Equal(t, len(drain(q, start, 5)), 2)
+	assert.Equal(t, len(startAll(q, start, 5)), 2)
 	assert.Equal(t, q.Snapshot(start).Classes[1].Running, 3)
 }
 
-// A fleet that fills up shares its rate among more streams; the rate of a slot must be known before too much is admitted.
-func TestRateOfASlotFallsFasterThanItRises(t *testing.T) {
-	l := newLane(twoClasses()[0])
+// When more streams share the engines, the rate of a slot falls.
+// If the measured rate followed too slowly, too much work would be admitted.
+func TestSlotRateFallsFasterThanItRises(t *testing.T) {
+	l := newClassQueue(twoClasses()[0])
 	l.observe(100, time.Second)
 	for range 32 {
 		l.observe(10, time.Second)
--- a/ferry/ferryqueue/refuse.go
+++ b/ferry/ferryqueue/refuse.go
@@ -11,12 +11,12 @@
 const (
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = time.Minute
-	// retryJitter is the width of the random part of a retry-after, as a share of it.
+	// retryJitter is the width of the random part of a retry delay, relative to the delay.
 	retryJitter = 0.5
 )
 
-// judge refuses what can't be in time, by the predicted wait.
-func (q *Queue) judge(it *Item, l *lane, now time.Time) *Refusal {
+// checkAdmission refuses duplicates and items that, by the predicted wait, can't finish in time.
+func (q *Queue) checkAdmission(it *Item, l *classQueue, now time.Time) *Refusal {
 	if _, ok := q.entries[it.ID]; ok {
 		return q.refuse(it, l, now, ferryoutcome.KindConflict, "a call with this id is already waiting or running")
 	}
@@ -27,7 +27,7 @@
 		return nil
 	}
 	wait, own := q.predictWait(it.Customer, l)
-	if !q.tooLong(l, wait) && (it.Deadline.IsZero() || !now.Add(wait+l.service(it.Predicted)).After(it.Deadline)) {
+	if !q.waitTooLong(l, wait) && (it.Deadline.IsZero() || !now.Add(wait+l.serviceTime(it.Predicted)).After(it.Deadline)) {
 		return nil
 	}
 	if own {
@@ -36,23 +36,23 @@
 	return q.refuse(it, l, now, ferryoutcome.KindOverloaded, "the service has more work than it can do in time")
 }
 
-// tooLong reports whether a predicted wait is more than the class admits.
-func (q *Queue) tooLong(l *lane, wait time.Duration) bool {
+// waitTooLong reports whether a predicted wait exceeds the limit of the class.
+func (q *Queue) waitTooLong(l *classQueue, wait time.Duration) bool {
 	return l.waiting >= minBacklog && wait > q.waitLimit(l)
 }
 
-// waitLimit is the longest predicted wait with which work of the class is admitted.
-func (q *Queue) waitLimit(l *lane) time.Duration {
-	if l == q.lanes[0] {
+// waitLimit returns the longest predicted wait with which work of the class is admitted.
+func (q *Queue) waitLimit(l *classQueue) time.Duration {
+	if l == q.classQueues[0] {
 		return q.cfg.MaxWait
 	}
 	share := seconds(maxWaitShare * time.Duration(l.class.Deadline).Seconds())
 	return max(q.cfg.MaxWait, share)
 }
 
-// predictWait estimates the wait of a new item and reports whether the customer's own backlog decides it.
-func (q *Queue) predictWait(c ferryid.CustomerName, l *lane) (wait time.Duration, own bool) {
-	rate := q.laneRate(l)
+// predictWait returns the predicted wait of a new item and whether the customer's own backlog determines it.
+func (q *Queue) predictWait(c ferryid.CustomerName, l *classQueue) (wait time.Duration, own bool) {
+	rate := q.classRate(l)
 	if rate <= 0 || l.waiting == 0 {
 		return 0, false
 	}
@@ -61,14 +61,14 @@
 	if !ok || f.n == 0 {
 		return 0, false
 	}
-	mine := float64(f.backlog) * l.weights / (f.weight * rate)
-	return seconds(min(all, mine)), l.weights > f.weight && float64(f.backlog)*l.weights > f.weight*float64(l.backlog)
+	mine := float64(f.backlog) * l.activeWeight / (f.weight * rate)
+	return seconds(min(all, mine)), l.activeWeight > f.weight && float64(f.backlog)*l.activeWeight > f.weight*float64(l.backlog)
 }
 
-// laneRate is the rate in tokens/s at which the class is served while it has work waiting.
-func (q *Queue) laneRate(l *lane) float64 {
+// classRate returns the rate, in tokens/s, at which the class is served while it has work waiting.
+func (q *Queue) classRate(l *classQueue) float64 {
 	slots := q.cfg.Capacity
-	for _, o := range q.lanes {
+	for _, o := range q.classQueues {
 		if o != l {
 			slots -= o.running
 		}
@@ -77,17 +77,18 @@
 	return l.slotRate * float64(max(1, floor, slots))
 }
 
-// makeRoom is the rule of a full queue: the customer that waits with most for its share loses its newest item.
-func (q *Queue) makeRoom(it *Item, l *lane, now time.Time) *Refusal {
+// evictFor makes room in a full queue: it evicts the newest item of the customer most over its share.
+// If that is the item's own customer, it returns the item's refusal.
+func (q *Queue) evictFor(it *Item, l *classQueue, now time.Time) *Refusal {
 	full := "the queue of the service is full"
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		return q.refuse(it, l, now, ferryoutcome.KindOverloaded, full)
 	}
 	most, excess := it.Customer, 0.0
-	if h, ok := q.held[it.Customer]; ok {
+	if h, ok := q.customers[it.Customer]; ok {
 		excess = float64(h.waiting+1) / h.weight
 	}
-	for c, h := range q.held {
+	for c, h := range q.customers {
 		e := float64(h.waiting) / h.weight
 		if e > excess || (e == excess && most != it.Customer && c < most) {
 			most, excess = c, e
@@ -97,18 +98,19 @@
 	if most == it.Customer || victim == nil {
 		return q.refuse(it, l, now, ferryoutcome.KindLimit, full+" and this customer is the one most over its share")
 	}
-	victim.lane.remove(victim)
+	victim.classQueue.remove(victim)
 	q.leaveWaiting(victim)
 	q.counts.Evicted++
-	q.dropped = append(q.dropped, *q.refuse(&victim.Item, victim.lane, now, ferryoutcome.KindLimit, full+" and this customer is the one most over its share"))
-	q.forget(victim)
+	q.dropped = append(q.dropped, *q.refuse(&victim.Item, victim.classQueue, now, ferryoutcome.KindLimit, full+" and this customer is the one most over its share"))
+	q.removeEntry(victim)
 	return nil
 }
 
-// newest is the last item of the customer in the class where it has most waiting, never one that has begun.
+// newest returns the last item of the customer in the class with most waiting, or nil. It never returns an item
+// that has already run in part.
 func (q *Queue) newest(c ferryid.CustomerName) *entry {
 	var best *flow
-	for _, l := range q.lanes {
+	for _, l := range q.classQueues {
 		if f := l.flows[c]; f != nil && f.n > 0 && f.tail.preempted == 0 && !f.tail.Resumed && (best == nil || f.n > best.n) {
 			best = f
 		}
@@ -119,18 +121,19 @@
 	return best.tail
 }
 
-func (q *Queue) refuse(it *Item, l *lane, now time.Time, k ferryoutcome.Kind, detail string) *Refusal {
+func (q *Queue) refuse(it *Item, l *classQueue, now time.Time, k ferryoutcome.Kind, detail string) *Refusal {
 	return &Refusal{Item: *it, Kind: k, Detail: detail, RetryAfter: q.retryAfter(it, l, now)}
 }
 
-// retryAfter spreads refused callers over the time that the backlog and the work refused before them take.
-func (q *Queue) retryAfter(it *Item, l *lane, now time.Time) time.Duration {
-	rate := q.laneRate(l)
+// retryAfter returns a retry delay that spreads refused callers over the time needed for the backlog
+// and the work refused before them.
+func (q *Queue) retryAfter(it *Item, l *classQueue, now time.Time) time.Duration {
+	rate := q.classRate(l)
 	base := time.Second
 	if rate > 0 {
-		l.missed = max(0, l.missed-ferryid.Tokens(now.Sub(l.missedAt).Seconds()*rate)) + it.Predicted
-		l.missedAt = now
-		base = seconds((float64(l.backlog) + float64(l.missed)) / rate)
+		l.refusedTokens = max(0, l.refusedTokens-ferryid.Tokens(now.Sub(l.refusedAt).Seconds()*rate)) + it.Predicted
+		l.refusedAt = now
+		base = seconds((float64(l.backlog) + float64(l.refusedTokens)) / rate)
 	}
 	base = min(max(base, minRetryAfter), maxRetryAfter)
 	jitter := 1 + retryJitter*(q.rng.Float64()-0.5)
--- a/ferry/ferryqueue/snapshot.go
+++ b/ferry/ferryqueue/snapshot.go
@@ -7,7 +7,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// ClassState is what waits and runs in one class.
+// ClassState is the state of one class.
 type ClassState struct {
 	Class         ferryid.ClassName `json:"Class"`
 	Waiting       int               `json:"Waiting"`
@@ -16,7 +16,7 @@
 	Reserved      int               `json:"Reserved"`
 }
 
-// Snapshot is the state of a queue at one moment; TurnedAway counts the refusals made without asking the owner.
+// Snapshot is the state of a queue at one time; TurnedAway counts refusals by the published view or a full inbox.
 type Snapshot struct {
 	At         time.Time    `json:"At"`
 	Capacity   int          `json:"Capacity"`
@@ -27,14 +27,14 @@
 	Counts     Counts       `json:"Counts"`
 }
 
-// view is what callers may decide by without asking the owner.
+// view is the published state by which callers are refused without a message to the loop.
 type view struct {
 	at       time.Time
 	snapshot Snapshot
-	lanes    []laneView
+	classes  []classView
 }
 
-type laneView struct {
+type classView struct {
 	class     ferryid.ClassName
 	maxTokens ferryid.Tokens
 	retry     time.Duration
@@ -43,19 +43,19 @@
 
 func (q *Queue) view(now time.Time, missed ferryid.Tokens) *view {
 	v := &view{at: now, snapshot: q.Snapshot(now)}
-	for _, l := range q.lanes {
-		v.lanes = append(v.lanes, q.laneView(l, now, missed))
+	for _, l := range q.classQueues {
+		v.classes = append(v.classes, q.classView(l, now, missed))
 	}
 	return v
 }
 
-func (q *Queue) laneView(l *lane, now time.Time, missed ferryid.Tokens) laneView {
-	lv := laneView{class: l.class.Name, maxTokens: l.class.MaxTokens}
+func (q *Queue) classView(l *classQueue, now time.Time, missed ferryid.Tokens) classView {
+	lv := classView{class: l.class.Name, maxTokens: l.class.MaxTokens}
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		return lv
 	}
 	for _, f := range l.active {
-		if wait, _ := q.predictWait(f.customer, l); q.tooLong(l, wait) {
+		if wait, _ := q.predictWait(f.customer, l); q.waitTooLong(l, wait) {
 			if lv.full == nil {
 				lv.full = map[ferryid.CustomerName]bool{}
 			}
@@ -68,14 +68,14 @@
 	return lv
 }
 
-// refuses reports whether work of the item's class is refused for its customer at present.
+// refuses reports whether the item's customer is currently refused in its class, and when to retry.
 func (v *view) refuses(it *Item, now time.Time) (time.Duration, bool) {
-	if len(v.lanes) == 0 || it.Resumed || now.Sub(v.at) > viewLifetime {
+	if len(v.classes) == 0 || it.Resumed || now.Sub(v.at) > maxViewAge {
 		return 0, false
 	}
-	for i := range v.lanes {
-		l := &v.lanes[i]
-		if !l.holds(it, i == len(v.lanes)-1) {
+	for i := range v.classes {
+		l := &v.classes[i]
+		if !l.matches(it, i == len(v.classes)-1) {
 			continue
 		}
 		return l.retry, l.full[it.Customer]
@@ -83,8 +83,8 @@
 	return 0, false
 }
 
-// holds reports whether the item certainly belongs to the class.
-func (l *laneView) holds(it *Item, last bool) bool {
+// matches reports whether the item certainly belongs to the class; last marks the last class.
+func (l *classView) matches(it *Item, last bool) bool {
 	if it.Class != "" {
 		return l.class == it.Class
 	}
@@ -97,7 +97,7 @@
 // Snapshot returns the state of the queue.
 func (q *Queue) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{At: now, Capacity: q.cfg.Capacity, Waiting: q.waiting, Running: q.running, Counts: q.counts}
-	for _, l := range q.lanes {
+	for _, l := range q.classQueues {
 		s.Classes = append(s.Classes, ClassState{
 			Class:         l.class.Name,
 			Waiting:       l.waiting,
