--- a/ferry/ferrylimit/counter.go
+++ b/ferry/ferrylimit/counter.go
@@ -10,56 +10,57 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Units counts what a limit is about: requests, or tokens.
+// Units is an amount of what a limit counts: requests or tokens.
 type Units float64
 
 const (
-	// burstTime is the part of a second's allowance that may be granted at once.
+	// burstTime is the time whose allowance may be granted at once.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 1
-	// counterMemory is how long an idle customer's bucket is kept; it is full again long before.
-	counterMemory = time.Minute
+	// idleRetention is how long an idle customer's bucket is kept; the bucket fills up much sooner.
+	idleRetention = time.Minute
 )
 
-// Key names one limited customer of one service.
+// Key identifies one customer of one service.
 type Key struct {
 	Service  ferryid.ServiceName  `cbor:"1,keyasint"`
 	Customer ferryid.CustomerName `cbor:"2,keyasint"`
 }
 
-// Ask is what an entry wants for a customer; a negative Want gives back.
+// Ask requests units for a customer; a negative Want returns units.
 type Ask struct {
 	Key  Key   `cbor:"1,keyasint"`
 	Want Units `cbor:"2,keyasint"`
 }
 
-// Grant is the counting entry's answer to one Ask.
+// Grant is the counting entry's reply to one Ask.
 type Grant struct {
 	Key Key   `cbor:"1,keyasint"`
 	Got Units `cbor:"2,keyasint"`
 }
 
-// Rate returns a customer's limit in units a second, 0 for none.
+// Rate returns a customer's limit in units per second; 0 means no limit.
 type Rate func(Key) Units
 
 // bucket is one customer's token bucket.
 type bucket struct {
-	tokens Units
-	at     time.Time
+	tokens  Units
+	updated time.Time
 }
 
-// Counter is the pure core of the entry that counts for a customer.
+// Counter is the state of the entry that counts for a customer; it does no I/O and must not be used concurrently.
 type Counter struct {
 	rate    Rate
 	buckets map[Key]*bucket
 }
 
-// NewCounter returns a counter that takes limits from the documents in force.
+// NewCounter returns a counter without buckets that takes limits from r.
 func NewCounter(r Rate) *Counter {
 	return &Counter{rate: r, buckets: map[Key]*bucket{}}
 }
 
-// Answer grants what the limits have left; a bucket that is new here starts empty, since another entry may have counted until now.
+// Answer grants what the limits allow. A bucket new here starts empty, since another entry may have counted
+// until now.
 func (c *Counter) Answer(asks []Ask, now time.Time) []Grant {
 	out := make([]Grant, 0, len(asks))
 	for _, a := range asks {
@@ -75,27 +76,27 @@
 	}
 	b, ok := c.buckets[a.Key]
 	if !ok {
-		b = &bucket{at: now}
+		b = &bucket{updated: now}
 		c.buckets[a.Key] = b
 	}
 	burst := max(minBurst, rate*Units(burstTime.Seconds()))
-	b.tokens = min(burst, b.tokens+rate*Units(now.Sub(b.at).Seconds()))
-	b.at = now
+	b.tokens = min(burst, b.tokens+rate*Units(now.Sub(b.updated).Seconds()))
+	b.updated = now
 	got := min(a.Want, max(0, b.tokens))
 	b.tokens = min(burst, b.tokens-got)
 	return got
 }
 
-// Sweep forgets customers that have been idle.
+// Sweep deletes the buckets of idle customers.
 func (c *Counter) Sweep(now time.Time) {
 	for k, b := range c.buckets {
-		if now.Sub(b.at) >= counterMemory {
+		if now.Sub(b.updated) >= idleRetention {
 			delete(c.buckets, k)
 		}
 	}
 }
 
-// CounterOf is the live entry that counts for a customer.
+// CounterOf returns the live entry that counts for a customer, by rendezvous hashing.
 func CounterOf(k Key, live []ferryid.Incarnation) ferryid.Incarnation {
 	if len(live) == 0 {
 		return ""
--- a/ferry/ferrylimit/doc.go
+++ b/ferry/ferrylimit/doc.go
@@ -1,2 +1,3 @@
-// Package ferrylimit holds customers' limits over all entries, by one counting entry a customer that grants allowances in small batches.
+// Package ferrylimit enforces customers' rate limits across all entries. For each customer one entry,
+// the counting entry, keeps a token bucket and grants units to the others in small batches.
 package ferrylimit
--- a/ferry/ferrylimit/idle_test.go
+++ b/ferry/ferrylimit/idle_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// counted answers an entry's asks with what a counter grants, and returns the asks.
-func counted(s *Shares, c *Counter, now time.Time) []Ask {
+// exchangeAsks sends an entry's asks to the counter, applies its grants and returns the asks.
+func exchangeAsks(s *Shares, c *Counter, now time.Time) []Ask {
 	asks := s.Asks(now)
 	for _, g := range c.Answer(asks, now) {
 		s.Granted(g)
@@ -17,26 +17,26 @@
 	return asks
 }
 
-func atRate(limit Units) (*Shares, *Counter) {
+func newSharesAndCounter(limit Units) (*Shares, *Counter) {
 	rate := func(Key) Units { return limit }
 	return NewShares(rate), NewCounter(rate)
 }
 
-func TestAnIdleEntryGivesBack(t *testing.T) {
-	s, c := atRate(100)
+func TestIdleEntryReturnsAllowance(t *testing.T) {
+	s, c := newSharesAndCounter(100)
 	now := t0
 	for range 40 {
 		s.Allow(herd, 1, now)
 		now = now.Add(Tick / 2)
-		counted(s, c, now)
+		exchangeAsks(s, c, now)
 	}
 	held := s.shares[herd].balance
-	assert.Assert(t, held > 0, "%v held", held)
+	assert.Assert(t, held > 0, "balance %v", held)
 	left := c.buckets[herd].tokens
 	back := Units(0)
 	for range 4 {
 		now = now.Add(Tick)
-		for _, a := range counted(s, c, now) {
+		for _, a := range exchangeAsks(s, c, now) {
 			back -= min(0, a.Want)
 		}
 	}
@@ -45,11 +45,11 @@
 	assert.Assert(t, s.Quiet())
 }
 
-func TestASingleCallIsAskedForOnce(t *testing.T) {
+func TestSingleCallCausesOneAsk(t *testing.T) {
 	for _, tc := range []struct {
 		limit Units
 		every time.Duration
-		asks  float64 // a call
+		asks  float64 // per call
 	}{
 		{10, time.Second, 1},
 		{10, 300 * time.Millisecond, 1},
@@ -57,7 +57,7 @@
 		{1000, 5 * time.Second, 1},
 	} {
 		t.Run(fmt.Sprint(tc.limit, " each ", tc.every), func(t *testing.T) {
-			s, c := atRate(tc.limit)
+			s, c := newSharesAndCounter(tc.limit)
 			calls, asks := 0, 0
 			next := t0
 			for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(Tick) {
@@ -67,44 +67,44 @@
 					next = now.Add(tc.every)
 					calls++
 				}
-				asks += len(counted(s, c, now.Add(Tick/2)))
+				asks += len(exchangeAsks(s, c, now.Add(Tick/2)))
 			}
 			assert.Assert(t, float64(asks) <= tc.asks*float64(calls)+3, "%d asks for %d calls", asks, calls)
 		})
 	}
 }
 
-func TestLimitHoldsForCallsFarApart(t *testing.T) {
+func TestLimitHoldsForSparseCalls(t *testing.T) {
 	never := func(int) bool { return false }
 	for _, tc := range []struct{ limit, offered float64 }{{20, 16}, {40, 12}, {100, 12}, {1000, 20}, {50, 47.5}, {300, 285}} {
 		t.Run(fmt.Sprintf("limit %v offered %v", tc.limit, tc.offered), func(t *testing.T) {
 			sum := 0
-			for _, n := range run(60, tc.limit, tc.offered, never) {
+			for _, n := range admittedPerSecond(60, tc.limit, tc.offered, never) {
 				sum += n
 			}
 			ratio := float64(sum) / (60 * tc.offered)
-			assert.Assert(t, ratio > 0.95 && ratio < 1.05, "%.3f of what is due", ratio)
+			assert.Assert(t, ratio > 0.95 && ratio < 1.05, "admitted %.3f of the limit or offer", ratio)
 		})
 	}
 }
 
-func TestSharesForgetCustomers(t *testing.T) {
-	s, c := atRate(10)
+func TestIdleCustomersArePurged(t *testing.T) {
+	s, c := newSharesAndCounter(10)
 	s.Allow(herd, 1, t0)
-	s.Sweep(t0.Add(counterMemory))
-	assert.Equal(t, len(s.shares), 1, "a debt is forgotten")
-	counted(s, c, t0.Add(Tick))
+	s.Sweep(t0.Add(idleRetention))
+	assert.Equal(t, len(s.shares), 1, "a share with an overdraft was deleted")
+	exchangeAsks(s, c, t0.Add(Tick))
 	now := t0.Add(time.Second)
-	counted(s, c, now)
-	counted(s, c, now.Add(Tick))
+	exchangeAsks(s, c, now)
+	exchangeAsks(s, c, now.Add(Tick))
 	assert.Assert(t, s.Quiet())
 	s.Sweep(now)
 	assert.Equal(t, len(s.shares), 1)
-	s.Sweep(t0.Add(counterMemory))
+	s.Sweep(t0.Add(idleRetention))
 	assert.Equal(t, len(s.shares), 0)
 }
 
-func TestADebtEndsWithItsLimit(t *testing.T) {
+func TestRemovedLimitClearsOverdraft(t *testing.T) {
 	limit := Units(10)
 	s := NewShares(func(Key) Units { return limit })
 	s.Allow(herd, 1, t0)
--- a/ferry/ferrylimit/limit_test.go
+++ b/ferry/ferrylimit/limit_test.go
@@ -19,8 +19,9 @@
 	t0   = time.Unix(1_800_000_000, 0)
 )
 
-// run offers load that moves to other entries every second, and returns what was admitted in each second.
-func run(seconds int, limit, offered float64, silent func(second int) bool) []int {
+// admittedPerSecond offers load that moves to other entries every second and returns what was admitted
+// in each second.
+func admittedPerSecond(seconds int, limit, offered float64, silent func(second int) bool) []int {
 	r := rand.New(rand.NewPCG(1, 2))
 	rate := func(Key) Units { return Units(limit) }
 	c := NewCounter(rate)
@@ -46,7 +47,7 @@
 			}
 		}
 		if ms%int(Tick/time.Millisecond) == 0 {
-			exchange(ss, c, now, silent(ms/1000))
+			exchangeAll(ss, c, now, silent(ms/1000))
 		}
 	}
 	return out
@@ -60,7 +61,7 @@
 	}
 }
 
-func exchange(ss []*Shares, c *Counter, now time.Time, silent bool) {
+func exchangeAll(ss []*Shares, c *Counter, now time.Time, silent bool) {
 	for _, s := range ss {
 		asks := s.Asks(now)
 		if silent {
@@ -85,13 +86,13 @@
 		{1000, 900, 900},
 	} {
 		t.Run(fmt.Sprintf("limit %v offered %v", tc.limit, tc.offered), func(t *testing.T) {
-			admitted := run(60, tc.limit, tc.offered, never)
+			admitted := admittedPerSecond(60, tc.limit, tc.offered, never)
 			sum := 0
 			for i, n := range admitted {
 				sum += n
 				if i%10 == 9 {
 					ratio := float64(sum) / (10 * tc.want)
-					assert.Check(t, ratio > 0.95 && ratio < 1.05, "10 s to %d: %.3f of what is due", i+1, ratio)
+					assert.Check(t, ratio > 0.95 && ratio < 1.05, "10 s to second %d: admitted %.3f of the limit or offer", i+1, ratio)
 					sum = 0
 				}
 			}
@@ -99,14 +100,14 @@
 	}
 }
 
-func TestSilentCounterLeavesAnEvenShare(t *testing.T) {
-	admitted := run(20, 900, 3000, func(s int) bool { return s >= 10 })
+func TestUnansweredEntriesTakeEvenShares(t *testing.T) {
+	admitted := admittedPerSecond(20, 900, 3000, func(s int) bool { return s >= 10 })
 	for _, n := range admitted[12:] {
 		assert.Check(t, n > 50 && n <= 945, "%d", n)
 	}
 }
 
-func TestCountersSpread(t *testing.T) {
+func TestCountersAreDistributed(t *testing.T) {
 	var live []ferryid.Incarnation
 	for i := range entries {
 		live = append(live, ferryid.Incarnation(fmt.Sprint("i", i)))
@@ -118,8 +119,8 @@
 	assert.Equal(t, len(n), entries)
 }
 
-// BenchmarkState reports the bytes that 4,500 active customers take.
-func BenchmarkState(b *testing.B) {
+// BenchmarkMemory reports the heap bytes per customer for 4,500 active customers.
+func BenchmarkMemory(b *testing.B) {
 	rate := func(Key) Units { return 10 }
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/ferry/ferrylimit/share.go
+++ b/ferry/ferrylimit/share.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// Tick is how often an entry asks for its customers.
+	// Tick is the interval between an entry's asks.
 	Tick = 50 * time.Millisecond
-	// debtTime is the part of a second's allowance that an entry may admit before it is granted.
-	debtTime = 30 * time.Millisecond
-	// lazyTime is how long a debt may wait to be asked for while more can be admitted.
-	lazyTime = 500 * time.Millisecond
-	// silence is how long an unanswered Ask is waited for, before an even share is taken instead.
-	silence  = 500 * time.Millisecond
-	idleTime = 2 * Tick
+	// overdraftTime is the time whose allowance an entry may admit before it is granted.
+	overdraftTime = 30 * time.Millisecond
+	// maxAskDelay is how long an ask for an overdraft may be delayed while more can be admitted.
+	maxAskDelay = 500 * time.Millisecond
+	// answerTimeout is how long an entry waits for the answer to an Ask before it takes an even share.
+	answerTimeout = 500 * time.Millisecond
+	idleAfter     = 2 * Tick
 )
 
-// share is one customer's allowance at one entry.
+// share is the allowance of one customer at one entry.
 type share struct {
-	balance Units
-	demand  Units // since the last Ask
-	used    time.Time
-	gap     time.Duration // between the last two uses
-	since   time.Time     // of the oldest demand that was not asked for
-	asked   time.Time     // of the last unanswered Ask, or zero
-	silent  time.Time     // of the first unanswered Ask, or zero
-	filled  time.Time     // of the last even share taken without an answer
+	balance         Units
+	demand          Units // admitted or refused since the last Ask
+	lastUse         time.Time
+	useInterval     time.Duration // interval between the last two uses
+	demandSince     time.Time     // time of the oldest demand not yet asked for
+	askedAt         time.Time     // time of the last unanswered Ask, or zero
+	unansweredSince time.Time     // time of the first unanswered Ask, or zero
+	evenShareAt     time.Time     // time of the last even share taken without an answer
 }
 
-// Shares is the pure core of an entry that admits work; it never waits for an answer.
+// Shares is the state of an entry that admits work; it does no I/O, never waits and must not be used concurrently.
 type Shares struct {
 	rate   Rate
 	shares map[Key]*share
-	active map[Key]*share // those of which something may have to be asked or given back
+	active map[Key]*share // shares with units to ask for or to return
 }
 
-// NewShares returns shares that take limits from the documents in force.
+// NewShares returns an empty Shares that takes limits from r.
 func NewShares(r Rate) *Shares {
 	return &Shares{rate: r, shares: map[Key]*share{}, active: map[Key]*share{}}
 }
 
-// Allow admits work of the given cost, or returns how long to wait before it is worth another try.
+// Allow admits work of the given cost, or returns how long to wait before the next try.
 func (s *Shares) Allow(k Key, cost Units, now time.Time) (bool, time.Duration) {
 	rate := s.rate(k)
 	if rate <= 0 {
@@ -54,22 +54,22 @@
 	}
 	s.active[k] = sh
 	if sh.demand == 0 {
-		sh.since = now
+		sh.demandSince = now
 	}
-	sh.gap = now.Sub(sh.used)
-	sh.used = now
+	sh.useInterval = now.Sub(sh.lastUse)
+	sh.lastUse = now
 	sh.demand += cost
-	debt := debtOf(rate)
-	if sh.balance+debt < cost && sh.balance < 0 || sh.balance <= -debt {
+	overdraft := maxOverdraft(rate)
+	if sh.balance+overdraft < cost && sh.balance < 0 || sh.balance <= -overdraft {
 		return false, retryAfter(cost-sh.balance, rate)
 	}
 	sh.balance -= cost
 	return true, 0
 }
 
-// debtOf is what an entry may admit before it is granted.
-func debtOf(rate Units) Units {
-	return max(1, rate*Units(debtTime.Seconds()))
+// maxOverdraft returns how much an entry may admit before it is granted.
+func maxOverdraft(rate Units) Units {
+	return max(1, rate*Units(overdraftTime.Seconds()))
 }
 
 func retryAfter(lack, rate Units) time.Duration {
@@ -77,12 +77,12 @@
 	return min(max(d, Tick), time.Minute)
 }
 
-// Quiet reports whether there is nothing to ask for or to give back, until the next Allow.
+// Quiet reports whether there is nothing to ask for or to return until the next Allow.
 func (s *Shares) Quiet() bool {
 	return len(s.active) == 0
 }
 
-// Asks returns what to ask of the counting entries, at most once a Tick and while not Quiet.
+// Asks returns the asks to send to the counting entries; call it at most once per Tick, and not while Quiet.
 func (s *Shares) Asks(now time.Time) []Ask {
 	var out []Ask
 	for k, sh := range s.active {
@@ -92,20 +92,20 @@
 			delete(s.shares, k)
 			continue
 		}
-		if !sh.asked.IsZero() && now.Sub(sh.asked) < silence {
+		if !sh.askedAt.IsZero() && now.Sub(sh.askedAt) < answerTimeout {
 			continue
 		}
-		want := sh.want(rate, now)
+		want := sh.askAmount(rate, now)
 		if want == 0 {
-			s.rest(k, sh, now)
+			s.deactivateIfIdle(k, sh, now)
 			continue
 		}
 		if want < 0 {
 			sh.balance += want
 		} else {
-			sh.asked = now
-			if sh.silent.IsZero() {
-				sh.silent = now
+			sh.askedAt = now
+			if sh.unansweredSince.IsZero() {
+				sh.unansweredSince = now
 			}
 		}
 		sh.demand = 0
@@ -114,59 +114,61 @@
 	return out
 }
 
-// want is what to ask for now: of a customer that calls tick after tick, or that has room for one call only, the debt and the last tick's demand again;
-// of another the debt alone, later if more can be admitted. An idle entry gives back.
-func (sh *share) want(rate Units, now time.Time) Units {
+// askAmount returns how much to ask for now. If the customer calls in every tick, or its overdraft allows one call
+// only, that is the overdraft plus the demand since the last Ask. Otherwise it is the overdraft alone, asked for
+// later if more can be admitted. An idle entry returns its balance, as a negative amount.
+func (sh *share) askAmount(rate Units, now time.Time) Units {
 	switch {
-	case sh.balance >= 0 && now.Sub(sh.used) >= idleTime:
+	case sh.balance >= 0 && now.Sub(sh.lastUse) >= idleAfter:
 		return -sh.balance
-	case sh.gap < idleTime || debtOf(rate) <= 1:
+	case sh.useInterval < idleAfter || maxOverdraft(rate) <= 1:
 		return max(0, sh.demand-sh.balance)
-	case sh.balance+debtOf(rate) >= max(1, sh.demand) && now.Sub(sh.since) < lazyTime:
+	case sh.balance+maxOverdraft(rate) >= max(1, sh.demand) && now.Sub(sh.demandSince) < maxAskDelay:
 		return 0
 	}
 	return max(0, -sh.balance)
 }
 
-// rest takes a share out of those to look at when nothing is left to ask for or to give back.
-func (s *Shares) rest(k Key, sh *share, now time.Time) {
-	if sh.balance == 0 && sh.asked.IsZero() && now.Sub(sh.used) >= idleTime {
+// deactivateIfIdle removes a share from the active ones if there is nothing left to ask for or to return.
+func (s *Shares) deactivateIfIdle(k Key, sh *share, now time.Time) {
+	if sh.balance == 0 && sh.askedAt.IsZero() && now.Sub(sh.lastUse) >= idleAfter {
 		sh.demand = 0
 		delete(s.active, k)
 	}
 }
 
-// Sweep forgets customers that have been idle.
+// Sweep deletes the shares of idle customers.
 func (s *Shares) Sweep(now time.Time) {
 	for k, sh := range s.shares {
-		if s.active[k] == nil && now.Sub(sh.used) >= counterMemory {
+		if s.active[k] == nil && now.Sub(sh.lastUse) >= idleRetention {
 			delete(s.shares, k)
 		}
 	}
 }
 
-// Granted takes a counting entry's answer.
+// Granted adds the units of a counting entry's answer.
 func (s *Shares) Granted(g Grant) {
 	sh, ok := s.shares[g.Key]
 	if !ok || math.IsNaN(float64(g.Got)) || g.Got < 0 {
 		return
 	}
-	sh.asked = time.Time{}
-	sh.silent = time.Time{}
+	sh.askedAt = time.Time{}
+	sh.unansweredSince = time.Time{}
 	sh.balance += g.Got
 }
 
-// Unanswered gives each customer whose counting entry is silent an even share of its limit among the live entries.
+// Unanswered adds, for each customer whose counting entry does not answer, an even share of the limit
+// among the live entries.
 func (s *Shares) Unanswered(live int, now time.Time) {
 	for k, sh := range s.active {
-		if sh.silent.IsZero() || now.Sub(sh.silent) < silence {
+		if sh.unansweredSince.IsZero() || now.Sub(sh.unansweredSince) < answerTimeout {
 			continue
 		}
-		if now.Sub(sh.filled) > 2*silence {
-			sh.filled = now.Add(-Tick)
+		if now.Sub(sh.evenShareAt) > 2*answerTimeout {
+			sh.evenShareAt = now.Add(-Tick)
 		}
-		got := s.rate(k) / Units(max(1, live)) * Units(now.Sub(sh.filled).Seconds())
+		got := s.rate(k) / Units(max(1, live)) * Units(now.Sub(sh.evenShareAt).Seconds())
 		sh.balance = min(sh.balance+got, max(1, s.rate(k)/Units(max(1, live))*Units(burstTime.Seconds())))
-		sh.filled = now
+		sh.evenShareAt = now
 	}
 }
