--- a/ferry/ferrystream/assemble.go
+++ b/ferry/ferrystream/assemble.go
@@ -8,14 +8,14 @@
 
 const assembleWindow = 256
 
-// Token is one token of an answer with its offset.
+// Token is one token of an answer with its position.
 type Token struct {
 	Position ferryid.Position
 	Epoch    ferryid.Epoch
 	Text     string
 }
 
-// GapError says that a token lies too far beyond the first missing one to be kept.
+// GapError is returned for a token too far beyond the first missing one to be buffered.
 type GapError struct {
 	Missing  ferryid.Position
 	Position ferryid.Position
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("token %d arrived while token %d is missing", e.Position, e.Missing)
 }
 
-// ConflictError says that two pieces claim the same offset with different texts.
+// ConflictError is returned if two tokens have the same position but different texts.
 type ConflictError struct {
 	Position ferryid.Position
 	Have     string
@@ -41,29 +41,30 @@
 	have  bool
 }
 
-// Assembler puts late, duplicated and out-of-order tokens in order; its zero value expects offset 0.
+// Assembler orders late, duplicated and out-of-order tokens; its zero value starts at position 0.
 type Assembler struct {
 	next       ferryid.Position
-	ahead      int
+	buffered   int
 	duplicates int
 	window     [assembleWindow]piece
 }
 
-// NewAssembler returns an assembler that expects the offset first.
+// NewAssembler returns an assembler that starts at the position first.
 func NewAssembler(first ferryid.Position) *Assembler {
 	return &Assembler{next: first}
 }
 
-// Next is the first offset not delivered yet.
+// Next returns the first position not yet delivered.
 func (a *Assembler) Next() ferryid.Position { return a.next }
 
-// Ahead counts the tokens kept back behind a missing one.
-func (a *Assembler) Ahead() int { return a.ahead }
+// Buffered returns the number of tokens buffered behind a missing one.
+func (a *Assembler) Buffered() int { return a.buffered }
 
-// Duplicates counts the tokens that came again and were dropped.
+// Duplicates returns the number of repeated tokens that were dropped.
 func (a *Assembler) Duplicates() int { return a.duplicates }
 
-// Add takes a token and appends those that are now in order, each offset once; it returns a *GapError or a *ConflictError for a token that can't be right.
+// Add accepts a token and appends to out the tokens now in order, each position once.
+// It returns a *GapError or a *ConflictError for an invalid token.
 func (a *Assembler) Add(t Token, out []Token) ([]Token, error) {
 	if t.Position >= a.next+assembleWindow {
 		return out, &GapError{Missing: a.next, Position: t.Position}
@@ -85,7 +86,7 @@
 		return out, nil
 	}
 	*p = piece{token: t, have: true}
-	a.ahead++
+	a.buffered++
 	return a.release(out), nil
 }
 
@@ -97,6 +98,6 @@
 		}
 		out = append(out, p.token)
 		a.next++
-		a.ahead--
+		a.buffered--
 	}
 }
--- a/ferry/ferrystream/assemble_test.go
+++ b/ferry/ferrystream/assemble_test.go
@@ -14,7 +14,8 @@
 
 func text(p ferryid.Position) string { return fmt.Sprintf("w%d ", p) }
 
-// The oracle is the whole answer: whatever way its pieces come, what goes out is a prefix of it, and all of it once every piece has come.
+// In whatever order the tokens arrive, the output must be a prefix of the whole answer,
+// and the whole answer once every token has arrived.
 func TestAssemblerDeliversOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 300).Draw(t, "tokens")
@@ -43,12 +44,12 @@
 		}
 		if missing == 0 {
 			assert.Equal(t, len(out), max(0, n-int(from)))
-			assert.Equal(t, a.Ahead(), 0)
+			assert.Equal(t, a.Buffered(), 0)
 		}
 	})
 }
 
-func TestAssemblerRefuses(t *testing.T) {
+func TestAssemblerRejectsInvalidTokens(t *testing.T) {
 	a := ferrystream.NewAssembler(0)
 	out, err := a.Add(ferrystream.Token{Position: 0, Text: "a"}, nil)
 	assert.NilError(t, err)
--- a/ferry/ferrystream/compose.go
+++ b/ferry/ferrystream/compose.go
@@ -12,46 +12,46 @@
 // ContentType is the media type of a streamed answer.
 const ContentType = "text/event-stream"
 
-// Shape is the form of answers that a caller asked for.
+// Shape is the format of an answer.
 type Shape int
 
-// The shapes of answers.
+// The formats of answers.
 const (
 	ShapeCompletions Shape = iota
 	ShapeChat
 )
 
-// ComposerConfig sets up a Composer.
+// ComposerConfig configures a Composer.
 type ComposerConfig struct {
 	Shape   Shape
 	ID      ferryid.StreamID
 	Model   ferryid.ServiceName
 	Created time.Time
-	// Sealer makes the event ids; without one there are none.
+	// Sealer creates the event ids; if it is nil, events have no ids.
 	Sealer *StreamSealer
 }
 
-// Composer writes one answer's events onto byte slices; what is the same in each is encoded once.
+// Composer encodes the events of one answer; parts common to all events are encoded once.
 type Composer struct {
-	cfg    ComposerConfig
-	before []byte
-	after  []byte
-	last   []byte
+	cfg         ComposerConfig
+	tokenPrefix []byte
+	tokenSuffix []byte
+	finalPrefix []byte
 }
 
 // NewComposer returns a composer for one answer.
 func NewComposer(cfg ComposerConfig) *Composer {
 	c := &Composer{cfg: cfg}
-	head := c.head(objectName(cfg.Shape, true))
+	head := c.objectPrefix(objectName(cfg.Shape, true))
 	switch cfg.Shape {
 	case ShapeChat:
-		c.before = append(head, `"choices":[{"index":0,"delta":{"content":`...)
-		c.after = []byte(`},"finish_reason":null}]}` + "\n\n")
-		c.last = c.finish(`"delta":{}`)
+		c.tokenPrefix = append(head, `"choices":[{"index":0,"delta":{"content":`...)
+		c.tokenSuffix = []byte(`},"finish_reason":null}]}` + "\n\n")
+		c.finalPrefix = c.finalEventPrefix(`"delta":{}`)
 	default:
-		c.before = append(head, `"choices":[{"index":0,"text":`...)
-		c.after = []byte(`,"logprobs":null,"finish_reason":null}]}` + "\n\n")
-		c.last = c.finish(`"text":"","logprobs":null`)
+		c.tokenPrefix = append(head, `"choices":[{"index":0,"text":`...)
+		c.tokenSuffix = []byte(`,"logprobs":null,"finish_reason":null}]}` + "\n\n")
+		c.finalPrefix = c.finalEventPrefix(`"text":"","logprobs":null`)
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 	return "text_completion"
 }
 
-func (c *Composer) head(object string) []byte {
+func (c *Composer) objectPrefix(object string) []byte {
 	b := []byte(`{"id":`)
 	b = ferryjson.AppendString(b, string(c.cfg.ID))
 	b = append(b, `,"object":"`...)
@@ -78,20 +78,20 @@
 	return append(b, ',')
 }
 
-func (c *Composer) finish(choice string) []byte {
-	b := append([]byte("data: "), c.head(objectName(c.cfg.Shape, true))...)
+func (c *Composer) finalEventPrefix(choice string) []byte {
+	b := append([]byte("data: "), c.objectPrefix(objectName(c.cfg.Shape, true))...)
 	b = append(b, `"choices":[{"index":0,`...)
 	b = append(b, choice...)
 	return append(b, `,"finish_reason":`...)
 }
 
-// Start appends what comes before the first token: the role, in the chat shape.
+// Start appends the event before the first token: in the chat format, the one with the role.
 func (c *Composer) Start(b []byte) []byte {
 	if c.cfg.Shape != ShapeChat {
 		return b
 	}
 	b = append(b, "data: "...)
-	b = append(b, c.head(objectName(ShapeChat, true))...)
+	b = append(b, c.objectPrefix(objectName(ShapeChat, true))...)
 	return append(b, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`+"\n\n"...)
 }
 
@@ -104,31 +104,31 @@
 		b = append(b, '\n')
 	}
 	b = append(b, "data: "...)
-	b = append(b, c.before...)
+	b = append(b, c.tokenPrefix...)
 	b = ferryjson.AppendString(b, t.Text)
-	return append(b, c.after...)
+	return append(b, c.tokenSuffix...)
 }
 
-// Skip counts a token that the caller already has, so that later ids cover it.
+// Skip includes a token that the caller already has in the ids of later events.
 func (c *Composer) Skip(t Token) {
 	if c.cfg.Sealer != nil {
 		c.cfg.Sealer.Add(t)
 	}
 }
 
-// Heartbeat appends a comment that keeps the connection from looking silent.
+// Heartbeat appends a comment, so that the connection is not idle.
 func (c *Composer) Heartbeat(b []byte) []byte {
 	return append(b, ": heartbeat\n\n"...)
 }
 
-// Done appends the events that end a whole answer, with the reason "length" or "stop".
+// Done appends the events that end a complete answer, with the finish reason "length" or "stop".
 func (c *Composer) Done(b []byte, reason string) []byte {
-	b = append(b, c.last...)
+	b = append(b, c.finalPrefix...)
 	b = ferryjson.AppendString(b, reason)
 	return append(b, "}]}\n\ndata: [DONE]\n\n"...)
 }
 
-// Failed appends the event that ends an answer which is not whole; no [DONE] follows.
+// Failed appends the event that ends an incomplete answer; no [DONE] follows.
 func (c *Composer) Failed(b []byte, p *ferryoutcome.Problem) []byte {
 	b = append(b, "event: error\ndata: {\"error\":{\"type\":"...)
 	b = ferryjson.AppendString(b, string(p.Kind))
@@ -139,9 +139,9 @@
 	return append(b, "}}\n\n"...)
 }
 
-// Whole appends the single JSON answer of a call that asked for no stream.
+// Whole appends the JSON body of an answer that is not streamed.
 func (c *Composer) Whole(b []byte, text, reason string, promptTokens, tokens int) []byte {
-	b = append(b, c.head(objectName(c.cfg.Shape, false))...)
+	b = append(b, c.objectPrefix(objectName(c.cfg.Shape, false))...)
 	if c.cfg.Shape == ShapeChat {
 		b = append(b, `"choices":[{"index":0,"message":{"role":"assistant","content":`...)
 		b = ferryjson.AppendString(b, text)
--- a/ferry/ferrystream/compose_test.go
+++ b/ferry/ferrystream/compose_test.go
@@ -15,9 +15,9 @@
 	"cactusferry.dev/ferry/ferrystream"
 )
 
-func positionOf(i int) ferryid.Position    { return ferryid.Position(i) }
-func custom(s string) ferryid.CustomerName { return ferryid.CustomerName(s) }
-func service(s string) ferryid.ServiceName { return ferryid.ServiceName(s) }
+func positionOf(i int) ferryid.Position      { return ferryid.Position(i) }
+func customer(s string) ferryid.CustomerName { return ferryid.CustomerName(s) }
+func service(s string) ferryid.ServiceName   { return ferryid.ServiceName(s) }
 
 func TestCompose(t *testing.T) {
 	for _, tt := range []struct {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestComposeAllocatesNothing(t *testing.T) {
+func TestComposeDoesNotAllocate(t *testing.T) {
 	c, buf := benchComposer(t)
 	tok := ferrystream.Token{Epoch: 1, Text: " word"}
 	n := testing.AllocsPerRun(100, func() { buf = c.Token(buf[:0], tok) })
--- a/ferry/ferrystream/doc.go
+++ b/ferry/ferrystream/doc.go
@@ -1,2 +1,3 @@
-// Package ferrystream puts the tokens of a streamed answer in order, seals the ids that resume it at any entry, and writes it in the shapes that callers know.
+// Package ferrystream orders the tokens of a streamed answer, encodes them as events in the completions and chat
+// formats, and creates the sealed event ids from which any entry can resume the stream.
 package ferrystream
--- a/ferry/ferrystream/main_test.go
+++ b/ferry/ferrystream/main_test.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferryrapid"
 )
 
-// TestMain fixes the seed and bounds the random tests, unless the command line says otherwise.
+// TestMain fixes the seed of the random tests unless flags override it.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 1})
 }
--- a/ferry/ferrystream/seal.go
+++ b/ferry/ferrystream/seal.go
@@ -31,7 +31,8 @@
 	maxTokenBytes = 2048
 	maxClockSkew  = time.Minute
 	defaultMaxAge = time.Hour
-	// The keys of Resume's fields that each token changes, and the first byte of a CBOR number that follows in one byte.
+	// keyIssued to keyHistory are the CBOR keys of the fields of Resume that change with each token.
+	// cborByte is the first byte of a CBOR number that follows in one byte.
 	keyIssued     = 7
 	keyEpoch      = 8
 	keyNext       = 9
@@ -66,13 +67,13 @@
 	return m
 }
 
-// SealerConfig sets up a Sealer.
+// SealerConfig configures a Sealer.
 type SealerConfig struct {
-	// Keys are the secrets shared by all entries, the current one first; older ones still open tokens.
+	// Keys are the secrets shared by all entries. The first seals new tokens; all open tokens.
 	Keys [][]byte
-	// MaxAge is how old a token may be.
+	// MaxAge is the maximum age of a token; 0 means one hour.
 	MaxAge time.Duration
-	// Clock tells the time of issue.
+	// Clock is the source of the times of issue; nil means the system's clock.
 	Clock clockwork.Clock
 }
 
@@ -81,14 +82,14 @@
 	secret []byte
 }
 
-// Sealer makes and opens resume tokens.
+// Sealer creates and opens resume tokens.
 type Sealer struct {
 	keys   []sealKey
 	maxAge time.Duration
 	clock  clockwork.Clock
 }
 
-// NewSealer returns a sealer or says what is wrong with its keys.
+// NewSealer returns a sealer, or an error if there are no keys or one is too short.
 func NewSealer(cfg SealerConfig) (*Sealer, error) {
 	s := &Sealer{maxAge: cfg.MaxAge, clock: cfg.Clock}
 	if len(cfg.Keys) == 0 {
@@ -122,7 +123,8 @@
 	return cipher.NewGCM(block)
 }
 
-// Stream returns the sealer for one stream's tokens, which has a key of its own, so that a counter is a safe nonce.
+// Stream returns the sealer of one stream's tokens. It has a derived key of its own,
+// so that a counter is a safe nonce.
 func (s *Sealer) Stream(r Resume) (*StreamSealer, error) {
 	r.Epoch = max(1, r.Epoch)
 	if err := r.Check(); err != nil {
@@ -135,26 +137,26 @@
 	if _, err := rand.Read(salt); err != nil {
 		return nil, err
 	}
-	head, err := encodeHead(r)
+	head, err := encodeFixedFields(r)
 	if err != nil {
 		return nil, err
 	}
-	out.head = head
+	out.fixedFields = head
 	out.aead, err = s.keys[0].derive(salt)
 	return out, err
 }
 
-// encodeHead encodes the fields of r that stay the same, in front of those that appendMoving adds.
-func encodeHead(r Resume) ([]byte, error) {
+// encodeFixedFields encodes the fields of r that do not change, which precede those of appendVariableFields.
+func encodeFixedFields(r Resume) ([]byte, error) {
 	r.Issued, r.Epoch, r.Next, r.History = 0, 0, 0, 0
 	var b bytes.Buffer
 	if err := encMode.MarshalToBuffer(&r, &b); err != nil {
 		return nil, err
 	}
-	return bytes.TrimSuffix(b.Bytes(), appendMoving(nil, &r)), nil
+	return bytes.TrimSuffix(b.Bytes(), appendVariableFields(nil, &r)), nil
 }
 
-// StreamSealer makes the resume tokens of one stream on one entry.
+// StreamSealer creates the resume tokens of one stream on one entry.
 type StreamSealer struct {
 	resume  Resume
 	clock   clockwork.Clock
@@ -162,21 +164,21 @@
 	header  [headerBytes]byte
 	nonce   [nonceBytes]byte
 	counter uint32
-	// head is what is the same in each token, encoded once.
-	head   []byte
-	plain  []byte
-	sealed []byte
+	// fixedFields is the encoding of the fields that are the same in each token.
+	fixedFields []byte
+	plain       []byte
+	sealed      []byte
 }
 
-// appendMoving appends the fields of r that each token changes, which are the last in the order of keys.
-func appendMoving(b []byte, r *Resume) []byte {
+// appendVariableFields appends the fields of r that change with each token; they are the last in key order.
+func appendVariableFields(b []byte, r *Resume) []byte {
 	b = appendField(b, keyIssued, uint64(r.Issued))
 	b = appendField(b, keyEpoch, uint64(r.Epoch))
 	b = appendField(b, keyNext, uint64(r.Next))
 	return appendField(b, keyHistory, uint64(r.History))
 }
 
-// appendField appends a small key and an unsigned number, in the shortest form of CBOR.
+// appendField appends a small key and an unsigned number in the shortest CBOR encoding.
 func appendField(b []byte, key byte, n uint64) []byte {
 	b = append(b, key)
 	switch {
@@ -192,17 +194,17 @@
 	return binary.BigEndian.AppendUint64(append(b, cborByte+3), n)
 }
 
-// Add counts a token as delivered.
+// Add records a token as delivered.
 func (s *StreamSealer) Add(t Token) {
 	s.resume.Epoch = t.Epoch
 	s.resume.Next = t.Position + 1
 	s.resume.History = s.resume.History.Add(t.Text)
 }
 
-// AppendID appends the resume token for what has been delivered.
+// AppendID appends the resume token for the tokens delivered so far.
 func (s *StreamSealer) AppendID(b []byte) []byte {
 	s.resume.Issued = s.clock.Now().UnixMilli()
-	s.plain = appendMoving(append(s.plain[:0], s.head...), &s.resume)
+	s.plain = appendVariableFields(append(s.plain[:0], s.fixedFields...), &s.resume)
 	s.counter++
 	binary.BigEndian.PutUint32(s.header[headerBytes-counterBytes:], s.counter)
 	copy(s.nonce[nonceBytes-counterBytes:], s.header[headerBytes-counterBytes:])
@@ -211,7 +213,7 @@
 	return encoding.AppendEncode(b, s.sealed)
 }
 
-// Open reads a token for the customer, service and request that came with it.
+// Open opens a token and checks that it belongs to the given customer, service and request and has not expired.
 func (s *Sealer) Open(token string, c ferryid.CustomerName, service ferryid.ServiceName, request Digest) (Resume, error) {
 	r, err := s.decode(token)
 	if err != nil {
--- a/ferry/ferrystream/seal_test.go
+++ b/ferry/ferrystream/seal_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func sealed(tb testing.TB, s *ferrystream.Sealer, n int) string {
+func newToken(tb testing.TB, s *ferrystream.Sealer, n int) string {
 	tb.Helper()
 	st, err := s.Stream(resume)
 	assert.NilError(tb, err)
@@ -41,20 +41,20 @@
 func TestSealerOpensOwnTokens(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	old := newSealer(t, clock, keyA)
-	token := sealed(t, old, 3)
+	token := newToken(t, old, 3)
 	for name, s := range map[string]*ferrystream.Sealer{"same": old, "rotated": newSealer(t, clock, keyB, keyA)} {
 		r, err := s.Open(token, "stoyanovi", "herd-llm", digest)
 		assert.NilError(t, err, name)
 		assert.Equal(t, r.Next, positionOf(3))
 		assert.Equal(t, r.Epoch, resume.Epoch+1)
 	}
-	assert.Assert(t, sealed(t, old, 3) != token, "two sealers of one stream must not share a key")
+	assert.Assert(t, newToken(t, old, 3) != token, "two sealers of one stream created the same token")
 }
 
-func TestSealerRefuses(t *testing.T) {
+func TestSealerRejectsInvalidTokens(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := newSealer(t, clock, keyA)
-	token := sealed(t, s, 3)
+	token := newToken(t, s, 3)
 	flipped := []byte(token)
 	flipped[len(flipped)-3] ^= 1
 	late := clockwork.NewFakeClockAt(clock.Now().Add(2 * time.Hour))
@@ -78,7 +78,7 @@
 		{"empty", s, "", "stoyanovi", "herd-llm", digest, new(*ferrystream.ForgedError)},
 		{"huge", s, string(bytes.Repeat([]byte("A"), 1<<20)), "stoyanovi", "herd-llm", digest, new(*ferrystream.ForgedError)},
 	} {
-		_, err := tt.sealer.Open(tt.token, custom(tt.who), service(tt.where), tt.digest)
+		_, err := tt.sealer.Open(tt.token, customer(tt.who), service(tt.where), tt.digest)
 		assert.Assert(t, err != nil && errors.As(err, tt.want), "%s: %v", tt.name, err)
 	}
 	for i := range token {
@@ -88,15 +88,15 @@
 	}
 }
 
-func TestSeam(t *testing.T) {
+func TestResumeComparesHistory(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		first  string
 		second string
 		want   string
 	}{
-		{"the same again", "abcde", "abcdef", "def"},
-		{"differs before the seam", "abcde", "abXdef", ""},
+		{"same text", "abcde", "abcdef", "def"},
+		{"differs before the resume position", "abcde", "abXdef", ""},
 	} {
 		r := resume
 		r.Next = 3
@@ -123,14 +123,14 @@
 
 func FuzzOpen(f *testing.F) {
 	s := newSealer(f, clockwork.NewFakeClock(), keyA)
-	good := sealed(f, s, 2)
+	good := newToken(f, s, 2)
 	f.Add(good)
 	f.Add(good[:20])
 	f.Add("")
 	f.Fuzz(func(t *testing.T, token string) {
 		r, err := s.Open(token, "stoyanovi", "herd-llm", digest)
 		if err == nil && (r.Customer != "stoyanovi" || r.Stream != resume.Stream) {
-			t.Fatalf("opened a token that was never made: %+v", r)
+			t.Fatalf("opened a token that was not sealed: %+v", r)
 		}
 	})
 }
--- a/ferryd/ferrycaller/events.go
+++ b/ferryd/ferrycaller/events.go
@@ -22,7 +22,7 @@
 	control  *http.ResponseController
 	server   *Server
 	composer *ferrystream.Composer
-	seam     *ferrystream.Seam
+	resume   *ferrystream.Seam
 	metrics  *streamMetrics
 	buf      []byte
 	// pendingTokens is the number of tokens in buf.
@@ -47,7 +47,7 @@
 		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: s.Clock.Now(), Sealer: sealer,
 	})
 	if st.resume != nil {
-		out.seam = ferrystream.NewSeam(*st.resume)
+		out.resume = ferrystream.NewSeam(*st.resume)
 	}
 	return out, nil
 }
@@ -75,8 +75,8 @@
 
 // token appends one token to the buffer, unless a resumed caller already has it.
 func (e *eventWriter) token(t ferrypipeline.Token) error {
-	if e.seam != nil {
-		needed, err := e.seam.Add(t)
+	if e.resume != nil {
+		needed, err := e.resume.Add(t)
 		if err != nil {
 			return resumeMismatch(err)
 		}
@@ -113,8 +113,8 @@
 }
 
 func (e *eventWriter) done(reason string) error {
-	if e.seam != nil {
-		if err := e.seam.End(); err != nil {
+	if e.resume != nil {
+		if err := e.resume.End(); err != nil {
 			return resumeMismatch(err)
 		}
 	}
