--- a/ferry/ferryoutcome/doc.go
+++ b/ferry/ferryoutcome/doc.go
@@ -1,2 +1,3 @@
-// Package ferryoutcome says what is known about whether a call ran, and carries it in problem details (RFC 9457).
+// Package ferryoutcome defines what is known about whether a call ran, and the problem details (RFC 9457)
+// that report it to callers.
 package ferryoutcome
--- a/ferry/ferryoutcome/outcome.go
+++ b/ferry/ferryoutcome/outcome.go
@@ -10,7 +10,7 @@
 
 // The three outcomes a failed call can have.
 const (
-	// NotRun means that no upstream has run the call and none will.
+	// NotRun means that no upstream has run the call and that none will.
 	NotRun Outcome = "NotRun"
 	// Ran means that an upstream ran the call.
 	Ran Outcome = "Ran"
@@ -27,20 +27,20 @@
 	return fmt.Errorf("outcome %q is not NotRun, Ran or Unknown", string(o))
 }
 
-// Phase is how far the sending of a call had come when it failed.
+// Phase is the point at which sending a call failed.
 type Phase int
 
 // The phases of one send, in order.
 const (
 	// PhaseNotConnected is before any connection to the upstream was open.
 	PhaseNotConnected Phase = iota
-	// PhaseWriting is after the first byte of the call was handed to the connection.
+	// PhaseWriting is after the first byte of the call was written to the connection.
 	PhaseWriting
-	// PhaseAnswered is after the upstream's answer header arrived.
+	// PhaseAnswered is after the header of the upstream's answer arrived.
 	PhaseAnswered
 )
 
-// OfFailure judges a send that failed in the given phase; only a call of which no byte was written is NotRun.
+// OfFailure returns the outcome of a call that failed in the given phase; NotRun only if no byte was written.
 func OfFailure(p Phase) Outcome {
 	switch p {
 	case PhaseNotConnected:
@@ -51,7 +51,7 @@
 	return Unknown
 }
 
-// Of returns the outcome an error carries, and Unknown for an error that carries none.
+// Of returns the outcome of a *Problem in the error's chain, or Unknown if there is none.
 func Of(err error) Outcome {
 	var p *Problem
 	if errors.As(err, &p) {
--- a/ferry/ferryoutcome/outcome_test.go
+++ b/ferry/ferryoutcome/outcome_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/golden"
 )
 
-func TestProblemOnTheWire(t *testing.T) {
+func TestProblemResponse(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(KindOverloaded, NotRun, "All places are taken.").After(1500 * time.Millisecond).Because(errors.New("secret")).Write(w)
 	assert.Equal(t, w.Code, 503)
--- a/ferry/ferryoutcome/problem.go
+++ b/ferry/ferryoutcome/problem.go
@@ -18,10 +18,10 @@
 // ScopeHeader is the response header that repeats a problem's scope.
 const ScopeHeader = "Outcome-Scope"
 
-// Scope says what the outcome of a problem speaks of, the whole request unless it is ScopeAttempt.
+// Scope is what an outcome applies to: the whole request unless it is ScopeAttempt.
 type Scope string
 
-// ScopeAttempt marks an outcome of this attempt alone: earlier ones with the same key or ticket were not looked up.
+// ScopeAttempt marks an outcome of the last attempt only; earlier ones with the same key or ticket were not looked up.
 const ScopeAttempt Scope = "Attempt"
 
 // Kind is the machine-readable type of a problem.
@@ -78,7 +78,7 @@
 	Cause      error         `json:"-"`
 }
 
-// New returns a problem of the kind with its usual status.
+// New returns a problem of the kind with its default status.
 func New(k Kind, o Outcome, format string, args ...any) *Problem {
 	status, ok := statuses[k]
 	if !ok {
@@ -87,13 +87,13 @@
 	return &Problem{Kind: k, Title: string(k), Status: status, Outcome: o, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets how long the caller should wait before it tries again.
+// After sets how long the caller should wait before a retry.
 func (p *Problem) After(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// Because sets the underlying error, which is logged and never shown to callers.
+// Because sets the underlying error, which is logged and not sent to callers.
 func (p *Problem) Because(err error) *Problem {
 	p.Cause = err
 	return p
@@ -111,7 +111,7 @@
 	return p.Cause
 }
 
-// Write sends the problem as the whole answer.
+// Write writes the problem as the complete response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	b, err := json.Marshal(p)
 	if err != nil {
