--- a/ferry/ferryplain/call.go
+++ b/ferry/ferryplain/call.go
@@ -9,14 +9,14 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// RequestIDHeader carries the router's id of a call to the upstream and back to the caller.
+// RequestIDHeader is the header with the request id, in calls to upstreams and in answers to callers.
 const RequestIDHeader = "Request-ID"
 
-// KeyHeader carries the caller's idempotency key.
+// KeyHeader is the request header with the caller's idempotency key.
 const KeyHeader = "Idempotency-Key"
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders are not forwarded; Authorization is included because it holds the caller's key.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -32,7 +32,7 @@
 	Idempotent bool
 }
 
-// Answer is an upstream's answer; Rest holds what did not fit in Body and is nil if all did.
+// Answer is an upstream's answer. Rest reads the part of the body that did not fit in Body, nil if there is none.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -40,7 +40,7 @@
 	Rest   io.ReadCloser
 }
 
-// DispatchError says how far a call had come when it failed.
+// DispatchError is returned for a call that failed, with the phase in which it failed.
 type DispatchError struct {
 	Address string
 	Phase   ferryoutcome.Phase
@@ -54,12 +54,12 @@
 // Unwrap returns the underlying error.
 func (e *DispatchError) Unwrap() error { return e.Err }
 
-// Outcome is what is known of the failed call.
+// Outcome returns the outcome of the failed call.
 func (e *DispatchError) Outcome() ferryoutcome.Outcome {
 	return ferryoutcome.OfFailure(e.Phase)
 }
 
-// RefusedError says that the upstream answered that it has not run the call.
+// RefusedError is returned if the upstream answered that it did not run the call.
 type RefusedError struct {
 	Address string
 	Status  int
@@ -70,10 +70,10 @@
 	return fmt.Sprintf("upstream %s refused the call with status %d and has not run it", e.Address, e.Status)
 }
 
-// CopyHeader adds the headers that may be passed on from one side to the other.
+// CopyHeader copies the end-to-end headers.
 func CopyHeader(to, from http.Header) {
 	drop := map[string]bool{}
-	for _, h := range hopHeaders {
+	for _, h := range hopByHopHeaders {
 		drop[h] = true
 	}
 	for _, v := range from.Values("Connection") {
--- a/ferry/ferryplain/client.go
+++ b/ferry/ferryplain/client.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// bufferBytes is how much of an answer is read before any of it is passed on.
-	bufferBytes = 1 << 20
-	// problemBytes bounds how much of a refusal is read.
-	problemBytes        = 64 << 10
+	// maxBufferedBytes is how much of an answer is read before any of it is forwarded.
+	maxBufferedBytes = 1 << 20
+	// maxProblemBytes is how much of a refusal's body is read.
+	maxProblemBytes     = 64 << 10
 	defaultDialTimeout  = 2 * time.Second
 	defaultIdleTimeout  = 30 * time.Second
-	idleConnections     = 256
-	idleConnectionsHost = 32
+	maxIdleConns        = 256
+	maxIdleConnsPerHost = 32
 )
 
-// ErrSilent says that an open connection made no progress for the idle timeout.
-var ErrSilent = errors.New("connection made no progress")
+// ErrIdleTimeout means that an open connection made no progress for the idle timeout.
+var ErrIdleTimeout = errors.New("connection made no progress")
 
-// ClientConfig sets up a Client; zero values take the defaults of 2 s and 30 s.
+// ClientConfig configures a Client; zero timeouts take the defaults of 2 s for dialing and 30 s for idle connections.
 type ClientConfig struct {
 	Clock       clockwork.Clock
 	DialTimeout time.Duration
@@ -40,13 +40,13 @@
 
 // Client calls plain services.
 type Client struct {
-	clock  clockwork.Clock
-	idle   time.Duration
-	pooled *http.Transport
-	single *http.Transport
+	clock       clockwork.Clock
+	idleTimeout time.Duration
+	pooled      *http.Transport
+	unpooled    *http.Transport
 }
 
-// New returns a client; calls that may not be repeated each get a connection of their own.
+// New returns a client. It pools connections for idempotent calls; any other call gets a connection of its own.
 func New(cfg ClientConfig) *Client {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
@@ -59,17 +59,17 @@
 	}
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	return &Client{
-		clock: cfg.Clock,
-		idle:  cfg.IdleTimeout,
+		clock:       cfg.Clock,
+		idleTimeout: cfg.IdleTimeout,
 		pooled: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConns:        idleConnections,
-			MaxIdleConnsPerHost: idleConnectionsHost,
+			MaxIdleConns:        maxIdleConns,
+			MaxIdleConnsPerHost: maxIdleConnsPerHost,
 			IdleConnTimeout:     cfg.IdleTimeout,
 			DisableCompression:  true,
 		},
-		single: &http.Transport{
-			DialContext:        dialCounted(dialer.DialContext),
+		unpooled: &http.Transport{
+			DialContext:        dialTracked(dialer.DialContext),
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 		},
@@ -79,18 +79,18 @@
 // Close closes idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 type writtenKey struct{}
 
-// countedConn notes whether any byte may have left; only the transport's writing goroutine writes to it.
-type countedConn struct {
+// trackedConn records whether any byte may have been sent; only the transport's write loop calls Write.
+type trackedConn struct {
 	net.Conn
 	written *atomic.Bool
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	before := c.written.Swap(true)
 	n, err := c.Conn.Write(b)
 	if n == 0 && err != nil {
@@ -101,7 +101,7 @@
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func dialCounted(dial dialFunc) dialFunc {
+func dialTracked(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
@@ -111,15 +111,15 @@
 		if !ok {
 			return conn, nil
 		}
-		return &countedConn{Conn: conn, written: written}, nil
+		return &trackedConn{Conn: conn, written: written}, nil
 	}
 }
 
-// Do sends the call once to the address and returns its answer, a *DispatchError or a *RefusedError.
+// Do sends the call once to the address and returns its answer, or a *DispatchError or a *RefusedError.
 func (c *Client) Do(ctx context.Context, address string, call Call) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watch := c.clock.AfterFunc(c.idle, func() { cancel(ErrSilent) })
-	stop := func() { watch.Stop(); cancel(nil) }
+	idleTimer := c.clock.AfterFunc(c.idleTimeout, func() { cancel(ErrIdleTimeout) })
+	stop := func() { idleTimer.Stop(); cancel(nil) }
 	written := &atomic.Bool{}
 	w, err := c.send(context.WithValue(ctx, writtenKey{}, written), address, call)
 	if err != nil {
@@ -138,7 +138,7 @@
 		}
 		return nil, &DispatchError{Address: address, Phase: phase, Err: cause}
 	}
-	body := &progressBody{ReadCloser: w.Body, ctx: ctx, watch: watch, idle: c.idle, stop: stop}
+	body := &idleTimeoutBody{ReadCloser: w.Body, ctx: ctx, idleTimer: idleTimer, idleTimeout: c.idleTimeout, stop: stop}
 	if w.Header.Get(ferryoutcome.Header) == string(ferryoutcome.NotRun) {
 		defer body.Close()
 		return nil, refusal(address, w.StatusCode, body)
@@ -157,27 +157,27 @@
 	if call.Idempotent {
 		return c.pooled.RoundTrip(r)
 	}
-	// The transport would repeat a call by itself if it could read the body again.
+	// With GetBody the transport would retry the call itself.
 	r.GetBody = nil
-	return c.single.RoundTrip(r)
+	return c.unpooled.RoundTrip(r)
 }
 
 func refusal(address string, status int, body io.Reader) error {
-	b, _ := io.ReadAll(io.LimitReader(body, problemBytes))
+	b, _ := io.ReadAll(io.LimitReader(body, maxProblemBytes))
 	var p ferryoutcome.Problem
 	_ = json.Unmarshal(b, &p)
 	return &RefusedError{Address: address, Status: status, Leaving: p.Kind == ferryoutcome.KindDraining}
 }
 
-func readAnswer(address string, w *http.Response, body *progressBody) (*Answer, error) {
+func readAnswer(address string, w *http.Response, body *idleTimeoutBody) (*Answer, error) {
 	a := &Answer{Status: w.StatusCode, Header: w.Header}
-	b, err := io.ReadAll(io.LimitReader(body, bufferBytes))
+	b, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes))
 	if err != nil {
 		body.Close()
 		return nil, &DispatchError{Address: address, Phase: ferryoutcome.PhaseAnswered, Err: err}
 	}
 	a.Body = b
-	if len(b) < bufferBytes {
+	if len(b) < maxBufferedBytes {
 		body.Close()
 		return a, nil
 	}
@@ -185,17 +185,17 @@
 	return a, nil
 }
 
-// progressBody fails a read when the connection goes silent.
-type progressBody struct {
+// idleTimeoutBody fails a read when the connection is idle for too long.
+type idleTimeoutBody struct {
 	io.ReadCloser
-	ctx   context.Context
-	watch clockwork.Timer
-	idle  time.Duration
-	stop  func()
+	ctx         context.Context
+	idleTimer   clockwork.Timer
+	idleTimeout time.Duration
+	stop        func()
 }
 
-func (b *progressBody) Read(p []byte) (int, error) {
-	b.watch.Reset(b.idle)
+func (b *idleTimeoutBody) Read(p []byte) (int, error) {
+	b.idleTimer.Reset(b.idleTimeout)
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) && context.Cause(b.ctx) != nil {
 		err = context.Cause(b.ctx)
@@ -203,7 +203,7 @@
 	return n, err
 }
 
-func (b *progressBody) Close() error {
+func (b *idleTimeoutBody) Close() error {
 	b.stop()
 	return b.ReadCloser.Close()
 }
--- a/ferry/ferryplain/client_test.go
+++ b/ferry/ferryplain/client_test.go
@@ -18,7 +18,7 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// serveConn accepts one connection after another and hands each to f, then closes it.
+// serveConn accepts connections one after another, passes each to f and closes it.
 func serveConn(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 }
 
-func TestOutcomeAtEveryCut(t *testing.T) {
+func TestOutcomeByPointOfFailure(t *testing.T) {
 	tests := []struct {
 		name string
 		cut  func(net.Conn)
@@ -77,37 +77,38 @@
 			var d *DispatchError
 			assert.Assert(t, errors.As(err, &d), "%v", err)
 			assert.Equal(t, d.Outcome(), tt.want)
-			assert.Equal(t, calls.Load(), int32(1), "a call that may not be repeated was sent again")
+			assert.Equal(t, calls.Load(), int32(1), "a non-idempotent call was sent again")
 		})
 	}
 }
 
-// writeConn notes what the transport writes.
-type writeConn struct {
+// countingConn counts the writes and the bytes written.
+type countingConn struct {
 	net.Conn
 	tries, bytes *atomic.Int32
 }
 
-func (c writeConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	c.tries.Add(1)
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int32(n))
 	return n, err
 }
 
-// The transport may see the closed connection before it writes, while it does or after, and the outcome must say which.
-func TestOutcomeOfConnectionClosedAtOnce(t *testing.T) {
+// The transport may notice the closed connection before, during or after its write;
+// the outcome must depend on whether it wrote.
+func TestOutcomeOfConnectionClosedImmediately(t *testing.T) {
 	address := serveConn(t, func(net.Conn) {})
 	for range 50 {
 		c := New(ClientConfig{})
-		dial := c.single.DialContext
+		dial := c.unpooled.DialContext
 		var tries, sent atomic.Int32
-		c.single.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c.unpooled.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return writeConn{conn, &tries, &sent}, nil
+			return countingConn{conn, &tries, &sent}, nil
 		}
 		_, err := c.Do(t.Context(), address, Call{Method: "POST", Path: "/x", Body: []byte("body")})
 		var d *DispatchError
@@ -121,21 +122,21 @@
 	}
 }
 
-// brokenConn takes no byte.
-type brokenConn struct{ net.Conn }
+// failingConn fails every write.
+type failingConn struct{ net.Conn }
 
 var errBroken = errors.New("broken")
 
-func (brokenConn) Write([]byte) (int, error) { return 0, errBroken }
+func (failingConn) Write([]byte) (int, error) { return 0, errBroken }
 
-func TestCallOfWhichNothingWasWrittenIsNotRun(t *testing.T) {
+func TestUnwrittenCallIsNotRun(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	address := serveConn(t, func(net.Conn) { <-hold })
 	c := New(ClientConfig{})
-	c.single.DialContext = dialCounted(func(ctx context.Context, network, addr string) (net.Conn, error) {
+	c.unpooled.DialContext = dialTracked(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return brokenConn{conn}, err
+		return failingConn{conn}, err
 	})
 	_, err := c.Do(t.Context(), address, Call{Method: "POST", Path: "/x", Body: []byte("body")})
 	var d *DispatchError
@@ -143,7 +144,7 @@
 	assert.Equal(t, d.Outcome(), ferryoutcome.NotRun)
 }
 
-func TestNotConnectedIsNotRun(t *testing.T) {
+func TestFailedDialIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
@@ -156,7 +157,7 @@
 	}
 }
 
-func TestRefusalOfUpstream(t *testing.T) {
+func TestUpstreamRefusal(t *testing.T) {
 	address := serveConn(t, func(c net.Conn) {
 		readRequest(t, c)
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nOutcome: NotRun\r\nContent-Length: 19\r\n\r\n{\"type\":\"Draining\"}")
@@ -167,7 +168,7 @@
 	assert.Assert(t, r.Leaving)
 }
 
-func TestSilentConnection(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	hold := make(chan struct{})
 	defer close(hold)
@@ -178,14 +179,14 @@
 	})
 	c := New(ClientConfig{Clock: clock, IdleTimeout: 10 * time.Second})
 	_, err := c.Do(context.Background(), address, Call{Method: "POST", Path: "/"})
-	assert.ErrorIs(t, err, ErrSilent)
+	assert.ErrorIs(t, err, ErrIdleTimeout)
 	var d *DispatchError
 	assert.Assert(t, errors.As(err, &d))
 	assert.Equal(t, d.Outcome(), ferryoutcome.Unknown)
 }
 
 func TestLargeAnswerStreams(t *testing.T) {
-	const size = bufferBytes + 1000
+	const size = maxBufferedBytes + 1000
 	address := serveConn(t, func(c net.Conn) {
 		readRequest(t, c)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+strings.Repeat("a", size))
--- a/ferry/ferryplain/doc.go
+++ b/ferry/ferryplain/doc.go
@@ -1,2 +1,3 @@
-// Package ferryplain is the adapter to plain HTTP services; it knows for each failed call whether any byte of it was sent.
+// Package ferryplain is the client of plain HTTP services.
+// It determines for each failed call whether any byte was sent.
 package ferryplain
