--- a/ferry/ferrynettest/doc.go
+++ b/ferry/ferrynettest/doc.go
@@ -1,2 +1,3 @@
-// Package ferrynettest joins the servers and clients of a test without sockets, so that a synctest bubble sees when all of its goroutines wait.
+// Package ferrynettest connects servers and clients in tests through memory instead of sockets,
+// so that a synctest bubble can detect when all of its goroutines are blocked.
 package ferrynettest
--- a/ferry/ferrynettest/memory.go
+++ b/ferry/ferrynettest/memory.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-const latency = time.Microsecond
+const readLatency = time.Microsecond
 
-// memory holds the listeners by address.
-var memory sync.Map
+// listeners maps addresses to open listeners.
+var listeners sync.Map
 
-var listeners atomic.Int64
+var listenerCount atomic.Int64
 
-// pipe is one direction of a connection; its buffer has no bound.
+// pipe is one direction of a connection, with an unbounded buffer.
 type pipe struct {
 	mu       sync.Mutex
-	moved    *sync.Cond
+	changed  *sync.Cond
 	buf      bytes.Buffer
 	closed   bool
 	deadline time.Time
@@ -34,7 +34,7 @@
 
 func newPipe() *pipe {
 	p := &pipe{}
-	p.moved = sync.NewCond(&p.mu)
+	p.changed = sync.NewCond(&p.mu)
 	return p
 }
 
@@ -50,7 +50,7 @@
 		case p.closed:
 			return 0, io.EOF
 		}
-		p.moved.Wait()
+		p.changed.Wait()
 	}
 }
 
@@ -60,7 +60,7 @@
 	if p.closed {
 		return 0, syscall.EPIPE
 	}
-	p.moved.Broadcast()
+	p.changed.Broadcast()
 	return p.buf.Write(b)
 }
 
@@ -68,7 +68,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.moved.Broadcast()
+	p.changed.Broadcast()
 }
 
 func (p *pipe) setDeadline(t time.Time) {
@@ -79,9 +79,9 @@
 	}
 	p.deadline = t
 	if d := time.Until(t); !t.IsZero() && d > 0 {
-		p.timer = time.AfterFunc(d, p.moved.Broadcast)
+		p.timer = time.AfterFunc(d, p.changed.Broadcast)
 	}
-	p.moved.Broadcast()
+	p.changed.Broadcast()
 }
 
 type address string
@@ -90,22 +90,23 @@
 func (a address) String() string { return string(a) }
 
 type memoryConn struct {
-	in, out    *pipe
-	near, peer address
+	in, out     *pipe
+	local, peer address
 }
 
 func (c *memoryConn) Write(b []byte) (int, error)       { return c.out.Write(b) }
-func (c *memoryConn) LocalAddr() net.Addr               { return c.near }
+func (c *memoryConn) LocalAddr() net.Addr               { return c.local }
 func (c *memoryConn) RemoteAddr() net.Addr              { return c.peer }
 func (c *memoryConn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 func (c *memoryConn) SetDeadline(t time.Time) error     { return c.SetReadDeadline(t) }
 func (c *memoryConn) SetWriteDeadline(time.Time) error  { return nil }
 
-// Read takes time, so that what follows from a message is later than the message in a bubble too.
-// Write takes none, since callers hold locks over it, and a bubble's time stands still while one waits for a lock.
+// Read takes readLatency, so that in a bubble, too, the effects of a message are later than the message.
+// Write takes no time, since callers hold locks during it, and a bubble's clock stops while a goroutine
+// waits for a lock.
 func (c *memoryConn) Read(b []byte) (int, error) {
 	n, err := c.in.Read(b)
-	time.Sleep(latency)
+	time.Sleep(readLatency)
 	return n, err
 }
 
@@ -116,63 +117,63 @@
 }
 
 type memoryListener struct {
-	at    address
-	conns chan net.Conn
-	ended chan struct{}
-	end   sync.Once
+	addr      address
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// Listen returns a listener with an address of its own.
+// Listen returns a listener with a new address.
 func Listen() net.Listener {
-	l := &memoryListener{at: address(fmt.Sprintf("memory-%d:80", listeners.Add(1))), conns: make(chan net.Conn), ended: make(chan struct{})}
-	memory.Store(l.at.String(), l)
+	l := &memoryListener{addr: address(fmt.Sprintf("memory-%d:80", listenerCount.Add(1))), conns: make(chan net.Conn), closed: make(chan struct{})}
+	listeners.Store(l.addr.String(), l)
 	return l
 }
 
-func (l *memoryListener) Addr() net.Addr { return l.at }
+func (l *memoryListener) Addr() net.Addr { return l.addr }
 
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
-	case <-l.ended:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memoryListener) Close() error {
-	l.end.Do(func() {
-		memory.Delete(l.at.String())
-		close(l.ended)
+	l.closeOnce.Do(func() {
+		listeners.Delete(l.addr.String())
+		close(l.closed)
 	})
 	return nil
 }
 
-// Dial connects to a listener of this process; it fails at once where there is none.
+// Dial connects to a listener of this process; it fails immediately if there is none at the address.
 func Dial(ctx context.Context, _, to string) (net.Conn, error) {
 	refused := &net.OpError{Op: "dial", Net: "memory", Addr: address(to), Err: syscall.ECONNREFUSED}
-	at, ok := memory.Load(to)
+	at, ok := listeners.Load(to)
 	if !ok {
 		return nil, refused
 	}
 	l := at.(*memoryListener)
 	a, b := newPipe(), newPipe()
 	select {
-	case l.conns <- &memoryConn{in: a, out: b, near: l.at, peer: "dialler"}:
-		return &memoryConn{in: b, out: a, near: "dialler", peer: l.at}, nil
-	case <-l.ended:
+	case l.conns <- &memoryConn{in: a, out: b, local: l.addr, peer: "dialler"}:
+		return &memoryConn{in: b, out: a, local: "dialler", peer: l.addr}, nil
+	case <-l.closed:
 		return nil, refused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Client returns an HTTP client of this network that keeps no connection.
+// Client returns an HTTP client for this network without keep-alive connections.
 func Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: Dial, DisableKeepAlives: true}}
 }
 
-// Serve starts a server of this network; its address is that of its Listener.
+// Serve starts an HTTP server on this network; its address is that of its Listener.
 func Serve(h http.Handler) *httptest.Server {
 	s := &httptest.Server{Listener: Listen(), Config: &http.Server{Handler: h}}
 	s.Start()
