--- a/ferry/ferryclock/doc.go
+++ b/ferry/ferryclock/doc.go
@@ -1,2 +1,3 @@
-// Package ferryclock provides a clock that neither jumps with the time of day nor stands still while the instance is suspended.
+// Package ferryclock provides a clock that ignores steps of the wall clock and includes the time
+// for which the instance is suspended.
 package ferryclock
--- a/ferry/ferryclock/steady.go
+++ b/ferry/ferryclock/steady.go
@@ -7,20 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Steady tells the time of day as it was at its start, moved on by the time since boot; its timers are those of the embedded clock.
-type Steady struct {
+// BootClock returns the wall-clock time of its creation plus the time passed since then on CLOCK_BOOTTIME.
+// Its timers are those of the embedded clock.
+type BootClock struct {
 	clockwork.Clock
-	origin time.Time
-	booted time.Duration
-	// sinceBoot reads the time since boot, suspensions included.
+	origin     time.Time
+	bootOffset time.Duration
+	// sinceBoot returns the time since boot, including suspensions.
 	sinceBoot func() (time.Duration, error)
 }
 
-// New returns a steady clock, or an error where the system has no time since boot.
-func New() (*Steady, error) {
-	s := &Steady{Clock: clockwork.NewRealClock(), sinceBoot: sinceBoot}
+// New returns a BootClock, or an error if the system does not support CLOCK_BOOTTIME.
+func New() (*BootClock, error) {
+	s := &BootClock{Clock: clockwork.NewRealClock(), sinceBoot: sinceBoot}
 	booted, err := s.sinceBoot()
-	s.origin, s.booted = time.Now().Round(0), booted
+	s.origin, s.bootOffset = time.Now().Round(0), booted
 	return s, err
 }
 
@@ -30,18 +31,18 @@
 	return time.Duration(ts.Nano()), err
 }
 
-// Now returns the steady time; it has no reading of the monotonic clock, which stands still during a suspension.
-func (s *Steady) Now() time.Time {
+// Now returns the current time without a monotonic clock reading, since that clock stops during a suspension.
+func (s *BootClock) Now() time.Time {
 	d, err := s.sinceBoot()
 	if err != nil {
-		// New has read the same clock without an error, so this cannot happen while the process lives.
+		// New read the same clock without an error, so it can't fail here.
 		panic(err)
 	}
-	return s.origin.Add(d - s.booted)
+	return s.origin.Add(d - s.bootOffset)
 }
 
 // Since returns the time passed since t.
-func (s *Steady) Since(t time.Time) time.Duration { return s.Now().Sub(t) }
+func (s *BootClock) Since(t time.Time) time.Duration { return s.Now().Sub(t) }
 
 // Until returns the time left until t.
-func (s *Steady) Until(t time.Time) time.Duration { return t.Sub(s.Now()) }
+func (s *BootClock) Until(t time.Time) time.Duration { return t.Sub(s.Now()) }
