--- a/ferry/ferryid/doc.go
+++ b/ferry/ferryid/doc.go
@@ -1,2 +1,2 @@
-// Package ferryid holds the named types for identifiers and units that every other package shares.
+// Package ferryid defines the types of identifiers and units that the other packages share.
 package ferryid
--- a/ferry/ferryid/id.go
+++ b/ferry/ferryid/id.go
@@ -11,52 +11,52 @@
 
 var nameRE = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]*[a-z0-9])?$`)
 
-// ServiceName names one service, and so one service document.
+// ServiceName is the name of a service and of its service document.
 type ServiceName string
 
-// CustomerName names one customer within a service document.
+// CustomerName is the name of a customer in a service document.
 type CustomerName string
 
-// DomainName names a failure domain.
+// DomainName is the name of a failure domain.
 type DomainName string
 
-// UpstreamName names one engine or plain back end within a service.
+// UpstreamName is the name of an engine or plain back end of a service.
 type UpstreamName string
 
-// EntryName names one entry instance's address slot, which outlives a restart of its process.
+// EntryName is the name of an entry, which persists over restarts of its process.
 type EntryName string
 
-// ClassName names a class of work within a service document.
+// ClassName is the name of a class of work in a service document.
 type ClassName string
 
-// Incarnation identifies one run of a process; a restart has a new one.
+// Incarnation identifies one run of a process; a restarted process has a new one.
 type Incarnation string
 
-// RequestID identifies one call by a caller.
+// RequestID identifies one call of a caller.
 type RequestID string
 
 // StreamID identifies one streamed completion across entries and epochs.
 type StreamID string
 
-// Generation counts the accepted versions of one service document, from 1.
+// Generation numbers the accepted versions of a service document, from 1.
 type Generation uint64
 
-// Epoch counts the pipelines that one stream has run on, from 1.
+// Epoch numbers the pipelines on which a stream has run, from 1.
 type Epoch uint32
 
-// Position is the index of a token in a stream, counted from the first generated token at 0.
+// Position is the index of a generated token in a stream, from 0.
 type Position uint32
 
-// Layer is the index of one layer of a model, from 0.
+// Layer is the index of a layer of a model, from 0.
 type Layer uint16
 
-// Fence is a fencing number; an order with a lower one than the last seen is stale.
+// Fence is a fencing number; an order with a number lower than the last seen is stale.
 type Fence uint64
 
-// Tokens counts tokens.
+// Tokens is a number of tokens.
 type Tokens int64
 
-// TokensPerSecond is a rate of tokens.
+// TokensPerSecond is a rate in tokens per second.
 type TokensPerSecond float64
 
 // LayerRange is the half-open range of layers [From, To).
@@ -65,7 +65,7 @@
 	To   Layer `json:"To" cbor:"2,keyasint" toml:"To"`
 }
 
-// Len is the number of layers in the range.
+// Len returns the number of layers in the range.
 func (r LayerRange) Len() int {
 	if r.To < r.From {
 		return 0
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("[%d,%d)", r.From, r.To)
 }
 
-// CheckName returns an error that says what is wrong with a name, or nil.
+// CheckName returns an error that describes what makes the name invalid, or nil.
 func CheckName(s string) error {
 	if s == "" {
 		return fmt.Errorf("must not be empty")
@@ -96,17 +96,17 @@
 	return nil
 }
 
-// NewIncarnation returns a fresh random incarnation.
+// NewIncarnation returns a random incarnation.
 func NewIncarnation() Incarnation {
 	return Incarnation(uuid.NewString())
 }
 
-// NewRequestID returns a fresh random request id.
+// NewRequestID returns a random request id.
 func NewRequestID() RequestID {
 	return RequestID(uuid.NewString())
 }
 
-// NewStreamID returns a fresh random stream id.
+// NewStreamID returns a random stream id.
 func NewStreamID() StreamID {
 	return StreamID(uuid.NewString())
 }
