--- a/ferry/ferryjson/doc.go
+++ b/ferry/ferryjson/doc.go
@@ -1,2 +1,2 @@
-// Package ferryjson writes JSON strings onto a byte slice without allocating.
+// Package ferryjson encodes strings as JSON, without allocation for printable ASCII.
 package ferryjson
--- a/ferry/ferryjson/string.go
+++ b/ferry/ferryjson/string.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// AppendString appends a string as a JSON string, replacing invalid UTF-8.
+// AppendString appends the JSON encoding of s to b and replaces invalid UTF-8.
 func AppendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
