--- a/ferry/ferrylog/bound.go
+++ b/ferry/ferrylog/bound.go
@@ -9,57 +9,57 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// window is the time in which lines are counted.
+// window is the interval over which lines are counted.
 const window = time.Second
 
-// Config sets up a bounded logger.
+// Config configures a rate-limited logger.
 type Config struct {
-	// Log writes the lines that are kept.
+	// Log is the logger for the lines within the limit.
 	Log zerolog.Logger
-	// Clock must not follow jumps of the time of day, which would open or shut the bound.
+	// Clock must ignore steps of the wall clock, which would lift the limit or block all lines.
 	Clock clockwork.Clock
-	// PerSecond is the most lines in a second.
+	// PerSecond is the maximum number of lines per second.
 	PerSecond int
-	// Scope counts the lines that are left out.
+	// Scope is the metrics scope that counts dropped lines.
 	Scope tally.Scope
 }
 
-// New returns a logger that writes a bounded number of lines a second, and one more that says how many it left out.
+// New returns a logger that writes at most PerSecond lines per second, plus one with the number of lines dropped.
 func New(cfg Config) zerolog.Logger {
-	return cfg.Log.Sample(&bound{cfg: cfg, began: cfg.Clock.Now(), leftOut: cfg.Scope.Counter("log_lines_left_out")})
+	return cfg.Log.Sample(&limiter{cfg: cfg, windowStart: cfg.Clock.Now(), dropped: cfg.Scope.Counter("log_lines_left_out")})
 }
 
-// bound implements zerolog.Sampler.
-type bound struct {
+// limiter implements zerolog.Sampler with a limit per window.
+type limiter struct {
 	cfg     Config
-	leftOut tally.Counter
+	dropped tally.Counter
 
-	mu     sync.Mutex
-	began  time.Time
-	lines  int
-	missed int
+	mu              sync.Mutex
+	windowStart     time.Time
+	lines           int
+	droppedInWindow int
 }
 
 // Sample reports whether a line is written.
-func (b *bound) Sample(zerolog.Level) bool {
+func (b *limiter) Sample(zerolog.Level) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now := b.cfg.Clock.Now(); now.Sub(b.began) >= window {
-		b.next(now)
+	if now := b.cfg.Clock.Now(); now.Sub(b.windowStart) >= window {
+		b.startWindow(now)
 	}
 	b.lines++
 	if b.lines <= b.cfg.PerSecond {
 		return true
 	}
-	b.missed++
-	b.leftOut.Inc(1)
+	b.droppedInWindow++
+	b.dropped.Inc(1)
 	return false
 }
 
-// next begins a window; the caller holds the lock.
-func (b *bound) next(now time.Time) {
-	if b.missed > 0 {
-		b.cfg.Log.Warn().Int("Lines", b.missed).Int("PerSecond", b.cfg.PerSecond).Msg("log lines left out")
+// startWindow starts a new window and logs how many lines the last one dropped; the caller must hold the lock.
+func (b *limiter) startWindow(now time.Time) {
+	if b.droppedInWindow > 0 {
+		b.cfg.Log.Warn().Int("Lines", b.droppedInWindow).Int("PerSecond", b.cfg.PerSecond).Msg("log lines left out")
 	}
-	b.began, b.lines, b.missed = now, 0, 0
+	b.windowStart, b.lines, b.droppedInWindow = now, 0, 0
 }
--- a/ferry/ferrylog/bound_test.go
+++ b/ferry/ferrylog/bound_test.go
@@ -14,17 +14,17 @@
 	"cactusferry.dev/ferry/ferrylog"
 )
 
-func TestLinesAreBounded(t *testing.T) {
+func TestLineRateIsLimited(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		lines, written int
 		later          time.Duration
-		told           bool
+		reported       bool
 	}{
 		{"few", 3, 3, time.Second, false},
-		{"as many as may be", 5, 5, time.Second, false},
-		{"too many", 12, 5, time.Second, true},
-		{"too many, and none told within the same second", 12, 5, time.Second - 1, false},
+		{"at the limit", 5, 5, time.Second, false},
+		{"over the limit", 12, 5, time.Second, true},
+		{"over the limit, not reported within the same second", 12, 5, time.Second - 1, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -37,7 +37,7 @@
 			assert.Equal(t, strings.Count(out.String(), `"request"`), tt.written)
 			clock.Advance(tt.later)
 			log.Info().Msg("later")
-			assert.Equal(t, strings.Contains(out.String(), "log lines left out"), tt.told)
+			assert.Equal(t, strings.Contains(out.String(), "log lines left out"), tt.reported)
 			left := int64(0)
 			for _, c := range scope.Snapshot().Counters() {
 				left += c.Value()
--- a/ferry/ferrylog/doc.go
+++ b/ferry/ferrylog/doc.go
@@ -1,2 +1,2 @@
-// Package ferrylog bounds how many lines a part of a process logs, so that a flood of requests does not become a flood of lines.
+// Package ferrylog limits the rate of log lines, so that a flood of requests does not flood the log.
 package ferrylog
