--- a/ferry/ferryrapid/main.go
+++ b/ferry/ferryrapid/main.go
@@ -1,4 +1,4 @@
-// Package ferryrapid sets up the random tests of a package.
+// Package ferryrapid configures the random tests of a package.
 package ferryrapid
 
 import (
@@ -8,29 +8,30 @@
 	"testing"
 )
 
-// Settings are those of the package pgregory.net/rapid; a count of 0 leaves rapid's own.
+// Settings are settings of pgregory.net/rapid; 0 for Checks or Steps means rapid's default.
 type Settings struct {
 	Seed   uint64
 	Checks int
 	Steps  int
 }
 
-// Main is for TestMain: it runs the tests with the settings, save where the command line says otherwise, and writes no files of failures.
+// Main implements TestMain: it runs the tests with the settings unless flags override them,
+// and disables rapid's failure files.
 func Main(m *testing.M, s Settings) {
-	set("rapid.seed", strconv.FormatUint(s.Seed, 10))
-	set("rapid.nofailfile", "true")
+	setDefault("rapid.seed", strconv.FormatUint(s.Seed, 10))
+	setDefault("rapid.nofailfile", "true")
 	if s.Checks > 0 {
-		set("rapid.checks", strconv.Itoa(s.Checks))
+		setDefault("rapid.checks", strconv.Itoa(s.Checks))
 	}
 	if s.Steps > 0 {
-		set("rapid.steps", strconv.Itoa(s.Steps))
+		setDefault("rapid.steps", strconv.Itoa(s.Steps))
 	}
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// set changes a default, so that what flag.Parse reads later counts more.
-func set(name, value string) {
+// setDefault sets a flag before flag.Parse, which may override it.
+func setDefault(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
