--- a/ferry/ferrycert/doc.go
+++ b/ferry/ferrycert/doc.go
@@ -1,2 +1,3 @@
-// Package ferrycert checks certificates by the authority that signed them, for servers that are known by address and not by name.
+// Package ferrycert verifies certificates by their authority alone, for servers that are known by address
+// and not by name.
 package ferrycert
--- a/ferry/ferrycert/verify.go
+++ b/ferry/ferrycert/verify.go
@@ -10,10 +10,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Verify returns an error unless the certificates, the other side's own first, lead to one of the authorities.
+// Verify returns an error unless the chain, leaf first, leads to one of the authorities.
 func Verify(raw [][]byte, authorities *x509.CertPool, now time.Time) error {
 	if len(raw) == 0 {
-		return fmt.Errorf("the other side showed no certificate")
+		return fmt.Errorf("peer presented no certificate")
 	}
 	certs := make([]*x509.Certificate, 0, len(raw))
 	for _, b := range raw {
@@ -23,15 +23,15 @@
 		}
 		certs = append(certs, c)
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	_, err := certs[0].Verify(x509.VerifyOptions{Roots: authorities, Intermediates: between, CurrentTime: now})
+	_, err := certs[0].Verify(x509.VerifyOptions{Roots: authorities, Intermediates: intermediates, CurrentTime: now})
 	return err
 }
 
-// Authorities reads a PEM file of certificates.
+// Authorities returns the certificates of a PEM file.
 func Authorities(file string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -39,12 +39,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(b) {
-		return nil, fmt.Errorf("%s holds no PEM certificate", file)
+		return nil, fmt.Errorf("no PEM certificate in %s", file)
 	}
 	return pool, nil
 }
 
-// Client returns the configuration of a caller that shows the key pair of the files and trusts the authorities of the third.
+// Client returns the TLS configuration of a client with the given certificate and key files
+// that trusts the authorities in the third file.
 func Client(certificate, key, authorities string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		Certificates: []tls.Certificate{pair},
-		// Entries are called by address, so that their certificates are checked by authority and not by name.
+		// Entries are called by address, so their certificates are verified by authority and not by name.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
 			return Verify(raw, pool, time.Now())
--- a/ferry/ferrycert/verify_test.go
+++ b/ferry/ferrycert/verify_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// issue writes the files of a key pair and of the authority that signed it.
-func issue(t *testing.T) (certificate, key, authority string) {
+// writeTestKeys writes a certificate, its key and the certificate of the authority that signed it.
+func writeTestKeys(t *testing.T) (certificate, key, authority string) {
 	t.Helper()
 	dir := t.TempDir()
 	newKey := func() *ecdsa.PrivateKey {
@@ -52,7 +52,7 @@
 	return write("own.pem", "CERTIFICATE", ownDER), write("key.pem", "PRIVATE KEY", keyDER), write("ca.pem", "CERTIFICATE", caDER)
 }
 
-func serve(t *testing.T, certificate, key, authority string) *httptest.Server {
+func startServer(t *testing.T, certificate, key, authority string) *httptest.Server {
 	t.Helper()
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	assert.NilError(t, err)
@@ -65,18 +65,18 @@
 	return s
 }
 
-func TestClientIsKnownByItsAuthority(t *testing.T) {
-	certificate, key, authority := issue(t)
-	otherCertificate, otherKey, otherAuthority := issue(t)
-	s := serve(t, certificate, key, authority)
+func TestPeersAreVerifiedByAuthority(t *testing.T) {
+	certificate, key, authority := writeTestKeys(t)
+	otherCertificate, otherKey, otherAuthority := writeTestKeys(t)
+	s := startServer(t, certificate, key, authority)
 	tests := []struct {
 		name                        string
 		certificate, key, authority string
 		ok                          bool
 	}{
-		{"both of one authority", certificate, key, authority, true},
-		{"a caller of another authority", otherCertificate, otherKey, authority, false},
-		{"a server of another authority", certificate, key, otherAuthority, false},
+		{"same authority", certificate, key, authority, true},
+		{"client of another authority", otherCertificate, otherKey, authority, false},
+		{"server of another authority", certificate, key, otherAuthority, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
