--- a/ferry/ferrydocument/apply.go
+++ b/ferry/ferrydocument/apply.go
@@ -14,21 +14,23 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// applyPatience bounds the time spent on resolving a lost answer.
-const applyPatience = 15 * time.Second
+// applyTimeout bounds an apply, including the retries that resolve a write without an answer.
+const applyTimeout = 15 * time.Second
 
-var errPatience = errors.New("no answer within " + applyPatience.String())
+var errApplyTimeout = errors.New("no answer within " + applyTimeout.String())
 
-// Apply makes a text the next version of its service document by a conditional update.
+// Apply writes a text as the next version of its service document, by a conditional update.
 //
-// It returns a *ferrytoml.FaultsError, a *RequestError, a *LostRaceError, a *ForkError, an *ApplyIDReusedError, an
-// *UnresolvedError, or an error of the store; with any but *UnresolvedError nothing was accepted.
+// Errors are *ferrytoml.FaultsError, *RequestError, *LostRaceError, *ForkError, *ApplyIDReusedError,
+// *UnresolvedError and the errors of the store. After any error but *UnresolvedError the change is not
+// accepted.
 func Apply(ctx context.Context, store ferryplatform.Store, clock clockwork.Clock, req ApplyRequest) (ferryservice.Accepted, error) {
 	end := apply(ctx, store, clock, req)
 	return end.accepted, end.err
 }
 
-// Apply is the function Apply with what this holder knows, and puts the accepted version in force here at once.
+// Apply calls the function Apply with the versions that this holder has, and puts the accepted version in
+// force here without waiting for the watch.
 func (h *Holder) Apply(ctx context.Context, store ferryplatform.Store, req ApplyRequest) (ferryservice.Accepted, error) {
 	if f, ok := h.Get(req.Service); ok {
 		req.InForce = &f.Accepted
@@ -37,12 +39,13 @@
 		req.Base = &base
 	}
 	end := apply(ctx, store, h.clock, req)
-	h.settle(req, end)
+	h.recordOutcome(req, end)
 	return end.accepted, end.err
 }
 
-// settle learns from the outcome of an apply.
-func (h *Holder) settle(req ApplyRequest, end endApply) {
+// recordOutcome offers the version in the store to the holder and adds the outcome of an apply to the time
+// line.
+func (h *Holder) recordOutcome(req ApplyRequest, end endApply) {
 	if end.current.Generation > 0 {
 		h.Offer(end.current, "apply")
 	}
@@ -61,10 +64,10 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := clock.AfterFunc(applyPatience, func() { cancel(errPatience) })
+	limit := clock.AfterFunc(applyTimeout, func() { cancel(errApplyTimeout) })
 	defer limit.Stop()
-	from := clock.Now()
-	core := newApplyCore(req, from.UTC())
+	started := clock.Now()
+	core := newApplyCore(req, started.UTC())
 	action := core.next(applyStarted{})
 	for {
 		if end, ok := action.(endApply); ok {
@@ -74,8 +77,8 @@
 		if _, ended := action.(endApply); ended {
 			continue
 		}
-		if clock.Since(from) >= applyPatience {
-			action = core.next(applyExpired{errPatience})
+		if clock.Since(started) >= applyTimeout {
+			action = core.next(applyExpired{errApplyTimeout})
 		} else if ctx.Err() != nil {
 			action = core.next(applyExpired{context.Cause(ctx)})
 		}
@@ -109,7 +112,7 @@
 	return `"` + string(s) + `"`
 }
 
-// perform does one action of the core.
+// perform executes one action of the core and returns its result.
 func perform(ctx context.Context, store ferryplatform.Store, clock clockwork.Clock, service ferryid.ServiceName, action applyAction) applyMessage {
 	switch a := action.(type) {
 	case readStore:
--- a/ferry/ferrydocument/apply_test.go
+++ b/ferry/ferrydocument/apply_test.go
@@ -20,7 +20,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// autoClock moves on by itself whenever somebody waits for it.
+// autoClock is a fake clock that advances by the requested duration in After.
 type autoClock struct{ *clockwork.FakeClock }
 
 func (c autoClock) After(d time.Duration) <-chan time.Time {
@@ -30,17 +30,17 @@
 	return over
 }
 
-// stand is one entry with its store.
-type stand struct {
+// testEntry is the holder of one entry and its store.
+type testEntry struct {
 	t      *testing.T
 	clock  autoClock
 	store  *ferryplatformtest.Fake
 	holder *ferrydocument.Holder
 }
 
-func newStand(t *testing.T) *stand {
+func newTestEntry(t *testing.T) *testEntry {
 	clock := autoClock{clockwork.NewFakeClockAt(start)}
-	return &stand{t, clock, ferryplatformtest.New(clock), ferrydocument.NewHolder(clock, nil)}
+	return &testEntry{t, clock, ferryplatformtest.New(clock), ferrydocument.NewHolder(clock, nil)}
 }
 
 func request(team string, base ferryid.Generation) ferrydocument.ApplyRequest {
@@ -49,19 +49,19 @@
 	}
 }
 
-func (s *stand) apply(req ferrydocument.ApplyRequest) (ferryservice.Accepted, error) {
+func (s *testEntry) apply(req ferrydocument.ApplyRequest) (ferryservice.Accepted, error) {
 	return s.holder.Apply(s.t.Context(), s.store, req)
 }
 
-func (s *stand) must(team string, base ferryid.Generation) ferryservice.Accepted {
+func (s *testEntry) mustApply(team string, base ferryid.Generation) ferryservice.Accepted {
 	s.t.Helper()
 	a, err := s.apply(request(team, base))
 	assert.NilError(s.t, err)
 	return a
 }
 
-// stored returns the version in the store.
-func (s *stand) stored() ferryservice.Accepted {
+// stored returns the accepted version in the store.
+func (s *testEntry) stored() ferryservice.Accepted {
 	s.t.Helper()
 	o, err := s.store.Get(s.t.Context(), ferryservice.ObjectKind, "parlour-api")
 	assert.NilError(s.t, err)
@@ -70,10 +70,10 @@
 	return a
 }
 
-func TestApplyPutsInForceAtOnce(t *testing.T) {
-	s := newStand(t)
-	first := s.must("one", 0)
-	second := s.must("two", 1)
+func TestApplyTakesEffectLocallyAtOnce(t *testing.T) {
+	s := newTestEntry(t)
+	first := s.mustApply("one", 0)
+	second := s.mustApply("two", 1)
 	assert.Equal(t, second.Generation, ferryid.Generation(2))
 	assert.Equal(t, second.PreviousHash, first.Hash())
 	f, ok := s.holder.Get("parlour-api")
@@ -82,9 +82,9 @@
 	assert.Equal(t, s.stored().Hash(), second.Hash())
 }
 
-func TestApplyLosesTheRace(t *testing.T) {
-	s := newStand(t)
-	s.must("noon", 0)
+func TestApplyLosesRace(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("noon", 0)
 	morning := request("noon", 1)
 	morning.ApplyID, morning.Operator = "m", "ivana"
 	morning.Source = strings.Replace(text("noon"), `Team = "noon"`, `Team = "parlour" # ivana`, 1) + "[Limits]\nQueueLength = 10\n"
@@ -101,11 +101,11 @@
 	golden.Assert(t, err.Error()+"\n"+lost.Diff, "lost-race.golden")
 }
 
-func TestApplyLosesWithoutTheBase(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
-	s.must("two", 1)
-	other := newStand(t)
+func TestApplyLosesRaceWithoutBase(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
+	s.mustApply("two", 1)
+	other := newTestEntry(t)
 	other.store, other.clock = s.store, s.clock
 	_, err := other.apply(request("late", 1))
 	var lost *ferrydocument.LostRaceError
@@ -113,7 +113,7 @@
 	golden.Assert(t, lost.Diff, "lost-race-two-way.golden")
 }
 
-func TestApplyResolvesALostAnswer(t *testing.T) {
+func TestApplyResolvesLostAnswer(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults ferryplatformtest.Faults
@@ -124,8 +124,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStand(t)
-			s.must("one", 0)
+			s := newTestEntry(t)
+			s.mustApply("one", 0)
 			s.store.SetFaults(tt.faults)
 			a, err := s.apply(request("two", 1))
 			assert.NilError(t, err)
@@ -136,25 +136,25 @@
 	}
 }
 
-// between runs a function before each write or read of the store.
-type between struct {
+// hookedStore calls get before each read of the store.
+type hookedStore struct {
 	ferryplatform.Store
-	get func()
+	beforeGet func()
 }
 
-func (b between) Get(ctx context.Context, kind, name string) (ferryplatform.Object, error) {
-	b.get()
+func (b hookedStore) Get(ctx context.Context, kind, name string) (ferryplatform.Object, error) {
+	b.beforeGet()
 	return b.Store.Get(ctx, kind, name)
 }
 
-func TestApplyWithLostAnswerKnowsItsVersionUnderLaterOnes(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
+func TestApplyWithLostAnswerFindsItsVersionAmongAncestors(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
 	s.store.SetFaults(ferryplatformtest.Faults{LoseAnswers: 1})
-	other := newStand(t)
+	other := newTestEntry(t)
 	other.clock, other.store = s.clock, s.store
 	reads := 0
-	store := between{s.store, func() {
+	store := hookedStore{s.store, func() {
 		reads++
 		if reads == 2 {
 			for i, g := range []ferryid.Generation{2, 3} {
@@ -171,9 +171,9 @@
 	assert.Equal(t, f.Accepted.DescendsFrom(2, a.Hash()), ferryservice.Descends)
 }
 
-func TestApplyThatNeverLandsIsUnresolvedThenSettled(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
+func TestApplyUnresolvedThenRepeated(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
 	s.store.SetFaults(ferryplatformtest.Faults{LoseAnswers: 1000, LateEffectMS: 60000})
 	_, err := s.apply(request("two", 1))
 	var unresolved *ferrydocument.UnresolvedError
@@ -190,33 +190,33 @@
 	assert.Equal(t, again.Hash(), a.Hash())
 }
 
-func TestApplyInAnOutageIsRefusedAtOnce(t *testing.T) {
-	s := newStand(t)
+func TestApplyFailsAtOnceInOutage(t *testing.T) {
+	s := newTestEntry(t)
 	s.store.SetFaults(ferryplatformtest.Faults{Outage: true})
 	_, err := ferrydocument.Apply(t.Context(), s.store, s.clock, request("one", 0))
 	assert.Assert(t, errors.As(err, new(*ferryplatform.UnavailableError)), "%v", err)
 	assert.Equal(t, ferrydocument.Status(err), 503)
 }
 
-func TestApplyPutsBackWhatARestoredStoreLost(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
+func TestApplyRepairsRolledBackStore(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
 	s.store.Snapshot()
-	two := s.must("two", 1)
+	two := s.mustApply("two", 1)
 	assert.Assert(t, s.store.Restore())
 	_, err := s.apply(request("stale", 1))
 	var lost *ferrydocument.LostRaceError
 	assert.Assert(t, errors.As(err, &lost), "%v", err)
 	assert.Equal(t, s.stored().Hash(), two.Hash())
-	three := s.must("three", 2)
+	three := s.mustApply("three", 2)
 	assert.Equal(t, three.PreviousHash, two.Hash())
 }
 
-func TestApplySettlesAFork(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
+func TestApplyResolvesFork(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
 	s.store.Snapshot()
-	s.must("two", 1)
+	s.mustApply("two", 1)
 	assert.Assert(t, s.store.Restore())
 	_, err := ferrydocument.Apply(t.Context(), s.store, s.clock, request("other", 1))
 	assert.NilError(t, err)
@@ -233,7 +233,7 @@
 	assert.Equal(t, s.stored().Hash(), a.Hash())
 }
 
-func TestApplyRefusesBadRequests(t *testing.T) {
+func TestApplyRefusesInvalidRequests(t *testing.T) {
 	change := func(f func(*ferrydocument.ApplyRequest)) ferrydocument.ApplyRequest {
 		r := request("one", 0)
 		f(&r)
@@ -254,7 +254,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStand(t)
+			s := newTestEntry(t)
 			_, err := ferrydocument.Apply(t.Context(), s.store, s.clock, tt.req)
 			assert.ErrorContains(t, err, tt.want)
 			assert.Equal(t, ferrydocument.Status(err), tt.status)
@@ -263,14 +263,14 @@
 	}
 }
 
-func TestApplyRefusesAReusedID(t *testing.T) {
-	s := newStand(t)
-	s.must("one", 0)
+func TestApplyRefusesReusedID(t *testing.T) {
+	s := newTestEntry(t)
+	s.mustApply("one", 0)
 	reused := request("two", 1)
 	reused.ApplyID = "apply-one"
 	_, err := s.apply(reused)
 	assert.Assert(t, errors.As(err, new(*ferrydocument.ApplyIDReusedError)), "%v", err)
-	s.must("two", 1)
+	s.mustApply("two", 1)
 	reused = request("three", 2)
 	reused.ApplyID = "apply-one"
 	_, err = s.apply(reused)
@@ -282,11 +282,11 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		req, err := ferrydocument.DecodeApplyRequest("parlour-api", b)
 		if err == nil && req.ApplyID == "" {
-			t.Fatal("request without an apply id")
+			t.Fatal("accepted a request without an apply id")
 		}
 		var faults *ferrytoml.FaultsError
 		if errors.As(err, &faults) {
-			t.Fatal("the text is judged later")
+			t.Fatal("DecodeApplyRequest validated the text")
 		}
 	})
 }
--- a/ferry/ferrydocument/applycore.go
+++ b/ferry/ferrydocument/applycore.go
@@ -14,25 +14,25 @@
 	maxApplyPause   = 2 * time.Second
 )
 
-// applyMessage is what happened to an apply.
+// applyMessage is an input of applyCore.
 type applyMessage interface{ applyMessage() }
 
 type (
-	// applyStarted asks for the first action.
+	// applyStarted requests the first action.
 	applyStarted struct{}
-	// applyRead is the answer to readStore.
+	// applyRead is the result of readStore.
 	applyRead struct {
 		object ferryplatform.Object
 		err    error
 	}
-	// applyWritten is the answer to writeStore.
+	// applyWritten is the result of writeStore.
 	applyWritten struct {
 		version ferryplatform.Version
 		err     error
 	}
-	// applyPaused says that a pause is over.
+	// applyPaused reports the end of a pause.
 	applyPaused struct{}
-	// applyExpired says that the time for resolving a lost answer is over.
+	// applyExpired reports that the apply was cancelled or timed out.
 	applyExpired struct{ err error }
 )
 
@@ -42,20 +42,21 @@
 func (applyPaused) applyMessage()  {}
 func (applyExpired) applyMessage() {}
 
-// applyAction is what an apply asks its shell to do next.
+// applyAction is an output of applyCore: the next step for its caller to perform.
 type applyAction interface{ applyAction() }
 
 type (
-	// readStore gets the service's object.
+	// readStore reads the service's object.
 	readStore struct{}
-	// writeStore puts a value if the object is at the version expected.
+	// writeStore writes a value if the object is at the expected version.
 	writeStore struct {
 		expected ferryplatform.Version
 		value    []byte
 	}
-	// pauseApply waits.
+	// pauseApply waits before the next read.
 	pauseApply struct{ d time.Duration }
-	// endApply is the outcome; current is what the store holds, of which the accepted version may be an ancestor.
+	// endApply is the outcome; current is the version in the store, of which the accepted version may be an
+	// ancestor.
 	endApply struct {
 		accepted ferryservice.Accepted
 		current  ferryservice.Accepted
@@ -68,19 +69,20 @@
 func (pauseApply) applyAction() {}
 func (endApply) applyAction()   {}
 
-// applyCore decides the steps of one apply; it does no I/O and reads no clock.
+// applyCore is the state machine of one apply; it does no I/O and reads no clock.
 type applyCore struct {
 	req ApplyRequest
 	at  time.Time
 
 	current ferryservice.Accepted
 	version ferryplatform.Version
-	// mine is the version last asked to be written, and expected the condition of that write.
-	mine     ferryservice.Accepted
+	// proposed is the version last written or to be written; expected is the object version that the write is
+	// conditional on.
+	proposed ferryservice.Accepted
 	expected ferryplatform.Version
-	// repairing says that the write under way puts the version in force back.
+	// repairing is set while the pending write puts the version in force back into the store.
 	repairing bool
-	// unknown says that the outcome of a write of mine is not known.
+	// unknown is set after a write of the proposed version whose outcome is not known.
 	unknown bool
 	pause   time.Duration
 	lastErr error
@@ -90,7 +92,7 @@
 	return &applyCore{req: req, at: at, pause: firstApplyPause}
 }
 
-// next takes one message and returns the next action.
+// next processes one message and returns the next action.
 func (c *applyCore) next(msg applyMessage) applyAction {
 	switch m := msg.(type) {
 	case applyRead:
@@ -121,7 +123,7 @@
 	return c.decide()
 }
 
-// onFailure gives up at once if no write can have taken effect, and otherwise tries on.
+// onFailure ends the apply if no write can have taken effect, and otherwise reads again after a pause.
 func (c *applyCore) onFailure(err error) applyAction {
 	if !c.unknown {
 		return endApply{err: err}
@@ -136,39 +138,41 @@
 	return pauseApply{d}
 }
 
-// decide acts on what the store holds.
+// decide chooses the next action by the version that was read.
 func (c *applyCore) decide() applyAction {
 	if c.current.ApplyID == c.req.ApplyID {
-		return c.found(c.current)
+		return c.endWithStored(c.current)
 	}
 	if a, ok := c.current.ByApplyID(c.req.ApplyID); ok {
-		return c.foundAncestor(a)
+		return c.endWithAncestor(a)
 	}
 	if c.unknown && c.version == c.expected {
-		return writeStore{c.expected, encode(c.mine)}
+		return writeStore{c.expected, encode(c.proposed)}
 	}
 	if c.unknown {
-		return c.movedOn()
+		return c.onVersionChanged()
 	}
-	if action := c.heldAgainstStore(); action != nil {
+	if action := c.reconcileStore(); action != nil {
 		return action
 	}
 	if c.current.Generation != c.req.BaseGeneration {
-		return c.lost()
+		return c.endLostRace()
 	}
-	return c.writeMine()
+	return c.writeProposed()
 }
 
-// found ends with the version in the store, if it is the one asked for.
-func (c *applyCore) found(a ferryservice.Accepted) applyAction {
+// endWithStored ends the apply with the stored version of the same apply id, or with an error if its text
+// differs.
+func (c *applyCore) endWithStored(a ferryservice.Accepted) applyAction {
 	if a.Source != c.req.Source {
 		return endApply{err: &ApplyIDReusedError{ApplyID: c.req.ApplyID}}
 	}
 	return endApply{accepted: a, current: c.current}
 }
 
-// foundAncestor ends with a version that was accepted and then succeeded by others.
-func (c *applyCore) foundAncestor(b ferryservice.Ancestor) applyAction {
+// endWithAncestor ends the apply with a version that was accepted and already has successors. It rebuilds that
+// version from the request and compares hashes, as the store keeps the texts of ancestors no longer.
+func (c *applyCore) endWithAncestor(b ferryservice.Ancestor) applyAction {
 	a := ferryservice.Accepted{
 		Service:    c.req.Service,
 		Generation: b.Generation,
@@ -192,19 +196,21 @@
 	return endApply{accepted: a, current: c.current}
 }
 
-// movedOn judges a write of unknown outcome after the object left the version that it was conditional on.
-func (c *applyCore) movedOn() applyAction {
-	if c.current.DescendsFrom(c.mine.Generation, c.mine.Hash()) == ferryservice.Untraced {
-		return c.unresolved(errors.New("too many versions were accepted since"))
+// onVersionChanged resolves a write of unknown outcome once the object has left the expected version, so that
+// the write can no longer take effect.
+func (c *applyCore) onVersionChanged() applyAction {
+	if c.current.DescendsFrom(c.proposed.Generation, c.proposed.Hash()) == ferryservice.Untraced {
+		return c.endUnresolved(errors.New("too many versions were accepted since"))
 	}
-	if c.current.Generation < c.mine.Generation {
-		return c.unresolved(errors.New("the store went back to an older state"))
+	if c.current.Generation < c.proposed.Generation {
+		return c.endUnresolved(errors.New("the store went back to an older state"))
 	}
-	return c.lost()
+	return c.endLostRace()
 }
 
-// heldAgainstStore repairs a store that is behind the version in force here, and refuses one on another branch.
-func (c *applyCore) heldAgainstStore() applyAction {
+// reconcileStore compares the stored version with the one in force here. It repairs a store that is behind and
+// ends the apply with a *ForkError if the branches diverge; nil means that the apply can go on.
+func (c *applyCore) reconcileStore() applyAction {
 	held := c.req.InForce
 	if held == nil {
 		return nil
@@ -236,7 +242,7 @@
 	return false
 }
 
-func (c *applyCore) writeMine() applyAction {
+func (c *applyCore) writeProposed() applyAction {
 	next := c.current.Successor()
 	if c.req.InForce != nil && c.req.InForce.Generation >= next.Generation {
 		next.Generation = c.req.InForce.Generation + 1
@@ -247,7 +253,7 @@
 	next.At = c.at
 	next.Source = c.req.Source
 	next.Supersedes = c.req.Supersedes
-	c.mine = next
+	c.proposed = next
 	c.expected = c.version
 	return writeStore{c.expected, encode(next)}
 }
@@ -258,27 +264,28 @@
 		return c.onRepaired(m.err)
 	}
 	var (
-		conflict *ferryplatform.ConflictError
-		lost     *ferryplatform.UnknownOutcomeError
+		conflict       *ferryplatform.ConflictError
+		unknownOutcome *ferryplatform.UnknownOutcomeError
 	)
 	switch {
 	case m.err == nil:
-		return endApply{accepted: c.mine, current: c.mine}
+		return endApply{accepted: c.proposed, current: c.proposed}
 	case errors.As(m.err, &conflict):
 		return readStore{}
-	case errors.As(m.err, &lost):
+	case errors.As(m.err, &unknownOutcome):
 		c.unknown = true
 	}
 	return c.onFailure(m.err)
 }
 
-// onRepaired reads again, whatever became of the repair; only a write of mine can be of unknown outcome.
+// onRepaired reads again unless the repair certainly failed. A repair of unknown outcome needs no resolving,
+// as the read shows the result.
 func (c *applyCore) onRepaired(err error) applyAction {
 	var (
-		conflict *ferryplatform.ConflictError
-		lost     *ferryplatform.UnknownOutcomeError
+		conflict       *ferryplatform.ConflictError
+		unknownOutcome *ferryplatform.UnknownOutcomeError
 	)
-	if err == nil || errors.As(err, &conflict) || errors.As(err, &lost) {
+	if err == nil || errors.As(err, &conflict) || errors.As(err, &unknownOutcome) {
 		return readStore{}
 	}
 	return endApply{err: err}
@@ -289,23 +296,23 @@
 		return endApply{err: m.err}
 	}
 	if c.lastErr != nil {
-		return c.unresolved(c.lastErr)
+		return c.endUnresolved(c.lastErr)
 	}
-	return c.unresolved(m.err)
+	return c.endUnresolved(m.err)
 }
 
-func (c *applyCore) unresolved(err error) applyAction {
+func (c *applyCore) endUnresolved(err error) applyAction {
 	return endApply{err: &UnresolvedError{ApplyID: c.req.ApplyID, Command: c.req.Command("FILE"), Err: err}}
 }
 
-func (c *applyCore) lost() applyAction {
+func (c *applyCore) endLostRace() applyAction {
 	return endApply{current: c.current, err: &LostRaceError{Winner: c.current, Diff: diffOf(c.req, c.current)}}
 }
 
 func encode(a ferryservice.Accepted) []byte {
 	b, err := json.Marshal(a)
 	if err != nil {
-		// Marshal of a struct of strings, numbers and a time fails only for a year past 9999.
+		// Only a time with a year past 9999 makes Marshal fail here.
 		panic(err)
 	}
 	return b
--- a/ferry/ferrydocument/backoff_test.go
+++ b/ferry/ferrydocument/backoff_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackoffBoundsTheFleet(t *testing.T) {
+func TestBackoffBoundsRetryRateOfAllEntries(t *testing.T) {
 	tests := []struct {
 		live int
-		// longest is the longest pause of one entry.
+		// longest is the upper bound of one pause.
 		longest time.Duration
 	}{
 		{1, 3 * time.Second},
--- a/ferry/ferrydocument/bench_test.go
+++ b/ferry/ferrydocument/bench_test.go
@@ -16,8 +16,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// sized is a document with some upstreams and customers.
-func sized(upstreams, customers int) string {
+// sizedDocument returns a document with the given numbers of upstreams and customers.
+func sizedDocument(upstreams, customers int) string {
 	var b strings.Builder
 	b.WriteString("Service = \"parlour-api\"\nTeam = \"t\"\nKind = \"Plain\"\n")
 	for i := range upstreams {
@@ -40,7 +40,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := h.Get("s-0"); !ok {
-					b.Fatal("gone")
+					b.Fatal("document not in force")
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 
 func BenchmarkCustomer(b *testing.B) {
 	for _, n := range []int{10, 4500} {
-		a := ferryservice.Accepted{Service: "parlour-api", Generation: 1, Source: sized(0, n)}
+		a := ferryservice.Accepted{Service: "parlour-api", Generation: 1, Source: sizedDocument(0, n)}
 		h, _ := newHolder()
 		h.Offer(a, "store")
 		f, _ := h.Get("parlour-api")
@@ -69,7 +69,7 @@
 func BenchmarkHolderOffer(b *testing.B) {
 	for _, size := range []struct{ upstreams, customers int }{{3, 10}, {40, 10}, {1600, 4500}} {
 		name := fmt.Sprintf("upstreams=%d,customers=%d", size.upstreams, size.customers)
-		source := sized(size.upstreams, size.customers)
+		source := sizedDocument(size.upstreams, size.customers)
 		b.Run("new/"+name, func(b *testing.B) {
 			h, _ := newHolder()
 			a := ferryservice.Accepted{Service: "parlour-api"}
@@ -94,7 +94,8 @@
 	}
 }
 
-// BenchmarkInForceOverWatch measures from the start of an apply until it is in force at an entry that watches.
+// BenchmarkInForceOverWatch measures the time from the start of an apply until a watching entry has it in
+// force.
 func BenchmarkInForceOverWatch(b *testing.B) {
 	clock := clockwork.NewRealClock()
 	store := ferryplatformtest.New(clock)
@@ -104,17 +105,17 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	news := h.Subscribe()
+	updates := h.Subscribe()
 	var took []time.Duration
 	for i := 0; b.Loop(); i++ {
 		req := request(fmt.Sprint(i), ferryid.Generation(i))
-		from := time.Now()
+		started := time.Now()
 		if _, err := ferrydocument.Apply(ctx, store, clock, req); err != nil {
 			b.Fatal(err)
 		}
-		<-news.Ready()
-		news.Take()
-		took = append(took, time.Since(from))
+		<-updates.Ready()
+		updates.Take()
+		took = append(took, time.Since(started))
 	}
 	cancel()
 	<-done
--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -12,24 +12,25 @@
 
 const (
 	deltaDictionary = 1
-	// deltaWindow reaches from the end of the largest text back to the start of the largest base.
+	// deltaWindow is the zstd window in bytes; it covers the largest base and the largest text together.
 	deltaWindow = 2 << 20
-	// leastGain is the part of a text that a difference has to save to be worth it.
-	leastGain = 0.25
+	// minDeltaSaving is the fraction of the text's size that a delta must save; otherwise the whole text is
+	// sent.
+	minDeltaSaving = 0.25
 )
 
-// Update is an accepted document as it is spread: whole, or as the difference to the version that the receiver has in force.
+// Update is an accepted document as sent to a peer: whole, or as a delta to the version in force at the peer.
 type Update struct {
 	ferryservice.Accepted
 	// Base is the hash of the version that Delta applies to; it is empty for a whole document.
 	Base string `cbor:"20,keyasint,omitempty"`
-	// Result is the hash of the version that comes out.
+	// Result is the hash of the version that the delta produces.
 	Result string `cbor:"21,keyasint,omitempty"`
-	// Delta is the text compressed with the base's text as the dictionary.
+	// Delta is the text compressed by zstd with the base's text as the dictionary.
 	Delta []byte `cbor:"22,keyasint,omitempty"`
 }
 
-// DeltaError says that a difference does not lead from its base to its result.
+// DeltaError reports a delta that can't be applied to its base or does not produce the announced result.
 type DeltaError struct {
 	Service string
 	Base    string
@@ -37,12 +38,12 @@
 }
 
 func (e *DeltaError) Error() string {
-	return fmt.Sprintf("difference of %q to %.12s: %v", e.Service, e.Base, e.Err)
+	return fmt.Sprintf("apply delta of %q to base %.12s: %v", e.Service, e.Base, e.Err)
 }
 
 func (e *DeltaError) Unwrap() error { return e.Err }
 
-// encodeDelta returns the text compressed with the base as the dictionary, or nil if that is not worth it.
+// encodeDelta returns the text compressed with the base as the dictionary, or nil if that saves too little.
 func encodeDelta(base, text string) []byte {
 	if base == "" || len(base) > maxSourceBytes || len(text) > maxSourceBytes {
 		return nil
@@ -54,13 +55,14 @@
 	}
 	defer enc.Close()
 	out := enc.EncodeAll([]byte(text), nil)
-	if float64(len(out)) > (1-leastGain)*float64(len(text)) {
+	if float64(len(out)) > (1-minDeltaSaving)*float64(len(text)) {
 		return nil
 	}
 	return out
 }
 
-// applyDelta returns the text that a difference to the base stands for; it takes no more memory than the largest text, its base and a window.
+// applyDelta decompresses a delta with the base as the dictionary. Its memory is bounded by the largest text,
+// the base and one window, also for a hostile delta.
 func applyDelta(base string, delta []byte) (string, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(deltaDictionary, []byte(base)), zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderMaxMemory(maxSourceBytes), zstd.WithDecoderLowmem(true))
@@ -73,20 +75,21 @@
 		return "", err
 	}
 	if len(out) > maxSourceBytes {
-		return "", fmt.Errorf("text of %d bytes", len(out))
+		return "", fmt.Errorf("decompressed text too large: %d bytes", len(out))
 	}
 	return string(out), nil
 }
 
-// deltaOf is the difference of a version in force to the one before, made when a peer first lacks it unless it came as one.
-type deltaOf struct {
-	base  string // the hash, empty if there is none
-	text  string // of the base, until the difference is made
+// cachedDelta is the delta of a version in force to its predecessor. It is computed when a peer first needs
+// it, unless the version arrived as a delta.
+type cachedDelta struct {
+	base  string // hash of the predecessor, empty if there is none
+	text  string // of the predecessor, cleared once the delta is computed
 	once  sync.Once
 	delta []byte
 }
 
-func (d *deltaOf) get(text string) []byte {
+func (d *cachedDelta) get(text string) []byte {
 	d.once.Do(func() {
 		if d.delta == nil {
 			d.delta = encodeDelta(d.text, text)
@@ -96,7 +99,8 @@
 	return d.delta
 }
 
-// Updates returns what the sender of a digest lacks, as differences where it says that it takes them and has the version before in force.
+// Updates returns the documents that the sender of a digest lacks. A document is sent as a delta if the sender
+// accepts deltas and has the predecessor in force.
 func (h *Holder) Updates(d Digest) []Update {
 	var out []Update
 	for _, a := range h.Missing(d) {
@@ -126,7 +130,8 @@
 	return whole
 }
 
-// Take offers an update; NoBase means that a difference applies to another version than the one in force. The error is a *DeltaError.
+// Take offers an update to the holder. It returns NoBase for a delta to a version that is not in force; an error is a
+// *DeltaError.
 func (h *Holder) Take(u Update, source string) (Verdict, error) {
 	if len(u.Delta) == 0 {
 		return h.Offer(u.Accepted, source), nil
@@ -135,17 +140,17 @@
 	if !ok || f.Hash != u.Base {
 		return NoBase, nil
 	}
-	wrong := func(err error) error {
+	wrap := func(err error) error {
 		return &DeltaError{Service: string(u.Service), Base: u.Base, Err: err}
 	}
 	text, err := applyDelta(f.Accepted.Source, u.Delta)
 	if err != nil {
-		return Invalid, wrong(err)
+		return Invalid, wrap(err)
 	}
 	a := u.Accepted
 	a.Source = text
 	if a.Hash() != u.Result {
-		return Invalid, wrong(merry.New("another text comes out than the one named"))
+		return Invalid, wrap(merry.New("hash of the resulting version does not match the update"))
 	}
-	return h.offer(a, source, &deltaOf{base: u.Base, delta: u.Delta}), nil
+	return h.offer(a, source, &cachedDelta{base: u.Base, delta: u.Delta}), nil
 }
--- a/ferry/ferrydocument/delta_test.go
+++ b/ferry/ferrydocument/delta_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// largeText is a text of exactly the given size, with little in it that repeats.
+// largeText returns a text of the given size with little repetition.
 func largeText(bytes int) string {
 	var s strings.Builder
 	for i := 0; s.Len() < bytes; i++ {
@@ -29,11 +29,11 @@
 		assert.NilError(t, err)
 		assert.Assert(t, got == text)
 		_, err = applyDelta(largeText(bytes-2)+"y", delta)
-		assert.Assert(t, err != nil || bytes == 0, "applies to another base")
+		assert.Assert(t, err != nil || bytes == 0, "delta applied to another base without an error")
 	}
 }
 
-func TestDeltaThatSavesLittleIsNotMade(t *testing.T) {
+func TestNoDeltaIfItSavesLittle(t *testing.T) {
 	for _, tc := range []struct{ name, base, text string }{
 		{"no base", "", largeText(2000)},
 		{"too large a base", largeText(maxSourceBytes + 1), largeText(2000)},
@@ -46,8 +46,8 @@
 	}
 }
 
-// bombs are differences that would decode to far more than a text may have.
-func bombs(t testing.TB) [][]byte {
+// decompressionBombs returns deltas that decompress to far more than maxSourceBytes.
+func decompressionBombs(t testing.TB) [][]byte {
 	t.Helper()
 	enc, err := zstd.NewWriter(nil, zstd.WithSingleSegment(true))
 	assert.NilError(t, err)
@@ -65,13 +65,13 @@
 
 func TestHostileDeltaTakesBoundedMemory(t *testing.T) {
 	base := largeText(2000)
-	for i, b := range bombs(t) {
+	for i, b := range decompressionBombs(t) {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		out, err := applyDelta(base, b)
 		runtime.ReadMemStats(&after)
-		assert.Assert(t, err != nil, "difference %d gives %d bytes", i, len(out))
-		assert.Assert(t, after.TotalAlloc-before.TotalAlloc < 16<<20, "difference %d takes %d bytes", i, after.TotalAlloc-before.TotalAlloc)
+		assert.Assert(t, err != nil, "delta %d decompressed to %d bytes", i, len(out))
+		assert.Assert(t, after.TotalAlloc-before.TotalAlloc < 16<<20, "delta %d allocated %d bytes", i, after.TotalAlloc-before.TotalAlloc)
 	}
 }
 
@@ -80,7 +80,7 @@
 	f.Add(encodeDelta(base, base+"x"))
 	f.Add(encodeDelta(base, base[500:]+base[:500]))
 	f.Add([]byte{0x28, 0xb5, 0x2f, 0xfd})
-	for _, b := range bombs(f) {
+	for _, b := range decompressionBombs(f) {
 		f.Add(b[:min(len(b), 4096)])
 	}
 	f.Fuzz(func(t *testing.T, delta []byte) {
--- a/ferry/ferrydocument/diff.go
+++ b/ferry/ferrydocument/diff.go
@@ -9,13 +9,14 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// diffContext is the number of unchanged lines shown around a change.
+// diffContext is the number of unchanged lines around a change.
 const diffContext = 2
 
-// maxDiffLines bounds the lines that are compared, as the comparison takes quadratic time.
+// maxDiffLines bounds the texts to compare, as the comparison takes quadratic time.
 const maxDiffLines = 5000
 
-// diffOf shows what the winner and the loser of a race changed.
+// diffOf shows the changes of both sides of a lost race, three-way if the edited version is available and
+// otherwise as a diff between the two.
 func diffOf(req ApplyRequest, winner ferryservice.Accepted) string {
 	theirs := fmt.Sprintf("theirs: generation %d by %s", winner.Generation, winner.Operator)
 	if req.Base == nil || req.Base.Generation != req.BaseGeneration {
@@ -28,9 +29,9 @@
 		overlap(req.Base.Source, winner.Source, req.Source)
 }
 
-// Diff returns a unified diff of two texts by lines, empty if they are equal.
+// Diff returns a unified diff of two texts, empty if they are equal.
 func Diff(fromName, from, toName, to string) string {
-	a, b := lines(from), lines(to)
+	a, b := splitLines(from), splitLines(to)
 	if len(a) > maxDiffLines || len(b) > maxDiffLines {
 		return fmt.Sprintf("--- %s\n+++ %s\ntoo long to compare here: %d and %d lines\n", fromName, toName, len(a), len(b))
 	}
@@ -41,17 +42,17 @@
 	return s
 }
 
-func lines(s string) []string {
+func splitLines(s string) []string {
 	if s == "" {
 		return nil
 	}
 	return difflib.SplitLines(strings.TrimSuffix(s, "\n"))
 }
 
-// span is a range of lines of the base, from 0 and half open.
+// span is a half-open range of lines of the base, counted from 0.
 type span struct{ from, to int }
 
-// overlap names the lines of the base that both sides changed.
+// overlap lists the lines of the base that both sides changed.
 func overlap(base, theirs, yours string) string {
 	if max(strings.Count(base, "\n"), strings.Count(theirs, "\n"), strings.Count(yours, "\n")) > maxDiffLines {
 		return ""
@@ -60,7 +61,7 @@
 	mine := changed(base, yours)
 	for _, t := range changed(base, theirs) {
 		for _, y := range mine {
-			if s, ok := t.and(y); ok {
+			if s, ok := t.intersect(y); ok {
 				fmt.Fprintf(&b, "both changed %s of the base\n", s)
 			}
 		}
@@ -73,7 +74,7 @@
 
 func changed(base, to string) []span {
 	var out []span
-	for _, op := range difflib.NewMatcher(lines(base), lines(to)).GetOpCodes() {
+	for _, op := range difflib.NewMatcher(splitLines(base), splitLines(to)).GetOpCodes() {
 		if op.Tag != 'e' {
 			out = append(out, span{op.I1, op.I2})
 		}
@@ -81,8 +82,8 @@
 	return out
 }
 
-// and returns what two spans share; two insertions at the same place share it too.
-func (s span) and(t span) (span, bool) {
+// intersect returns the intersection of two spans; two insertions at the same place intersect too.
+func (s span) intersect(t span) (span, bool) {
 	r := span{max(s.from, t.from), min(s.to, t.to)}
 	if r.from < r.to {
 		return r, true
--- a/ferry/ferrydocument/digest.go
+++ b/ferry/ferrydocument/digest.go
@@ -9,19 +9,19 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// DigestRow names the version of one document that is in force.
+// DigestRow identifies the version of one document that is in force.
 type DigestRow struct {
 	Service    ferryid.ServiceName `json:"Service" cbor:"1,keyasint"`
 	Generation ferryid.Generation  `json:"Generation" cbor:"2,keyasint"`
 	Hash       string              `json:"Hash" cbor:"3,keyasint"`
-	// Differences says that the sender of the digest takes differences to this version.
+	// Differences is set if the sender of the digest accepts deltas to this version.
 	Differences bool `json:"-" cbor:"4,keyasint,omitempty"`
 }
 
-// Digest names the versions of all documents in force, by service name.
+// Digest lists the versions of all documents in force, sorted by service name.
 type Digest []DigestRow
 
-// Sum identifies the whole digest in 16 hexadecimal digits, for peers that only ask whether they differ.
+// Sum returns a checksum of the digest as 16 hexadecimal digits, by which peers find out whether they differ.
 func (d Digest) Sum() string {
 	h := sha256.New()
 	for _, r := range d {
@@ -30,7 +30,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// Digest returns the versions in force.
+// Digest returns the digest of the documents in force.
 func (h *Holder) Digest() Digest {
 	all := h.All()
 	out := make(Digest, 0, len(all))
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Missing returns the documents that the sender of a digest lacks, and those of which it has another branch.
+// Missing returns the documents of which the sender of a digest has no version, an older one or another branch.
 func (h *Holder) Missing(d Digest) []ferryservice.Accepted {
 	theirs := make(map[ferryid.ServiceName]DigestRow, len(d))
 	for _, r := range d {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Wanted returns the services of which the sender of a digest has a later version than this holder.
+// Wanted returns the services of which the sender of a digest has a newer version than this holder.
 func (h *Holder) Wanted(d Digest) []ferryid.ServiceName {
 	var out []ferryid.ServiceName
 	for _, r := range d {
--- a/ferry/ferrydocument/doc.go
+++ b/ferry/ferrydocument/doc.go
@@ -1,2 +1,3 @@
-// Package ferrydocument accepts changes of service documents, spreads them and keeps what is in force in this process, which never steps back.
+// Package ferrydocument accepts changes of service documents, distributes them to the entries and keeps the
+// versions in force in this process. The version in force never goes back to an earlier generation.
 package ferrydocument
--- a/ferry/ferrydocument/document_test.go
+++ b/ferry/ferrydocument/document_test.go
@@ -15,12 +15,12 @@
 
 var start = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
-// text is a sound document whose team stands for its content.
+// text returns a valid document that differs by its team only.
 func text(team string) string {
 	return fmt.Sprintf("Service = \"parlour-api\"\nTeam = %q\nKind = \"Plain\"\n", team)
 }
 
-// after returns the version that follows a with the text.
+// after returns the successor of a with the text of the team.
 func after(a ferryservice.Accepted, team string) ferryservice.Accepted {
 	next := a.Successor()
 	next.Service = "parlour-api"
@@ -30,7 +30,7 @@
 	return next
 }
 
-// chain returns versions 1 to n of one branch.
+// chain returns n successive versions of one branch, starting after from.
 func chain(branch string, from ferryservice.Accepted, n int) []ferryservice.Accepted {
 	out := []ferryservice.Accepted{}
 	for i := range n {
@@ -49,9 +49,9 @@
 func TestHolderVerdicts(t *testing.T) {
 	a := chain("a", ferryservice.Accepted{}, 20)
 	b := chain("b", a[1], 3)
-	settled := after(b[2], "settled")
-	settled.Supersedes = []string{a[2].Hash()}
-	afterSettled := after(settled, "later")
+	resolved := after(b[2], "settled")
+	resolved.Supersedes = []string{a[2].Hash()}
+	afterResolved := after(resolved, "later")
 	bad := after(a[2], "bad")
 	bad.Source = "Service = 3"
 	tests := []struct {
@@ -65,17 +65,17 @@
 		{"next", a[:2], ferrydocument.Taken, a[1], 0},
 		{"next twice", []ferryservice.Accepted{a[0], a[1], a[1]}, ferrydocument.Same, a[1], 0},
 		{"skips some", []ferryservice.Accepted{a[0], a[9]}, ferrydocument.Taken, a[9], 0},
-		{"skips more than are named", []ferryservice.Accepted{a[0], a[19]}, ferrydocument.Taken, a[19], 0},
+		{"skips more than the ancestors listed", []ferryservice.Accepted{a[0], a[19]}, ferrydocument.Taken, a[19], 0},
 		{"older", []ferryservice.Accepted{a[2], a[1]}, ferrydocument.Older, a[2], 0},
 		{"same generation, other text", []ferryservice.Accepted{a[2], b[0]}, ferrydocument.Forked, a[2], 1},
 		{"same alarm twice", []ferryservice.Accepted{a[2], b[0], b[0]}, ferrydocument.Forked, a[2], 1},
 		{"later, of another branch", []ferryservice.Accepted{a[2], b[1]}, ferrydocument.Forked, a[2], 1},
 		{"older, of another branch", []ferryservice.Accepted{a[3], b[0]}, ferrydocument.Forked, a[3], 1},
-		{"settles the branches", []ferryservice.Accepted{a[2], settled}, ferrydocument.Taken, settled, 0},
-		{"settles the other branch", []ferryservice.Accepted{b[2], settled}, ferrydocument.Taken, settled, 0},
-		{"settled a version ago", []ferryservice.Accepted{a[2], afterSettled}, ferrydocument.Taken, afterSettled, 0},
-		{"settles another branch than the one held", []ferryservice.Accepted{a[3], settled}, ferrydocument.Forked, a[3], 1},
-		{"unsound text", []ferryservice.Accepted{a[2], bad}, ferrydocument.Invalid, a[2], 1},
+		{"resolves the fork", []ferryservice.Accepted{a[2], resolved}, ferrydocument.Taken, resolved, 0},
+		{"resolves the fork from the other branch", []ferryservice.Accepted{b[2], resolved}, ferrydocument.Taken, resolved, 0},
+		{"fork resolved one version before", []ferryservice.Accepted{a[2], afterResolved}, ferrydocument.Taken, afterResolved, 0},
+		{"resolves another fork than the one held", []ferryservice.Accepted{a[3], resolved}, ferrydocument.Forked, a[3], 1},
+		{"invalid text", []ferryservice.Accepted{a[2], bad}, ferrydocument.Invalid, a[2], 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestDigestsSpreadWhatIsMissing(t *testing.T) {
+func TestDigestsFindMissingDocuments(t *testing.T) {
 	a := chain("a", ferryservice.Accepted{}, 3)
 	ahead, _ := newHolder()
 	behind, _ := newHolder()
@@ -114,7 +114,7 @@
 	assert.Equal(t, len(missing), 1)
 	assert.Equal(t, behind.Offer(missing[0], "peer"), ferrydocument.Taken)
 	assert.Equal(t, ahead.Digest().Sum(), behind.Digest().Sum())
-	assert.Equal(t, len(ahead.Missing(nil)), 1, "a fresh entry learns all")
+	assert.Equal(t, len(ahead.Missing(nil)), 1, "a new entry is sent every document")
 }
 
 func TestSubscriptionKeepsTheLatest(t *testing.T) {
--- a/ferry/ferrydocument/error.go
+++ b/ferry/ferrydocument/error.go
@@ -10,11 +10,11 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// LostRaceError says that the document had moved on from the version that was edited, so the change certainly is not accepted.
+// LostRaceError reports that another change was accepted after the edited version; this change is not accepted.
 type LostRaceError struct {
-	// Winner is the version that stands.
+	// Winner is the version in the store.
 	Winner ferryservice.Accepted
-	// Diff shows by lines what the winner and the loser changed.
+	// Diff shows the changes of both sides as unified diffs.
 	Diff string
 }
 
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("lost the race: generation %d of %s was accepted from %s at %s", e.Winner.Generation, e.Winner.Service, e.Winner.Operator, e.Winner.At.UTC().Format("15:04:05"))
 }
 
-// UnresolvedError says that it is not known whether the change is accepted, and which command settles it.
+// UnresolvedError reports that the outcome of a change is not known, with the command that resolves it.
 type UnresolvedError struct {
 	ApplyID string
 	Command string
@@ -35,7 +35,8 @@
 
 func (e *UnresolvedError) Unwrap() error { return e.Err }
 
-// ForkError says that the store holds another branch of the document than this entry, which an operator has to settle.
+// ForkError reports that the store and this entry have diverging branches of a document; an operator has to
+// resolve the fork.
 type ForkError struct {
 	Service         ferryid.ServiceName
 	StoreGeneration ferryid.Generation
@@ -49,7 +50,7 @@
 		e.StoreGeneration, e.StoreHash, e.Service, e.HeldGeneration, e.HeldHash, e.StoreGeneration, e.HeldHash)
 }
 
-// ApplyIDReusedError says that another change was accepted under the same apply id.
+// ApplyIDReusedError reports that another change was accepted under the same apply id.
 type ApplyIDReusedError struct {
 	ApplyID string
 }
@@ -58,7 +59,7 @@
 	return fmt.Sprintf("another change was accepted under apply id %s; use a fresh one", e.ApplyID)
 }
 
-// Status is the HTTP status with which an operators' API answers an error of Apply.
+// Status returns the HTTP status code of the operator API for an error of Apply.
 func Status(err error) int {
 	var (
 		lost       *LostRaceError
--- a/ferry/ferrydocument/holder.go
+++ b/ferry/ferrydocument/holder.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// maxServices bounds the documents of one holder, so that no ring of documents ever has to drop one.
+	// maxServices bounds the documents of one holder; subscription rings have this capacity and so never drop
+	// one.
 	maxServices = 4096
-	// maxAlarms bounds the alarms that are remembered so as not to be raised twice.
+	// maxAlarms bounds the alarms remembered for deduplication.
 	maxAlarms = 256
-	// maxHistoryBytes bounds the earlier texts that are kept of one service for three-way diffs.
+	// maxHistoryBytes bounds the earlier texts kept per service for three-way diffs.
 	maxHistoryBytes = 256 << 10
 )
 
-// The kinds of events that this package adds to the time line.
+// Kinds of events that this package adds to the time line.
 const (
 	EventTaken     = "DocumentTaken"
 	EventForked    = "DocumentForked"
@@ -36,27 +37,27 @@
 	EventLostRace  = "DocumentLostRace"
 )
 
-// InForce is an accepted document that is in force in this process; it is never changed once published.
+// InForce is an accepted document that is in force in this process; it is immutable once published.
 type InForce struct {
 	Accepted ferryservice.Accepted
 	Document ferryservice.Document
 	Hash     string
 	Since    time.Time
-	// From says where the document came from, such as "watch" or a peer's name.
+	// From is the source of the document, such as "store", "apply" or a peer's name.
 	From string
 
 	customers ferryservice.CustomerIndex
-	previous  *deltaOf
+	previous  *cachedDelta
 }
 
-// Customer returns the customer of the service whose key has been given.
+// Customer returns the customer of the service with the given API key.
 func (f *InForce) Customer(key string) (ferryservice.Customer, bool) {
 	return f.customers.Customer(key)
 }
 
 type inForceMap map[ferryid.ServiceName]*InForce
 
-// Holder keeps the one accepted document of each service that is in force in this process.
+// Holder keeps the document of each service that is in force in this process.
 type Holder struct {
 	clock   clockwork.Clock
 	events  *ferryevent.Log
@@ -68,7 +69,8 @@
 	subscribers map[*Subscription]struct{}
 }
 
-// NewHolder returns an empty holder that reports to the log; nil stands for a small one of its own.
+// NewHolder returns an empty holder that adds its events to the log, or to a small log of its own if events is
+// nil.
 func NewHolder(clock clockwork.Clock, events *ferryevent.Log) *Holder {
 	if events == nil {
 		events = ferryevent.NewLog(clock, "", maxAlarms)
@@ -83,18 +85,18 @@
 	return h
 }
 
-// Get returns the document in force for a service, without a lock or an allocation.
+// Get returns the document in force for a service; it takes no lock and does not allocate.
 func (h *Holder) Get(service ferryid.ServiceName) (*InForce, bool) {
 	f, ok := (*h.current.Load())[service]
 	return f, ok
 }
 
-// Len is the number of services with a document in force.
+// Len returns the number of services with a document in force.
 func (h *Holder) Len() int {
 	return len(*h.current.Load())
 }
 
-// All returns the documents in force, by service name.
+// All returns the documents in force, sorted by service name.
 func (h *Holder) All() []*InForce {
 	m := *h.current.Load()
 	out := slices.Collect(maps.Values(m))
@@ -102,15 +104,15 @@
 	return out
 }
 
-// Offer puts a document in force if it is a later version of the one in force, and says what it did.
+// Offer puts a document in force if it is a later version of the one in force, and returns what it did.
 func (h *Holder) Offer(a ferryservice.Accepted, source string) Verdict {
-	return h.offer(a, source, &deltaOf{})
+	return h.offer(a, source, &cachedDelta{})
 }
 
-// offer is Offer with the difference that the document came as.
-func (h *Holder) offer(a ferryservice.Accepted, source string, delta *deltaOf) Verdict {
+// offer is Offer with the delta that the document was received as, which peers can be sent again.
+func (h *Holder) offer(a ferryservice.Accepted, source string, delta *cachedDelta) Verdict {
 	held, _ := h.Get(a.Service)
-	if held != nil && repeats(held.Accepted, a) {
+	if held != nil && sameVersion(held.Accepted, a) {
 		return Same
 	}
 	hash := a.Hash()
@@ -124,17 +126,17 @@
 		return Invalid
 	}
 	f := &InForce{Accepted: a, Document: d, Hash: hash, Since: h.clock.Now(), From: source, customers: d.Customers.Index()}
-	return h.take(f, delta)
+	return h.publish(f, delta)
 }
 
-// repeats reports whether two versions are the same, more cheaply than by their hashes.
-func repeats(held, a ferryservice.Accepted) bool {
+// sameVersion reports whether two versions are the same, without computing a hash.
+func sameVersion(held, a ferryservice.Accepted) bool {
 	return a.Generation == held.Generation && a.PreviousHash == held.PreviousHash && a.ApplyID == held.ApplyID &&
 		a.Source == held.Source && slices.Equal(a.Supersedes, held.Supersedes)
 }
 
-// take publishes a document unless another came first in the meantime.
-func (h *Holder) take(f *InForce, delta *deltaOf) Verdict {
+// publish publishes a document unless a concurrent offer was published first.
+func (h *Holder) publish(f *InForce, delta *cachedDelta) Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := *h.current.Load()
@@ -148,13 +150,13 @@
 		return v
 	}
 	if held != nil && held.Hash != delta.base {
-		delta = &deltaOf{base: held.Hash, text: held.Accepted.Source}
+		delta = &cachedDelta{base: held.Hash, text: held.Accepted.Source}
 	}
 	f.previous = delta
 	next := maps.Clone(old)
 	next[f.Accepted.Service] = f
 	h.current.Store(&next)
-	h.keep(f.Accepted)
+	h.addToHistory(f.Accepted)
 	for s := range h.subscribers {
 		s.ring.Put(f.Accepted.Service, f)
 	}
@@ -162,8 +164,8 @@
 	return Taken
 }
 
-// keep remembers a version for three-way diffs; the oldest give way.
-func (h *Holder) keep(a ferryservice.Accepted) {
+// addToHistory stores a version for three-way diffs and evicts the oldest above maxHistoryBytes.
+func (h *Holder) addToHistory(a ferryservice.Accepted) {
 	list := append(h.history[a.Service], a)
 	size := 0
 	for i := len(list) - 1; i >= 0; i-- {
@@ -176,7 +178,8 @@
 	h.history[a.Service] = list
 }
 
-// Version returns a version of a document that was in force in this process, if it is still remembered.
+// Version returns an earlier or the current version of a document, if it was in force here and is still in the
+// history.
 func (h *Holder) Version(service ferryid.ServiceName, g ferryid.Generation) (ferryservice.Accepted, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -209,7 +212,7 @@
 	h.alarmLocked(kind, a, hash, source, text)
 }
 
-// alarmLocked adds an event once for each version.
+// alarmLocked adds an event, once per kind and version.
 func (h *Holder) alarmLocked(kind string, a ferryservice.Accepted, hash, source, text string) {
 	key := kind + hash
 	if slices.Contains(h.alarms, key) {
--- a/ferry/ferrydocument/model_test.go
+++ b/ferry/ferrydocument/model_test.go
@@ -25,24 +25,24 @@
 	modelService   = ferryid.ServiceName("parlour-api")
 )
 
-// TestMain fixes the seed of rapid; its flags still override it.
+// TestMain sets the default seed of rapid; its flags override it.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 20261204, Checks: 250, Steps: 60})
 }
 
-// modelEntry is one entry: its holder, its watcher, and what was last seen in force.
+// modelEntry is one entry with its holder, its watcher and the version last checked.
 type modelEntry struct {
-	name    string
-	holder  *Holder
-	events  *ferryevent.Log
-	watch   *watchCore
-	action  watchAction
-	shown   []ferryplatform.Changes
-	lastGen ferryid.Generation
-	last    string
+	name         string
+	holder       *Holder
+	events       *ferryevent.Log
+	watch        *watchCore
+	action       watchAction
+	watchAnswers []ferryplatform.Changes
+	lastGen      ferryid.Generation
+	lastHash     string
 }
 
-// modelOperator is one operator with at most one apply under way.
+// modelOperator is an operator with at most one apply in progress.
 type modelOperator struct {
 	core   *applyCore
 	action applyAction
@@ -59,16 +59,16 @@
 	n         int
 	restored  bool
 	acked     []ferryservice.Accepted
-	// bases are the generations that the acknowledged changes were edits of.
-	bases []ferryid.Generation
-	lost  map[string]bool
-	// onTheWay are answers to digests that have not arrived.
-	onTheWay []func()
+	// bases holds the base generation of each acknowledged change.
+	bases   []ferryid.Generation
+	refused map[string]bool
+	// delayed holds deliveries of updates that are delayed.
+	delayed []func()
 }
 
 func newModel() *model {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC))
-	m := &model{clock: clock, store: ferryplatformtest.New(clock), lost: map[string]bool{}}
+	m := &model{clock: clock, store: ferryplatformtest.New(clock), refused: map[string]bool{}}
 	for i := range m.entries {
 		m.entries[i] = m.newEntry()
 	}
@@ -98,11 +98,11 @@
 	return 0
 }
 
-// start begins an apply by an idle operator through an entry, of what is in force there.
+// start begins an apply by an idle operator, on top of the version in force at a random entry.
 func (m *model) start(t *rapid.T) {
 	op := m.operators[rapid.IntRange(0, modelOperators-1).Draw(t, "operator")]
 	if op.core != nil {
-		t.Skip("busy")
+		t.Skip("operator is busy")
 	}
 	op.entry = m.entry(t)
 	m.n++
@@ -124,14 +124,14 @@
 	op.action = op.core.next(applyStarted{})
 }
 
-// stepApply performs one action of an apply under way.
+// stepApply performs one action of an apply in progress, or lets the apply expire.
 func (m *model) stepApply(t *rapid.T) {
 	op := m.operators[rapid.IntRange(0, modelOperators-1).Draw(t, "operator")]
 	if op.core == nil {
-		t.Skip("idle")
+		t.Skip("operator is idle")
 	}
-	if rapid.IntRange(0, 19).Draw(t, "gives up") == 0 {
-		op.action = op.core.next(applyExpired{errPatience})
+	if rapid.IntRange(0, 19).Draw(t, "expires now") == 0 {
+		op.action = op.core.next(applyExpired{errApplyTimeout})
 	} else {
 		op.action = op.core.next(m.perform(t.Context(), op.action))
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	req := op.core.req
-	op.entry.holder.settle(req, end)
+	op.entry.holder.recordOutcome(req, end)
 	op.core = nil
 	if end.err == nil {
 		m.acked = append(m.acked, end.accepted)
@@ -165,15 +165,15 @@
 		return
 	}
 	if !errors.As(end.err, new(*UnresolvedError)) {
-		m.lost[req.ApplyID] = true
+		m.refused[req.ApplyID] = true
 	}
 }
 
-// stepWatch performs one action of an entry's watcher; a stale answer is one that was given before.
+// stepWatch performs one action of an entry's watcher, sometimes with a stale answer of an earlier watch.
 func (m *model) stepWatch(t *rapid.T) {
 	e := m.entry(t)
-	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 && len(e.shown) > 0 {
-		m.watchOnce(t.Context(), e, &e.shown[rapid.IntRange(0, len(e.shown)-1).Draw(t, "answer")])
+	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 && len(e.watchAnswers) > 0 {
+		m.watchOnce(t.Context(), e, &e.watchAnswers[rapid.IntRange(0, len(e.watchAnswers)-1).Draw(t, "answer")])
 		return
 	}
 	m.watchOnce(t.Context(), e, nil)
@@ -188,12 +188,12 @@
 	case watchStore:
 		c, err := m.store.Watch(ctx, ferryservice.ObjectKind, a.after, 0)
 		if err == nil {
-			e.shown = append(e.shown, c)
+			e.watchAnswers = append(e.watchAnswers, c)
 		}
 		if stale != nil {
 			c, err = *stale, nil
 		}
-		msg = watchSeen{c, err, watchWait}
+		msg = watchReturned{c, err, watchWait}
 	case repairStore:
 		_, err := m.store.Put(ctx, ferryservice.ObjectKind, string(modelService), a.expected, encode(a.accepted))
 		msg = watchRepaired{err}
@@ -206,18 +206,18 @@
 	i := rapid.IntRange(0, modelEntries-1).Draw(t, "from")
 	j := rapid.IntRange(0, modelEntries-1).Draw(t, "to")
 	if m.cut[i][j] {
-		t.Skip("cut off")
+		t.Skip("link is partitioned")
 	}
-	m.tell(m.entries[i], m.entries[j])
+	m.sendUpdates(m.entries[i], m.entries[j])
 }
 
-// tell passes whole documents and differences on at once, as the overlay does.
-func (m *model) tell(from, to *modelEntry) {
-	arrive(to, from.holder.Updates(to.holder.Digest()), from.name)
+// sendUpdates sends the documents that an entry lacks, whole or as deltas, as the overlay does.
+func (m *model) sendUpdates(from, to *modelEntry) {
+	deliver(to, from.holder.Updates(to.holder.Digest()), from.name)
 }
 
-// arrive has an entry take updates, which may have been on the way for long.
-func arrive(to *modelEntry, us []Update, from string) {
+// deliver delivers updates to an entry, possibly delayed ones.
+func deliver(to *modelEntry, us []Update, from string) {
 	for _, u := range us {
 		if _, err := to.holder.Take(u, from); err != nil {
 			panic(err)
@@ -225,22 +225,22 @@
 	}
 }
 
-// late lets what one entry answers to another's digest arrive there after later steps.
-func (m *model) late(t *rapid.T) {
+// delayUpdates computes the updates for an entry now and delays their delivery.
+func (m *model) delayUpdates(t *rapid.T) {
 	i := rapid.IntRange(0, modelEntries-1).Draw(t, "from")
 	j := rapid.IntRange(0, modelEntries-1).Draw(t, "to")
 	from, us := m.entries[i].name, m.entries[i].holder.Updates(m.entries[j].holder.Digest())
-	m.onTheWay = append(m.onTheWay, func() { arrive(m.entries[j], us, from) })
+	m.delayed = append(m.delayed, func() { deliver(m.entries[j], us, from) })
 }
 
-// arrival ends the way of some updates.
-func (m *model) arrival(t *rapid.T) {
-	if len(m.onTheWay) == 0 {
-		t.Skip("nothing on the way")
+// deliverDelayed delivers one of the delayed updates.
+func (m *model) deliverDelayed(t *rapid.T) {
+	if len(m.delayed) == 0 {
+		t.Skip("no delayed updates")
 	}
-	i := rapid.IntRange(0, len(m.onTheWay)-1).Draw(t, "which")
-	m.onTheWay[i]()
-	m.onTheWay = append(m.onTheWay[:i:i], m.onTheWay[i+1:]...)
+	i := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "which")
+	m.delayed[i]()
+	m.delayed = append(m.delayed[:i:i], m.delayed[i+1:]...)
 }
 
 func (m *model) partition(t *rapid.T) {
@@ -265,12 +265,12 @@
 	m.clock.Advance(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// join replaces an entry by a fresh one, unless it has the only copy of something that was acknowledged.
+// join replaces an entry by a new one, unless it has the only copy of an acknowledged version.
 func (m *model) join(t *rapid.T) {
 	i := rapid.IntRange(0, modelEntries-1).Draw(t, "entry")
 	for _, op := range m.operators {
 		if op.core != nil && op.entry == m.entries[i] {
-			t.Skip("in use")
+			t.Skip("entry has an apply in progress")
 		}
 	}
 	best := ferryid.Generation(0)
@@ -283,12 +283,12 @@
 		}
 	}
 	if best < m.entries[i].generation() {
-		t.Skip("has the only copy")
+		t.Skip("entry has the only copy")
 	}
 	m.entries[i] = m.newEntry()
 }
 
-// stored returns what the store holds, whatever its faults.
+// stored returns the version in the store, with the store's faults switched off for the read.
 func (m *model) stored() ferryservice.Accepted {
 	f := m.store.Faults()
 	m.store.SetFaults(ferryplatformtest.Faults{})
@@ -304,7 +304,7 @@
 	return a
 }
 
-// check holds the state against what must always be true.
+// check verifies the invariants of the model.
 func (m *model) check(t *rapid.T) {
 	for _, e := range m.entries {
 		m.checkEntry(t, e)
@@ -321,11 +321,12 @@
 			t.Fatalf("two changes were acknowledged as generation %d", a.Generation)
 		}
 		byGeneration[a.Generation] = a.Hash()
-		m.checkKept(t, "store", m.stored(), a)
+		m.checkIncluded(t, "store", m.stored(), a)
 	}
 }
 
-// checkEntry lets no entry step back, change a generation, drop what was acknowledged, or have what was refused.
+// checkEntry verifies that an entry never goes back a generation, changes a generation's content, loses an
+// acknowledged change or has a refused change in force.
 func (m *model) checkEntry(t *rapid.T, e *modelEntry) {
 	f, ok := e.holder.Get(modelService)
 	if !ok {
@@ -335,36 +336,37 @@
 		return
 	}
 	g := f.Accepted.Generation
-	if g < e.lastGen || (g == e.lastGen && f.Hash != e.last) {
-		t.Fatalf("%s stepped from %d %.8s to %d %.8s", e.name, e.lastGen, e.last, g, f.Hash)
+	if g < e.lastGen || (g == e.lastGen && f.Hash != e.lastHash) {
+		t.Fatalf("%s went from generation %d %.8s to %d %.8s", e.name, e.lastGen, e.lastHash, g, f.Hash)
 	}
-	e.lastGen, e.last = g, f.Hash
+	e.lastGen, e.lastHash = g, f.Hash
 	if m.restored {
 		return
 	}
 	for _, a := range m.acked {
 		if a.Generation <= g {
-			m.checkKept(t, e.name, f.Accepted, a)
+			m.checkIncluded(t, e.name, f.Accepted, a)
 		}
 	}
-	if m.lost[f.Accepted.ApplyID] {
-		t.Fatalf("%s has %s in force, whose operator was told that it lost", e.name, f.Accepted.ApplyID)
+	if m.refused[f.Accepted.ApplyID] {
+		t.Fatalf("%s has %s in force, which was reported as refused", e.name, f.Accepted.ApplyID)
 	}
 }
 
-func (m *model) checkKept(t *rapid.T, where string, in, acked ferryservice.Accepted) {
+func (m *model) checkIncluded(t *rapid.T, where string, in, acked ferryservice.Accepted) {
 	if in.Hash() == acked.Hash() {
 		return
 	}
 	if in.Generation <= acked.Generation || in.DescendsFrom(acked.Generation, acked.Hash()) == ferryservice.Diverges {
-		t.Fatalf("%s at generation %d lost the acknowledged generation %d", where, in.Generation, acked.Generation)
+		t.Fatalf("%s at generation %d does not include acknowledged generation %d", where, in.Generation, acked.Generation)
 	}
 }
 
-// heal ends all faults and lets every duty go on until nothing changes.
+// heal ends all faults and runs applies, watchers and gossip until they converge.
 func (m *model) heal(t *rapid.T) {
 	m.store.SetFaults(ferryplatformtest.Faults{})
-	// A store that went back and was written until its version is where a watcher was is noticed by the next list only.
+	// A rolled-back store that was written up to the version of a watcher again is detected by the next list
+	// only.
 	m.clock.Advance(2 * relistInterval)
 	for _, op := range m.operators {
 		for range 20 {
@@ -374,24 +376,24 @@
 			}
 		}
 		if op.core != nil {
-			t.Fatal("an apply does not end on a sound store")
+			t.Fatal("apply did not end on a store without faults")
 		}
 	}
-	m.spread(t)
+	m.converge(t)
 }
 
-func (m *model) spread(t *rapid.T) {
+func (m *model) converge(t *rapid.T) {
 	for range 8 {
 		for _, e := range m.entries {
 			m.watchOnce(t.Context(), e, nil)
 			for _, o := range m.entries {
-				m.tell(e, o)
+				m.sendUpdates(e, o)
 			}
 		}
 	}
 }
 
-func (m *model) checkSame(t *rapid.T) {
+func (m *model) checkConverged(t *rapid.T) {
 	want := m.stored()
 	for _, e := range m.entries {
 		f, ok := e.holder.Get(modelService)
@@ -408,12 +410,12 @@
 	return map[string]func(*rapid.T){
 		"apply":     m.start,
 		"stepApply": m.stepApply,
-		// Twice, as an apply takes several steps.
+		// A second key doubles the weight, as an apply takes several steps.
 		"stepApply2": m.stepApply,
 		"watch":      m.stepWatch,
 		"gossip":     m.gossip,
-		"late":       m.late,
-		"arrival":    m.arrival,
+		"late":       m.delayUpdates,
+		"arrival":    m.deliverDelayed,
 		"partition":  m.partition,
 		"faults":     m.faults,
 		"advance":    m.advance,
@@ -422,17 +424,17 @@
 	}
 }
 
-// TestModelKeepsWhatWasAcknowledged runs random histories without restores of the store.
+// TestModelKeepsWhatWasAcknowledged runs random histories without rollbacks of the store.
 func TestModelKeepsWhatWasAcknowledged(t *testing.T) {
-	acked, lost := 0, 0
+	acked, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		t.Repeat(m.actions())
 		m.heal(t)
 		m.check(t)
-		m.checkSame(t)
+		m.checkConverged(t)
 		acked += len(m.acked)
-		lost += len(m.lost)
+		refused += len(m.refused)
 	})
-	t.Logf("%d changes acknowledged, %d refused", acked, lost)
+	t.Logf("%d changes acknowledged, %d refused", acked, refused)
 }
--- a/ferry/ferrydocument/request.go
+++ b/ferry/ferrydocument/request.go
@@ -19,31 +19,32 @@
 	maxSupersedes    = 8
 )
 
-// ApplyRequest asks to make a text the next version of a service document.
+// ApplyRequest is a request to make a text the next version of a service document.
 type ApplyRequest struct {
 	Service ferryid.ServiceName `json:"-"`
 	// Source is the text of the new version, at most 768 KiB.
 	Source string `json:"Source"`
-	// BaseGeneration is the version that was edited, and 0 for a new service.
+	// BaseGeneration is the generation that was edited, 0 for a new service.
 	BaseGeneration ferryid.Generation `json:"BaseGeneration"`
-	// Operator says who applies.
+	// Operator is the name of the operator.
 	Operator string `json:"Operator"`
-	// ApplyID identifies the change; repeating a request under the same id never applies it twice.
+	// ApplyID identifies the change; a request repeated with the same id is applied at most once.
 	ApplyID string `json:"ApplyID"`
-	// Supersedes are the hashes of versions of other branches that the new version replaces on purpose.
+	// Supersedes lists hashes of versions on other branches that the new version replaces.
 	Supersedes []string `json:"Supersedes,omitempty"`
-	// InForce is the version in force at this entry, which is put back if the store has gone back; nil if there is none.
+	// InForce is the version in force at this entry, nil if there is none; it is written back to a store that
+	// lost it.
 	InForce *ferryservice.Accepted `json:"-"`
-	// Base is the version that was edited, if this entry still has it; it makes the diff of a lost race three-way.
+	// Base is the version that was edited, if this entry still has it, for the three-way diff of a lost race.
 	Base *ferryservice.Accepted `json:"-"`
 }
 
-// NewApplyID returns a fresh random apply id.
+// NewApplyID returns a random apply id.
 func NewApplyID() string {
 	return uuid.NewString()
 }
 
-// RequestError says what is wrong with an ApplyRequest, beside its text.
+// RequestError reports an invalid field of an ApplyRequest; faults of its text are a *ferrytoml.FaultsError.
 type RequestError struct {
 	Field string
 	Text  string
@@ -53,7 +54,8 @@
 	return fmt.Sprintf("apply request: %s: %s", e.Field, e.Text)
 }
 
-// DecodeApplyRequest reads the JSON body of a request to apply to the service, and checks all but its text.
+// DecodeApplyRequest decodes the JSON body of an apply request for the service and checks all fields but the
+// text.
 func DecodeApplyRequest(service ferryid.ServiceName, b []byte) (ApplyRequest, error) {
 	var req ApplyRequest
 	d := json.NewDecoder(strings.NewReader(string(b)))
@@ -82,17 +84,17 @@
 	return nil
 }
 
-// Command is the ferryctl command that settles the request if its outcome is not known, with the file that it came from.
+// Command returns the ferryctl command that repeats the request from a file, to resolve an unknown outcome.
 func (r ApplyRequest) Command(file string) string {
-	command := fmt.Sprintf("ferryctl apply %s --base %d --apply-id %s --operator %s", quote(file), r.BaseGeneration, quote(r.ApplyID), quote(r.Operator))
+	command := fmt.Sprintf("ferryctl apply %s --base %d --apply-id %s --operator %s", shellQuote(file), r.BaseGeneration, shellQuote(r.ApplyID), shellQuote(r.Operator))
 	for _, s := range r.Supersedes {
-		command += " --supersedes " + quote(s)
+		command += " --supersedes " + shellQuote(s)
 	}
 	return command
 }
 
-// quote quotes an argument for a POSIX shell.
-func quote(s string) string {
+// shellQuote returns an argument quoted for a POSIX shell if it needs that.
+func shellQuote(s string) string {
 	if !strings.ContainsFunc(s, func(r rune) bool { return !strings.ContainsRune(shellSafe, r) }) {
 		return cmp.Or(s, "''")
 	}
--- a/ferry/ferrydocument/restore_test.go
+++ b/ferry/ferrydocument/restore_test.go
@@ -10,7 +10,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// snapshot and restore go back only while some entry has all that was acknowledged.
+// restore rolls the store back, unless the store has the only copy of an acknowledged version.
 func (m *model) restore(t *rapid.T) {
 	best := ferryid.Generation(0)
 	for _, e := range m.entries {
@@ -24,7 +24,8 @@
 	}
 }
 
-// forked returns an entry whose document is not an ancestor or successor of the store's.
+// forked returns an entry whose document is neither an ancestor nor a successor of the one in the store, or
+// nil.
 func (m *model) forked() *modelEntry {
 	stored := m.stored()
 	for _, e := range m.entries {
@@ -35,7 +36,8 @@
 	return nil
 }
 
-// TestModelNeverStepsBackWhenTheStoreDoes adds restores: branches may then form, but never silently, and can be settled.
+// TestModelNeverStepsBackWhenTheStoreDoes runs random histories with rollbacks of the store. Branches may then
+// form, but each must raise an alarm and be resolvable with --supersedes.
 func TestModelNeverStepsBackWhenTheStoreDoes(t *testing.T) {
 	forks, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,22 +56,22 @@
 				break
 			}
 			forks++
-			m.settleFork(t, e)
+			m.resolveFork(t, e)
 		}
 		m.check(t)
-		m.checkSame(t)
+		m.checkConverged(t)
 	})
-	t.Logf("%d histories with a restore, %d forks settled", restores, forks)
+	t.Logf("%d histories with a restore, %d forks resolved", restores, forks)
 }
 
-// settleFork does what the alarm tells the operator to do, at the entry that raised it.
-func (m *model) settleFork(t *rapid.T, e *modelEntry) {
+// resolveFork resolves the fork as the alarm asks the operator to, at the entry that raised it.
+func (m *model) resolveFork(t *rapid.T, e *modelEntry) {
 	alarm := false
 	for _, ev := range e.events.Events() {
 		alarm = alarm || ev.Kind == EventForked
 	}
 	if !alarm {
-		t.Fatalf("%s is on another branch than the store and raised no alarm", e.name)
+		t.Fatalf("%s diverges from the store and raised no alarm", e.name)
 	}
 	f, _ := e.holder.Get(modelService)
 	op := m.operators[0]
@@ -86,5 +88,5 @@
 		}
 	}
 	m.clock.Advance(time.Minute)
-	m.spread(t)
+	m.converge(t)
 }
--- a/ferry/ferrydocument/subscription.go
+++ b/ferry/ferrydocument/subscription.go
@@ -5,7 +5,8 @@
 	"cactusferry.dev/ferry/ferryring"
 )
 
-// Subscription receives each document that comes into force; of one service only the latest waits, and none is dropped.
+// Subscription receives the documents that come into force. For a slow receiver the versions of one service are
+// coalesced to the latest; no service is dropped.
 type Subscription struct {
 	holder *Holder
 	ring   *ferryring.Coalesce[ferryid.ServiceName, *InForce]
@@ -23,12 +24,12 @@
 	return s
 }
 
-// Ready receives after documents came into force.
+// Ready returns a channel that receives when documents are waiting.
 func (s *Subscription) Ready() <-chan struct{} {
 	return s.ring.Ready()
 }
 
-// Take removes and returns the waiting documents.
+// Take returns the waiting documents and removes them from the subscription.
 func (s *Subscription) Take() []*InForce {
 	return s.ring.Take()
 }
--- a/ferry/ferrydocument/trace_test.go
+++ b/ferry/ferrydocument/trace_test.go
@@ -19,14 +19,14 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// tracePlayer replays a recorded trace on the model; entries and operators count from 1.
+// tracePlayer replays a trace on the model; entries and operators are numbered from 1.
 type tracePlayer struct {
 	t   *testing.T
 	m   *model
 	out strings.Builder
 }
 
-// TestTraces replays each trace and compares outcomes and time line with its golden file.
+// TestTraces replays each trace and compares the outcomes and the time line with the golden file.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/traces/*.trace")
 	assert.NilError(t, err)
@@ -50,7 +50,7 @@
 	}
 }
 
-// play performs one line of a trace.
+// play executes one line of a trace.
 func (p *tracePlayer) play(word string, args []string) error {
 	switch word {
 	case "apply":
@@ -58,18 +58,18 @@
 	case "step":
 		op := p.m.operators[p.number(args, 0)-1]
 		if op.core == nil {
-			return errors.New("the operator's apply has ended")
+			return errors.New("operator has no apply in progress")
 		}
 		op.action = op.core.next(p.m.perform(p.t.Context(), op.action))
 		p.end(op, args[0])
 	case "expire":
 		op := p.m.operators[p.number(args, 0)-1]
-		op.action = op.core.next(applyExpired{errPatience})
+		op.action = op.core.next(applyExpired{errApplyTimeout})
 		p.end(op, args[0])
 	case "watch":
 		p.m.watchOnce(p.t.Context(), p.m.entries[p.number(args, 0)-1], nil)
 	case "gossip":
-		p.m.tell(p.m.entries[p.number(args, 0)-1], p.m.entries[p.number(args, 1)-1])
+		p.m.sendUpdates(p.m.entries[p.number(args, 0)-1], p.m.entries[p.number(args, 1)-1])
 	case "join":
 		p.m.entries[p.number(args, 0)-1] = p.m.newEntry()
 	case "faults":
@@ -83,7 +83,7 @@
 	case "restore":
 		p.m.store.Restore()
 	default:
-		return fmt.Errorf("unknown word %q", word)
+		return fmt.Errorf("unknown command %q", word)
 	}
 	return nil
 }
@@ -94,7 +94,8 @@
 	return n
 }
 
-// apply takes OPERATOR ENTRY BASE TEAM [SUPERSEDES], the last being the entry whose version is replaced.
+// apply starts an apply; its arguments are OPERATOR ENTRY BASE TEAM [SUPERSEDES], the last one the number of
+// the entry whose version is superseded.
 func (p *tracePlayer) apply(args []string) error {
 	op := p.m.operators[p.number(args, 0)-1]
 	op.entry = p.m.entries[p.number(args, 1)-1]
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// finish writes what is in force where, and the merged time line.
+// finish prints the versions in force at each entry and in the store, and the merged time line.
 func (p *tracePlayer) finish() {
 	var logs []ferryevent.Events
 	for _, e := range p.m.entries {
--- a/ferry/ferrydocument/unseen_test.go
+++ b/ferry/ferrydocument/unseen_test.go
@@ -13,8 +13,9 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TestWatcherNoticesAStoreThatWentBackToWhereItWas covers a version that came by a peer and that the store then lost.
-func TestWatcherNoticesAStoreThatWentBackToWhereItWas(t *testing.T) {
+// TestWatcherDetectsRollbackToLastWatchedVersion guards against a rollback that the watch does not show: a
+// version arrives from a peer, and the store is rolled back to the version that the watch last returned.
+func TestWatcherDetectsRollbackToLastWatchedVersion(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC))
 	store := ferryplatformtest.New(clock)
 	h := NewHolder(clock, nil)
@@ -25,7 +26,7 @@
 	assert.Equal(t, h.Offer(a, "peer"), Taken)
 	changes, err := store.Watch(t.Context(), ferryservice.ObjectKind, 0, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, core.next(watchSeen{changes, nil, watchWait}, clock.Now()), watchAction(listStore{}))
+	assert.Equal(t, core.next(watchReturned{changes, nil, watchWait}, clock.Now()), watchAction(listStore{}))
 	action := core.next(watchListed{}, clock.Now())
 	repair, ok := action.(repairStore)
 	assert.Assert(t, ok, "%T", action)
--- a/ferry/ferrydocument/update_test.go
+++ b/ferry/ferrydocument/update_test.go
@@ -10,8 +10,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// longer returns a version whose text is long enough for a difference to be worth it.
-func longer(a ferryservice.Accepted, team string) ferryservice.Accepted {
+// nextLong returns the next version of a, with a text long enough to be sent as a delta.
+func nextLong(a ferryservice.Accepted, team string) ferryservice.Accepted {
 	next := after(a, team)
 	next.Source += "# "
 	for range 400 {
@@ -21,7 +21,7 @@
 	return next
 }
 
-func overTheWire(t *testing.T, u ferrydocument.Update) ferrydocument.Update {
+func cborRoundTrip(t *testing.T, u ferrydocument.Update) ferrydocument.Update {
 	t.Helper()
 	b, err := cbor.Marshal(u)
 	assert.NilError(t, err)
@@ -30,21 +30,21 @@
 	return out
 }
 
-func TestUpdatesAreDifferencesWhereTheReceiverHoldsTheBase(t *testing.T) {
-	v1 := longer(ferryservice.Accepted{}, "a")
-	v2 := longer(v1, "b")
-	v3 := longer(v2, "c")
+func TestUpdatesUseDeltaIfReceiverHasBase(t *testing.T) {
+	v1 := nextLong(ferryservice.Accepted{}, "a")
+	v2 := nextLong(v1, "b")
+	v3 := nextLong(v2, "c")
 	for _, tc := range []struct {
 		name    string
 		holds   []ferryservice.Accepted
 		refuses bool
 		delta   bool
 	}{
-		{"the version before", []ferryservice.Accepted{v1, v2}, false, true},
+		{"predecessor", []ferryservice.Accepted{v1, v2}, false, true},
 		{"an older version", []ferryservice.Accepted{v1}, false, false},
 		{"nothing", nil, false, false},
 		{"an older release", []ferryservice.Accepted{v1, v2}, true, false},
-		{"another branch", []ferryservice.Accepted{v1, longer(v1, "other")}, false, false},
+		{"another branch", []ferryservice.Accepted{v1, nextLong(v1, "other")}, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ahead, _ := newHolder()
@@ -63,7 +63,7 @@
 			assert.Equal(t, len(us), 1)
 			assert.Equal(t, len(us[0].Delta) > 0, tc.delta)
 			assert.Equal(t, us[0].Source == "", tc.delta)
-			v, err := behind.Take(overTheWire(t, us[0]), "peer")
+			v, err := behind.Take(cborRoundTrip(t, us[0]), "peer")
 			assert.NilError(t, err)
 			if tc.name == "another branch" {
 				assert.Equal(t, v, ferrydocument.Forked)
@@ -83,8 +83,8 @@
 	}
 }
 
-func TestAWholeUpdateIsWhatAnOlderReleaseReads(t *testing.T) {
-	a := longer(ferryservice.Accepted{}, "a")
+func TestWholeUpdateEncodesLikeAccepted(t *testing.T) {
+	a := nextLong(ferryservice.Accepted{}, "a")
 	old, err := cbor.Marshal(a)
 	assert.NilError(t, err)
 	now, err := cbor.Marshal(ferrydocument.Update{Accepted: a})
@@ -92,24 +92,24 @@
 	assert.DeepEqual(t, old, now)
 }
 
-func TestAWrongUpdateChangesNothing(t *testing.T) {
-	v1 := longer(ferryservice.Accepted{}, "a")
-	v2 := longer(v1, "b")
+func TestInvalidUpdateIsRefused(t *testing.T) {
+	v1 := nextLong(ferryservice.Accepted{}, "a")
+	v2 := nextLong(v1, "b")
 	ahead, _ := newHolder()
 	ahead.Offer(v1, "store")
 	ahead.Offer(v2, "store")
 	behind, _ := newHolder()
 	behind.Offer(v1, "store")
 	good := ahead.Updates(behind.Digest())[0]
-	other := longer(v1, "c")
+	other := nextLong(v1, "c")
 	for _, tc := range []struct {
 		name    string
 		change  func(u *ferrydocument.Update)
 		verdict ferrydocument.Verdict
 	}{
-		{"cut", func(u *ferrydocument.Update) { u.Delta = u.Delta[:len(u.Delta)-1] }, ferrydocument.Invalid},
+		{"truncated delta", func(u *ferrydocument.Update) { u.Delta = u.Delta[:len(u.Delta)-1] }, ferrydocument.Invalid},
 		{"garbage", func(u *ferrydocument.Update) { u.Delta = []byte("sheep") }, ferrydocument.Invalid},
-		{"a bit turned", func(u *ferrydocument.Update) {
+		{"one bit flipped", func(u *ferrydocument.Update) {
 			u.Delta = append([]byte{}, u.Delta...)
 			u.Delta[len(u.Delta)/2] ^= 1
 		}, ferrydocument.Invalid},
@@ -118,10 +118,10 @@
 		{"another base", func(u *ferrydocument.Update) { u.Base = other.Hash() }, ferrydocument.NoBase},
 		{"no base", func(u *ferrydocument.Update) { u.Base = "" }, ferrydocument.NoBase},
 		{"another service", func(u *ferrydocument.Update) { u.Service = "other" }, ferrydocument.NoBase},
-		{"neither text nor difference", func(u *ferrydocument.Update) { u.Delta = nil }, ferrydocument.Invalid},
+		{"neither text nor delta", func(u *ferrydocument.Update) { u.Delta = nil }, ferrydocument.Invalid},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			u := overTheWire(t, good)
+			u := cborRoundTrip(t, good)
 			tc.change(&u)
 			v, err := behind.Take(u, "peer")
 			assert.Equal(t, v, tc.verdict)
@@ -138,8 +138,8 @@
 }
 
 func FuzzTake(f *testing.F) {
-	v1 := longer(ferryservice.Accepted{}, "a")
-	v2 := longer(v1, "b")
+	v1 := nextLong(ferryservice.Accepted{}, "a")
+	v2 := nextLong(v1, "b")
 	ahead, _ := newHolder()
 	ahead.Offer(v1, "store")
 	behind, _ := newHolder()
--- a/ferry/ferrydocument/verdict.go
+++ b/ferry/ferrydocument/verdict.go
@@ -5,10 +5,10 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// Verdict is what a Holder did with a document that it was offered.
+// Verdict is the result of offering a document to a Holder.
 type Verdict string
 
-// The verdicts; only Taken changes what is in force.
+// Verdicts; only Taken changes the document in force.
 const (
 	// Taken means that the document is now in force.
 	Taken Verdict = "Taken"
@@ -16,17 +16,18 @@
 	Same Verdict = "Same"
 	// Older means that a later generation is in force.
 	Older Verdict = "Older"
-	// Forked means that the document comes from another branch than the one in force, which an operator has to settle.
+	// Forked means that the document and the one in force are on diverging branches; an operator has to
+	// resolve the fork.
 	Forked Verdict = "Forked"
-	// Invalid means that the document does not pass its own checks.
+	// Invalid means that the document failed validation.
 	Invalid Verdict = "Invalid"
-	// Full means that the holder has as many services as it may have.
+	// Full means that the holder has reached its maximum number of services.
 	Full Verdict = "Full"
-	// NoBase means that a difference applies to a version that is not in force.
+	// NoBase means that the base of a delta is not in force.
 	NoBase Verdict = "NoBase"
 )
 
-// compare judges a document by its place in the history alone; held is nil if the service is new.
+// compare returns the verdict on a document by its ancestry alone; held is nil if the service is new.
 func compare(held *InForce, a ferryservice.Accepted, hash string) Verdict {
 	if held == nil {
 		return Taken
@@ -45,7 +46,7 @@
 	return Taken
 }
 
-// compareOlder tells an earlier version of the document in force from one of another branch.
+// compareOlder distinguishes an ancestor of the document in force from an older version on another branch.
 func compareOlder(held *InForce, g ferryid.Generation, hash string) Verdict {
 	if held.Accepted.DescendsFrom(g, hash) == ferryservice.Diverges {
 		return Forked
--- a/ferry/ferrydocument/watchcore.go
+++ b/ferry/ferrydocument/watchcore.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// watchWait is how long the platform may hold one watch.
+	// watchWait is the long-poll timeout of one watch.
 	watchWait = 30 * time.Second
-	// relistInterval bounds the time for which a change that a watch never showed stays unseen.
+	// relistInterval is the average interval of full lists, which find changes that a watch missed.
 	relistInterval = 5 * time.Minute
 )
 
-// watchMessage is what happened to a watcher.
+// watchMessage is an input of watchCore.
 type watchMessage interface{ watchMessage() }
 
 type (
-	// watchStarted asks for the first action, after a start or after a pause.
+	// watchStarted requests the next action after a start or a pause.
 	watchStarted struct{}
-	// watchListed is the answer to listStore.
+	// watchListed is the result of listStore.
 	watchListed struct {
 		changes ferryplatform.Changes
 		err     error
 	}
-	// watchSeen is the answer to watchStore.
-	watchSeen struct {
+	// watchReturned is the result of watchStore.
+	watchReturned struct {
 		changes ferryplatform.Changes
 		err     error
-		took    time.Duration
+		elapsed time.Duration
 	}
-	// watchRepaired is the answer to repairStore.
+	// watchRepaired is the result of repairStore.
 	watchRepaired struct{ err error }
 )
 
 func (watchStarted) watchMessage()  {}
 func (watchListed) watchMessage()   {}
-func (watchSeen) watchMessage()     {}
+func (watchReturned) watchMessage() {}
 func (watchRepaired) watchMessage() {}
 
-// watchAction is what a watcher asks its shell to do next.
+// watchAction is an output of watchCore: the next step for its caller to perform.
 type watchAction interface{ watchAction() }
 
 type (
@@ -51,12 +51,12 @@
 	listStore struct{}
 	// watchStore waits for changes after a version.
 	watchStore struct{ after ferryplatform.Version }
-	// repairStore puts a document in force back into a store that is behind it.
+	// repairStore writes a document in force back to a store that has an older version or none.
 	repairStore struct {
 		expected ferryplatform.Version
 		accepted ferryservice.Accepted
 	}
-	// pauseWatch waits.
+	// pauseWatch waits before the next request.
 	pauseWatch struct{ d time.Duration }
 )
 
@@ -65,39 +65,40 @@
 func (repairStore) watchAction() {}
 func (pauseWatch) watchAction()  {}
 
-// watchCore decides the steps of one watcher; it offers what it sees to the holder, and does no I/O itself.
+// watchCore is the state machine of one watcher; it offers documents from the store to the holder and does no
+// I/O.
 type watchCore struct {
-	holder   *Holder
-	rnd      *rand.Rand
-	live     int
-	after    ferryplatform.Version
-	listed   bool
-	listedAt time.Time
-	relist   time.Duration
-	failures int
-	repairs  []repairStore
-	// seen are the generations that the store has shown.
-	seen map[ferryid.ServiceName]ferryid.Generation
+	holder      *Holder
+	rnd         *rand.Rand
+	liveEntries int
+	after       ferryplatform.Version
+	listed      bool
+	listedAt    time.Time
+	relist      time.Duration
+	failures    int
+	repairs     []repairStore
+	// seen is the generation last read from the store, per service.
+	storeGenerations map[ferryid.ServiceName]ferryid.Generation
 }
 
 func newWatchCore(h *Holder, rnd *rand.Rand) *watchCore {
-	return &watchCore{holder: h, rnd: rnd, live: 1, seen: map[ferryid.ServiceName]ferryid.Generation{}}
+	return &watchCore{holder: h, rnd: rnd, liveEntries: 1, storeGenerations: map[ferryid.ServiceName]ferryid.Generation{}}
 }
 
-// next takes one message and returns the next action.
+// next processes one message and returns the next action.
 func (c *watchCore) next(msg watchMessage, now time.Time) watchAction {
 	switch m := msg.(type) {
 	case watchListed:
 		return c.onListed(m, now)
-	case watchSeen:
-		return c.onSeen(m, now)
+	case watchReturned:
+		return c.onWatchReturned(m, now)
 	case watchRepaired:
 		return c.onRepaired(m, now)
 	}
 	return c.proceed(now)
 }
 
-// proceed goes on from a state without an answer outstanding.
+// proceed returns the next action when no request is outstanding.
 func (c *watchCore) proceed(now time.Time) watchAction {
 	if !c.listed || now.Sub(c.listedAt) >= c.relist {
 		return listStore{}
@@ -119,39 +120,39 @@
 	c.listedAt = now
 	c.relist = relistInterval/2 + time.Duration(c.rnd.Int64N(int64(relistInterval)))
 	if m.changes.Version < c.after {
-		c.storeBack("*", "list at version %d after version %d", m.changes.Version, c.after)
+		c.reportRollback("*", "list at version %d after version %d", m.changes.Version, c.after)
 	}
 	c.after = m.changes.Version
 	c.offer(m.changes.Objects)
-	c.repairs = c.behind(m.changes.Objects)
+	c.repairs = c.repairsFor(m.changes.Objects)
 	for _, r := range c.repairs {
-		c.storeBack(string(r.accepted.Service), "generation %d is in force and not in the store", r.accepted.Generation)
+		c.reportRollback(string(r.accepted.Service), "generation %d is in force and not in the store", r.accepted.Generation)
 	}
 	return c.proceed(now)
 }
 
-func (c *watchCore) onSeen(m watchSeen, now time.Time) watchAction {
+func (c *watchCore) onWatchReturned(m watchReturned, now time.Time) watchAction {
 	if m.err != nil {
 		return c.onFailure(m.err)
 	}
 	if m.changes.Version < c.after {
-		c.storeBack("*", "watch at version %d after version %d", m.changes.Version, c.after)
+		c.reportRollback("*", "watch at version %d after version %d", m.changes.Version, c.after)
 		c.listed = false
 		return c.proceed(now)
 	}
 	c.failures = 0
 	c.after = m.changes.Version
-	if c.offer(m.changes.Objects) || (len(m.changes.Objects) == 0 && c.unseen()) {
+	if c.offer(m.changes.Objects) || (len(m.changes.Objects) == 0 && c.hasUnseenVersions()) {
 		c.listed = false
 	}
-	if len(m.changes.Objects) == 0 && m.took < watchWait/2 {
-		// A platform that ends watches at once would otherwise be asked in a busy loop.
-		return pauseWatch{backoff(c.live, 0, c.rnd)}
+	if len(m.changes.Objects) == 0 && m.elapsed < watchWait/2 {
+		// A platform that ends watches early would otherwise be polled in a busy loop.
+		return pauseWatch{backoff(c.liveEntries, 0, c.rnd)}
 	}
 	return c.proceed(now)
 }
 
-// onRepaired lists again soon after a repair that did not land, unless somebody else was faster.
+// onRepaired lists again after a failed repair, unless it failed because another entry wrote first.
 func (c *watchCore) onRepaired(m watchRepaired, now time.Time) watchAction {
 	var conflict *ferryplatform.ConflictError
 	if m.err == nil || errors.As(m.err, &conflict) {
@@ -160,10 +161,10 @@
 	return c.onFailure(m.err)
 }
 
-// onFailure pauses and then lists, as the store may have changed in any way meanwhile.
+// onFailure pauses and then lists, as the watch may have missed changes.
 func (c *watchCore) onFailure(err error) watchAction {
 	c.listed = false
-	d := backoff(c.live, c.failures, c.rnd)
+	d := backoff(c.liveEntries, c.failures, c.rnd)
 	c.failures++
 	var over *ferryplatform.BudgetError
 	if errors.As(err, &over) {
@@ -172,12 +173,13 @@
 	return pauseWatch{d}
 }
 
-// offer hands objects to the holder, and reports whether the store may have gone back, which only a list can tell.
+// offer offers objects to the holder and reports whether the store may have been rolled back, which only a
+// list can confirm.
 func (c *watchCore) offer(objects []ferryplatform.Object) bool {
-	back := false
+	rolledBack := false
 	for _, o := range objects {
 		if o.Deleted {
-			back = true
+			rolledBack = true
 			continue
 		}
 		a, err := ferryservice.DecodeEnvelope(o.Value)
@@ -185,31 +187,33 @@
 			c.holder.events.Add(EventInvalid, o.Name, "version %d in the store: %v", o.Version, err)
 			continue
 		}
-		c.seen[a.Service] = a.Generation
+		c.storeGenerations[a.Service] = a.Generation
 		if c.holder.Offer(a, "store") == Older {
-			back = true
+			rolledBack = true
 		}
 	}
-	return back
+	return rolledBack
 }
 
-// unseen reports whether a document came into force by another way that the store has not shown: it may have gone back
-// to where the watch had last seen it.
-func (c *watchCore) unseen() bool {
+// hasUnseenVersions reports whether a document in force, received from a peer, is newer than the store's. The
+// store may then have been rolled back to the version that the watch last returned, so that the watch does not
+// show it.
+func (c *watchCore) hasUnseenVersions() bool {
 	for _, f := range c.holder.All() {
-		if c.seen[f.Accepted.Service] < f.Accepted.Generation {
+		if c.storeGenerations[f.Accepted.Service] < f.Accepted.Generation {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *watchCore) storeBack(subject, format string, args ...any) {
+func (c *watchCore) reportRollback(subject, format string, args ...any) {
 	c.holder.events.Add(EventStoreBack, subject, format, args...)
 }
 
-// behind returns the repairs of a store whose list lacks documents in force, or has earlier versions of them.
-func (c *watchCore) behind(objects []ferryplatform.Object) []repairStore {
+// repairsFor returns the repairs for documents in force that the listed store lacks or has in an earlier
+// version.
+func (c *watchCore) repairsFor(objects []ferryplatform.Object) []repairStore {
 	stored := make(map[string]ferryplatform.Object, len(objects))
 	for _, o := range objects {
 		stored[o.Name] = o
--- a/ferry/ferrydocument/watcher.go
+++ b/ferry/ferrydocument/watcher.go
@@ -12,38 +12,38 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// WatcherConfig says what a Watcher works with.
+// WatcherConfig configures a Watcher.
 type WatcherConfig struct {
 	Store  ferryplatform.Store
 	Holder *Holder
 	Clock  clockwork.Clock
-	// Seed feeds the jitter; entries need different ones.
+	// Seed seeds the jitter; it must differ between entries.
 	Seed uint64
 }
 
-// Watcher is the duty that follows the store and offers its documents to the holder, while this entry is one of those told to watch.
+// Watcher watches the store and offers its documents to the holder while watching is enabled on this entry.
 type Watcher struct {
 	cfg  WatcherConfig
 	core *watchCore
 
-	mu       sync.Mutex
-	watching bool
-	live     int
-	cancel   context.CancelFunc
-	woken    chan struct{}
+	mu          sync.Mutex
+	watching    bool
+	liveEntries int
+	cancel      context.CancelFunc
+	wake        chan struct{}
 }
 
-// NewWatcher returns a watcher that is not watching yet.
+// NewWatcher returns a watcher with watching disabled.
 func NewWatcher(cfg WatcherConfig) *Watcher {
 	return &Watcher{
-		cfg:   cfg,
-		core:  newWatchCore(cfg.Holder, rand.New(rand.NewPCG(cfg.Seed, 0))),
-		live:  1,
-		woken: make(chan struct{}, 1),
+		cfg:         cfg,
+		core:        newWatchCore(cfg.Holder, rand.New(rand.NewPCG(cfg.Seed, 0))),
+		liveEntries: 1,
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// Watching tells the watcher whether to watch; a change takes effect at once.
+// Watching enables or disables watching; disabling cancels an outstanding request.
 func (w *Watcher) Watching(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,68 +55,68 @@
 		w.cancel()
 	}
 	select {
-	case w.woken <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetLive tells the watcher how many entries are live, from which it computes its pauses.
+// SetLive sets the number of live entries, which the backoff grows with.
 func (w *Watcher) SetLive(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.live = max(1, n)
+	w.liveEntries = max(1, n)
 }
 
-// Run follows the store until the context ends.
+// Run watches the store, while watching is enabled, until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for {
-		turn, ok := w.turn(ctx)
+		watchCtx, ok := w.watchContext(ctx)
 		if ok {
-			w.follow(turn)
+			w.listAndWatch(watchCtx)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-w.woken:
+		case <-w.wake:
 		}
 	}
 }
 
-// turn returns a context that lasts as long as this entry is told to watch.
-func (w *Watcher) turn(ctx context.Context) (context.Context, bool) {
+// watchContext returns a context that is cancelled when watching is disabled, and false if it is disabled now.
+func (w *Watcher) watchContext(ctx context.Context) (context.Context, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.watching || ctx.Err() != nil {
 		return nil, false
 	}
-	turn, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	w.cancel = cancel
-	return turn, true
+	return watchCtx, true
 }
 
-// follow lists and watches for one turn.
-func (w *Watcher) follow(ctx context.Context) {
+// listAndWatch lists and watches until the context ends.
+func (w *Watcher) listAndWatch(ctx context.Context) {
 	var msg watchMessage = watchStarted{}
 	w.core.listed = false
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		w.core.live = w.live
+		w.core.liveEntries = w.liveEntries
 		w.mu.Unlock()
 		msg = w.perform(ctx, w.core.next(msg, w.cfg.Clock.Now()))
 	}
 }
 
-// perform does one action of the core.
+// perform executes one action of the core and returns its result.
 func (w *Watcher) perform(ctx context.Context, action watchAction) watchMessage {
 	switch a := action.(type) {
 	case listStore:
 		changes, err := w.cfg.Store.List(ctx, ferryservice.ObjectKind)
 		return watchListed{changes, err}
 	case watchStore:
-		from := w.cfg.Clock.Now()
+		started := w.cfg.Clock.Now()
 		changes, err := w.cfg.Store.Watch(ctx, ferryservice.ObjectKind, a.after, watchWait)
-		return watchSeen{changes, err, w.cfg.Clock.Since(from)}
+		return watchReturned{changes, err, w.cfg.Clock.Since(started)}
 	case repairStore:
 		return watchRepaired{w.repair(ctx, a)}
 	case pauseWatch:
--- a/ferry/ferrydocument/watcher_test.go
+++ b/ferry/ferrydocument/watcher_test.go
@@ -16,21 +16,21 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// watched is a holder whose watcher runs.
-type watched struct {
+// watchedHolder is a holder with a running watcher.
+type watchedHolder struct {
 	clock   clockwork.Clock
 	store   *ferryplatformtest.Fake
 	holder  *ferrydocument.Holder
 	watcher *ferrydocument.Watcher
-	news    *ferrydocument.Subscription
+	updates *ferrydocument.Subscription
 	stop    func() error
 }
 
-func startWatcher(t *testing.T) *watched {
+func startWatcher(t *testing.T) *watchedHolder {
 	clock := clockwork.NewRealClock()
-	w := &watched{clock: clock, store: ferryplatformtest.New(clock), holder: ferrydocument.NewHolder(clock, nil)}
+	w := &watchedHolder{clock: clock, store: ferryplatformtest.New(clock), holder: ferrydocument.NewHolder(clock, nil)}
 	w.watcher = ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: w.store, Holder: w.holder, Clock: clock, Seed: 1})
-	w.news = w.holder.Subscribe()
+	w.updates = w.holder.Subscribe()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.watcher.Run(ctx) }()
@@ -38,14 +38,14 @@
 	return w
 }
 
-// apply accepts a text through another entry.
-func (w *watched) apply(t *testing.T, team string, base ferryid.Generation) {
+// apply applies a text through another entry.
+func (w *watchedHolder) apply(t *testing.T, team string, base ferryid.Generation) {
 	t.Helper()
 	_, err := ferrydocument.Apply(t.Context(), w.store, w.clock, request(team, base))
 	assert.NilError(t, err)
 }
 
-func (w *watched) generation() ferryid.Generation {
+func (w *watchedHolder) generation() ferryid.Generation {
 	f, ok := w.holder.Get("parlour-api")
 	if !ok {
 		return 0
@@ -58,41 +58,41 @@
 		w := startWatcher(t)
 		w.apply(t, "one", 0)
 		w.watcher.Watching(true)
-		<-w.news.Ready()
+		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(1))
 		w.apply(t, "two", 1)
-		<-w.news.Ready()
+		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(2))
 		assert.Assert(t, errors.Is(w.stop(), context.Canceled))
 	})
 }
 
-func TestWatcherComesBackAfterAnOutage(t *testing.T) {
+func TestWatcherRecoversAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcher(t)
 		w.apply(t, "one", 0)
 		w.watcher.Watching(true)
-		<-w.news.Ready()
+		<-w.updates.Ready()
 		w.store.SetFaults(ferryplatformtest.Faults{Outage: true})
 		for w.store.Calls().List < 3 {
 			time.Sleep(30 * time.Second)
 		}
-		assert.Equal(t, w.generation(), ferryid.Generation(1), "an outage takes nothing out of force")
+		assert.Equal(t, w.generation(), ferryid.Generation(1), "the document is no longer in force after an outage")
 		w.store.SetFaults(ferryplatformtest.Faults{})
 		w.apply(t, "two", 1)
-		<-w.news.Ready()
+		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(2))
 		assert.Assert(t, errors.Is(w.stop(), context.Canceled))
 	})
 }
 
-// tellsEnd says when a watch begins and ends.
-type tellsEnd struct {
+// signalingStore is a store that signals the begin and the end of each watch.
+type signalingStore struct {
 	ferryplatform.Store
 	began, ended chan struct{}
 }
 
-func (s tellsEnd) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
+func (s signalingStore) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
 	s.began <- struct{}{}
 	defer func() { s.ended <- struct{}{} }()
 	return s.Store.Watch(ctx, kind, after, wait)
@@ -101,7 +101,7 @@
 func TestWatcherStopsWatchingAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		store := tellsEnd{ferryplatformtest.New(clock), make(chan struct{}, 9), make(chan struct{}, 9)}
+		store := signalingStore{ferryplatformtest.New(clock), make(chan struct{}, 9), make(chan struct{}, 9)}
 		h := ferrydocument.NewHolder(clock, nil)
 		w := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: store, Holder: h, Clock: clock})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -122,17 +122,18 @@
 	})
 }
 
-func TestWatcherPutsBackWhatARestoredStoreLost(t *testing.T) {
+func TestWatcherRepairsRolledBackStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcher(t)
 		w.apply(t, "one", 0)
 		w.store.Snapshot()
 		w.apply(t, "two", 1)
 		w.watcher.Watching(true)
-		<-w.news.Ready()
+		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(2))
 		assert.Assert(t, w.store.Restore())
-		// The watch ends at a lower version, and the list leads to a repair; another watcher would wait for the change.
+		// The watch returns a lower version, the list finds the rollback, and the repair shows up in a second
+		// watch.
 		changes, err := w.store.Watch(t.Context(), "services", 1, time.Minute)
 		assert.NilError(t, err)
 		assert.Equal(t, changes.Objects[0].Version, ferryplatform.Version(2))
