--- a/ferry/ferrydocument/applycore.go
+++ b/ferry/ferrydocument/applycore.go
@@ -171,7 +171,7 @@
 }
 
 // endWithAncestor ends the apply with a version that was accepted and already has successors. It rebuilds that
-// version from the request and compares hashes, as the store keeps the texts of ancestors no longer.
+// version from the request and compares hashes, as ancestors are stored without their texts.
 func (c *applyCore) endWithAncestor(b ferryservice.Ancestor) applyAction {
 	a := ferryservice.Accepted{
 		Service:    c.req.Service,
--- a/ferry/ferrypipeline/action.go
+++ b/ferry/ferrypipeline/action.go
@@ -7,16 +7,16 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Action is what a job's core wants done.
+// Action is an output of a Core, to be performed by its caller.
 type Action interface{ action() }
 
-// AskPlan asks for a plan; Retry marks one that is charged to the retry budget.
+// AskPlan requests a plan; Retry is set if it is charged to the retry budget.
 type AskPlan struct {
 	Exclude []ferryid.UpstreamName
 	Retry   bool
 }
 
-// MoveKV asks to take the stream's KV cache from the old plan's stages to the new plan's.
+// MoveKV requests a transfer of the stream's KV cache from the stages of the old plan to those of the new one.
 type MoveKV struct {
 	Epoch ferryid.Epoch
 	From  Plan
@@ -28,7 +28,7 @@
 	Request ferryengine.RunRequest
 }
 
-// Emit gives the caller a token.
+// Emit sends a token to the caller.
 type Emit struct{ Token Token }
 
 // CancelEpoch stops an epoch's work at its stages.
@@ -37,17 +37,17 @@
 	Plan  Plan
 }
 
-// Release says that a plan is over, with what its stages measured if it came to its end.
+// Release returns a plan to the Picker; Times holds the measurements of its stages if it ran to its end.
 type Release struct {
 	Plan   Plan
 	Tokens ferryid.Tokens
 	Times  []ferryengine.StageTime
 }
 
-// Wait asks for a Woke after the delay.
+// Wait requests a Woke message after the delay.
 type Wait struct{ Delay time.Duration }
 
-// Finish ends the job; an error is a *ferryoutcome.Problem.
+// Finish ends the job; Err, if set, is a *ferryoutcome.Problem.
 type Finish struct {
 	Result Result
 	Err    error
--- a/ferry/ferrypipeline/bench_test.go
+++ b/ferry/ferrypipeline/bench_test.go
@@ -21,7 +21,7 @@
 
 const relayTokens = 512
 
-// relayLines is what an engine sends for one answer, through a pipeline of four stages.
+// relayLines returns the lines that an engine sends for one answer through the stages.
 func relayLines(stages ferryengine.Stages) []byte {
 	b := ferryengine.AppendItem(nil, &ferryengine.Item{Epoch: 1, Ready: true})
 	for p := range relayTokens {
@@ -61,7 +61,8 @@
 	return ferrystream.NewComposer(ferrystream.ComposerConfig{ID: "s", Model: "herd-llm", Sealer: st, Created: time.Unix(0, 0)})
 }
 
-// One token's whole way but for the sockets: line, item, core, order, event with its sealed id.
+// Measures the path of a token without sockets: decode the line, step the core, order, compose the sealed
+// event.
 func BenchmarkRelayWithoutSockets(b *testing.B) {
 	plan := relayPlan("10.0.0.1:8000")
 	lines := relayLines(wireStages(plan))
@@ -106,15 +107,16 @@
 	b.ReportMetric(float64(written)/float64(n), "B-out/token")
 }
 
-type onePlan struct{ plan ferrypipeline.Plan }
+type fixedPicker struct{ plan ferrypipeline.Plan }
 
-func (p onePlan) Pick(*ferrypipeline.Job, []ferryid.UpstreamName) (ferrypipeline.Plan, error) {
+func (p fixedPicker) Pick(*ferrypipeline.Job, []ferryid.UpstreamName) (ferrypipeline.Plan, error) {
 	return p.plan, nil
 }
 
-func (onePlan) Done(ferrypipeline.Plan, ferryid.Tokens) {}
+func (fixedPicker) Done(ferrypipeline.Plan, ferryid.Tokens) {}
 
-// The Runner over a loopback connection, with an engine that sends each token in its own write; the engine and the caller share the core.
+// Measures the Runner over a loopback connection, with an engine that flushes each token. The engine and the
+// caller share the CPUs.
 func BenchmarkRelayOverLoopback(b *testing.B) {
 	var lines []byte
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -128,7 +130,7 @@
 	defer srv.Close()
 	plan := relayPlan(strings.TrimPrefix(srv.URL, "http://"))
 	lines = relayLines(wireStages(plan))
-	r := &ferrypipeline.Runner{Engines: ferryengine.New(ferryengine.ClientConfig{}), Picker: onePlan{plan}, Clock: clockwork.NewRealClock()}
+	r := &ferrypipeline.Runner{Engines: ferryengine.New(ferryengine.ClientConfig{}), Picker: fixedPicker{plan}, Clock: clockwork.NewRealClock()}
 	compose := relayComposer(b)
 	buf := make([]byte, 0, 4096)
 	n := 0
@@ -146,7 +148,8 @@
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// fleet48 is 48 engines: 8 kinds with speeds a hundredfold apart, 6 of each holding the same eighth of the layers, in three failure domains.
+// fleet48 returns 48 engines in three failure domains: 8 groups of 6 replicas, each group holding one eighth
+// of the layers. Rates within a group differ by a factor of about 50.
 func fleet48() (ferrypipeline.PlannerConfig, []ferrypipeline.Load) {
 	cfg := ferrypipeline.PlannerConfig{Layers: 64, Links: ferrypipeline.LinkCosts{}}
 	domains := []ferryid.DomainName{"ruse-a", "varna-b", "pleven-c"}
--- a/ferry/ferrypipeline/budget.go
+++ b/ferry/ferrypipeline/budget.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// BudgetError says that retries have used up their share of first tries.
+// BudgetError reports that the retry budget is exhausted.
 type BudgetError struct {
 	Share float64
 }
@@ -14,7 +14,7 @@
 	return fmt.Sprintf("retries are more than %v of first tries", e.Share)
 }
 
-// RetryBudget allows retries as a share of first tries, after a burst; all jobs of a service share one.
+// RetryBudget limits retries to a share of first tries plus a burst; the jobs of a service share one budget.
 type RetryBudget struct {
 	mu    sync.Mutex
 	share float64
@@ -22,12 +22,12 @@
 	left  float64
 }
 
-// NewRetryBudget returns a budget that starts with the whole burst.
+// NewRetryBudget returns a budget that starts with the full burst available.
 func NewRetryBudget(share float64, burst int) *RetryBudget {
 	return &RetryBudget{share: share, burst: float64(burst), left: float64(burst)}
 }
 
-// SetBurst changes the burst; what a larger one adds may be used at once.
+// SetBurst changes the burst; an increase is available at once.
 func (b *RetryBudget) SetBurst(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,14 +36,14 @@
 	b.left = min(b.left, b.burst)
 }
 
-// First counts a first try.
+// First adds the share of one first try to the budget.
 func (b *RetryBudget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = min(b.burst, b.left+b.share)
 }
 
-// Retry takes a retry from the budget or returns a *BudgetError.
+// Retry takes one retry from the budget, or returns a *BudgetError if it is exhausted.
 func (b *RetryBudget) Retry() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ferry/ferrypipeline/checker.go
+++ b/ferry/ferrypipeline/checker.go
@@ -14,13 +14,13 @@
 	Epoch    ferryid.Epoch    `json:"Epoch"`
 	Position ferryid.Position `json:"Position"`
 	Layer    ferryid.Layer    `json:"Layer"`
-	// Prefill marks a position that was rebuilt from the history and yields no token.
+	// Prefill marks a position rebuilt from the history, which yields no token.
 	Prefill bool `json:"Prefill,omitempty"`
-	// AtNanos is a Unix time in nanoseconds, comparable between the engines of one machine.
+	// AtNanos is the Unix time in nanoseconds; it is comparable between engines on one machine only.
 	AtNanos int64 `json:"AtNanos"`
 }
 
-// LayerError says that a layer did not run exactly once and in order for a token.
+// LayerError reports a token for which a layer did not run exactly once and in order.
 type LayerError struct {
 	Stream   ferryid.StreamID
 	Epoch    ferryid.Epoch
@@ -33,17 +33,17 @@
 	return fmt.Sprintf("stream %s epoch %d token %d layer %d: %s", e.Stream, e.Epoch, e.Position, e.Layer, e.Detail)
 }
 
-// Checker compares the tokens a caller got with what the engines applied.
+// Checker compares the tokens delivered to a caller with the layers applied by the engines.
 //
-// A delivered token belongs to one epoch, the one whose pipeline made it. Within that epoch each layer must have been
-// applied to its position exactly once, in order, not as prefill; no later epoch may generate the position again;
-// and no epoch, prefill included, may apply a layer to a position twice. An earlier epoch may have begun the position
-// and been cut before its token was accepted: that work was thrown away and is counted in Wasted.
+// Each delivered token was generated in one epoch. In that epoch each layer must have been applied to the
+// token's position exactly once, in order and not as prefill. No later epoch may generate the position again.
+// No epoch may apply a layer to a position twice, prefill included. An earlier epoch may have started the
+// position and been cancelled before its token was accepted; that work is counted in Wasted.
 type Checker struct {
 	Layers ferryid.Layer
-	// Wasted counts the applied layers of generation whose token was never delivered.
+	// Wasted counts the layers applied in generation for tokens that were not delivered from that epoch.
 	Wasted int
-	// Prefill counts the applied layers that rebuilt history.
+	// Prefill counts the layers applied in prefill.
 	Prefill int
 }
 
@@ -52,7 +52,8 @@
 	position ferryid.Position
 }
 
-// Check returns a *LayerError for the first token delivered whose layers did not run exactly once and in order; the records are those of all engines for one stream.
+// Check returns a *LayerError for the first token whose layers did not run exactly once and in order. It takes
+// the records of all engines for one stream, and sorts them by time.
 func (c *Checker) Check(records []Applied, delivered []Token) error {
 	slices.SortStableFunc(records, func(a, b Applied) int { return cmp.Compare(a.AtNanos, b.AtNanos) })
 	runs := map[appliedKey][]Applied{}
@@ -60,7 +61,7 @@
 		k := appliedKey{r.Epoch, r.Position}
 		for _, earlier := range runs[k] {
 			if earlier.Layer == r.Layer {
-				return fail(r, "was applied twice")
+				return layerError(r, "applied twice")
 			}
 		}
 		runs[k] = append(runs[k], r)
@@ -82,20 +83,20 @@
 	next := ferryid.Layer(0)
 	for _, r := range runs {
 		if r.Prefill {
-			return fail(r, "was applied as prefill, yet the token was delivered")
+			return layerError(r, "applied as prefill for a delivered token")
 		}
 		if r.Layer != next {
-			return fail(r, fmt.Sprintf("was applied where layer %d is due", next))
+			return layerError(r, fmt.Sprintf("applied out of order, want layer %d", next))
 		}
 		next++
 	}
 	if next != c.Layers {
-		return &LayerError{Epoch: t.Epoch, Position: t.Position, Layer: next, Detail: "was not applied"}
+		return &LayerError{Epoch: t.Epoch, Position: t.Position, Layer: next, Detail: "not applied"}
 	}
 	return nil
 }
 
-// checkRest goes over what was applied beside the delivered tokens.
+// checkRest checks and counts the records that did not produce a delivered token.
 func (c *Checker) checkRest(records []Applied, epochs map[ferryid.Position]ferryid.Epoch) error {
 	for _, r := range records {
 		delivered, ok := epochs[r.Position]
@@ -103,7 +104,7 @@
 		case r.Prefill:
 			c.Prefill++
 		case ok && r.Epoch > delivered:
-			return fail(r, fmt.Sprintf("generated again after epoch %d delivered it", delivered))
+			return layerError(r, fmt.Sprintf("generated again after epoch %d delivered it", delivered))
 		case !ok || r.Epoch < delivered:
 			c.Wasted++
 		}
@@ -111,6 +112,6 @@
 	return nil
 }
 
-func fail(r Applied, detail string) error {
+func layerError(r Applied, detail string) error {
 	return &LayerError{Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Layer: r.Layer, Detail: detail}
 }
--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -19,19 +19,20 @@
 	waitStep           = 50 * time.Millisecond
 	maxWait            = 500 * time.Millisecond
 	retryAfter         = time.Second
-	// firstTokens is the room for tokens that a job begins with.
-	firstTokens = 128
+	// initialTokenCapacity is the initial capacity for generated tokens.
+	initialTokenCapacity = 128
 )
 
-// CoreConfig bounds what a job may cost; zero values choose the defaults.
+// CoreConfig holds the limits of a job; zero values select the defaults.
 type CoreConfig struct {
-	// MaxEpochs is the number of pipelines that one job may run on.
+	// MaxEpochs is the maximum number of pipelines that a job is started on.
 	MaxEpochs int
-	// MaxFailures is the number of epochs without a token, one after another, that end the job.
+	// MaxFailures is the number of consecutive epochs without a token after which the job fails.
 	MaxFailures int
-	// MaxWaits is the number of waits for engines to come back, once something of the job may have run.
+	// MaxWaits is the maximum number of consecutive waits for engines, once any part of the job may have run.
 	MaxWaits int
-	// ImportFrom is the number of tokens from which a KV cache is moved and not rebuilt.
+	// ImportFrom is the number of generated tokens from which the KV cache is moved instead of rebuilt by
+	// prefill.
 	ImportFrom int
 }
 
@@ -54,35 +55,36 @@
 
 const (
 	phasePlanning phase = iota
-	phaseMoving
+	phaseMovingKV
 	phaseRunning
 	phaseWaiting
-	phaseSettling
+	phaseAwaitingCancels
 	phaseFinished
 )
 
-// Core decides over one job: it takes messages in turn and gives actions, and does no I/O.
+// Core is the state machine of one job: it turns messages into actions and does no I/O.
 type Core struct {
-	cfg       CoreConfig
-	job       *Job
-	phase     phase
-	epoch     ferryid.Epoch
-	plan      Plan
-	previous  Plan
-	movable   bool
-	noImport  bool
-	withKV    bool
-	generated []string
-	ready     bool
-	accepted  int
-	// drained says that the present epoch was refused by an engine that is leaving, which is no fault and not charged as a retry.
-	drained  bool
-	failures int
-	waits    int
-	exclude  []ferryid.UpstreamName
-	evidence evidence
-	result   Result
-	err      *ferryoutcome.Problem
+	cfg            CoreConfig
+	job            *Job
+	phase          phase
+	epoch          ferryid.Epoch
+	plan           Plan
+	previous       Plan
+	kvMovable      bool
+	importDisabled bool
+	withKV         bool
+	generated      []string
+	ready          bool
+	epochTokens    int
+	// drained is set if a draining engine refused the current epoch; the next epoch is then not charged as a
+	// retry.
+	refusedByDraining bool
+	failures          int
+	waits             int
+	exclude           []ferryid.UpstreamName
+	evidence          evidence
+	result            Result
+	err               *ferryoutcome.Problem
 }
 
 // NewCore returns the core of one job.
@@ -90,71 +92,72 @@
 	cfg.setDefaults()
 	return &Core{
 		cfg: cfg, job: job, epoch: job.Epoch,
-		generated: append(make([]string, 0, max(min(job.MaxTokens, firstTokens), len(job.Resume))), job.Resume...),
-		evidence:  evidence{maybe: map[ferryid.Epoch]bool{}, asked: map[ferryid.Epoch]bool{}},
+		generated: append(make([]string, 0, max(min(job.MaxTokens, initialTokenCapacity), len(job.Resume))), job.Resume...),
+		evidence:  evidence{unknownEpochs: map[ferryid.Epoch]bool{}, pendingCancels: map[ferryid.Epoch]bool{}},
 	}
 }
 
-// Step takes a message and appends the actions that follow from it.
+// Step processes a message and appends the resulting actions to out.
 func (c *Core) Step(m Message, now time.Time, out []Action) []Action {
 	if c.phase == phaseFinished {
 		return out
 	}
 	if answer, ok := m.(CancelAnswered); ok {
-		c.evidence.settle(answer)
-		return c.trySettle(out)
+		c.evidence.recordAnswer(answer)
+		return c.tryFinish(out)
 	}
-	if c.phase == phaseSettling {
+	if c.phase == phaseAwaitingCancels {
 		return out
 	}
 	switch m := m.(type) {
 	case Begin:
-		return c.ask(false, out)
+		return c.requestPlan(false, out)
 	case Planned:
-		return c.planned(m.Plan, out)
+		return c.onPlanned(m.Plan, out)
 	case NoPlan:
-		return c.noPlan(m.Err, out)
+		return c.onNoPlan(m.Err, out)
 	case KVMoved:
-		return c.moved(m, out)
+		return c.onKVMoved(m, out)
 	case ItemArrived:
-		return c.arrived(m, now, out)
+		return c.onItem(m, now, out)
 	case Broke:
-		return c.broke(m, now, out)
+		return c.onBroke(m, now, out)
 	case Woke:
-		return c.woke(out)
+		return c.onWoke(out)
 	case DeadlinePassed:
-		return c.stop(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the deadline passed after %d tokens", c.result.Tokens), out)
+		return c.abort(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the deadline passed after %d tokens", c.result.Tokens), out)
 	case CallerGone:
-		return c.stop(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the caller went away").Because(m.Err), out)
+		return c.abort(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the caller went away").Because(m.Err), out)
 	}
 	return out
 }
 
-func (c *Core) ask(retry bool, out []Action) []Action {
+func (c *Core) requestPlan(retry bool, out []Action) []Action {
 	c.phase = phasePlanning
 	return append(out, AskPlan{Exclude: slices.Clone(c.exclude), Retry: retry})
 }
 
-func (c *Core) planned(plan Plan, out []Action) []Action {
+func (c *Core) onPlanned(plan Plan, out []Action) []Action {
 	if c.phase != phasePlanning {
 		return append(out, Release{Plan: plan})
 	}
 	if err := plan.Check(); err != nil {
 		out = append(out, Release{Plan: plan})
-		return c.finish(ferryoutcome.New(ferryoutcome.KindUnavailable, "", "%v", err), out)
+		return c.fail(ferryoutcome.New(ferryoutcome.KindUnavailable, "", "%v", err), out)
 	}
 	c.epoch++
 	c.plan = plan
 	if c.wantsImport() {
-		c.phase = phaseMoving
+		c.phase = phaseMovingKV
 		return append(out, MoveKV{Epoch: c.epoch, From: c.previous, To: plan})
 	}
 	return c.start(false, out)
 }
 
-// wantsImport reports whether it may pay to take the KV cache along: the stages must match and none may be known to have lost it.
+// wantsImport reports whether to move the KV cache to the new plan: enough tokens were generated, the layers
+// of the stages match, and no stage is known to have lost the cache.
 func (c *Core) wantsImport() bool {
-	if c.noImport || !c.movable || len(c.generated) < c.cfg.ImportFrom || len(c.plan.Stages) != len(c.previous.Stages) {
+	if c.importDisabled || !c.kvMovable || len(c.generated) < c.cfg.ImportFrom || len(c.plan.Stages) != len(c.previous.Stages) {
 		return false
 	}
 	for i := range c.plan.Stages {
@@ -165,8 +168,8 @@
 	return true
 }
 
-func (c *Core) moved(m KVMoved, out []Action) []Action {
-	if c.phase != phaseMoving || m.Epoch != c.epoch {
+func (c *Core) onKVMoved(m KVMoved, out []Action) []Action {
+	if c.phase != phaseMovingKV || m.Epoch != c.epoch {
 		return out
 	}
 	return c.start(m.OK, out)
@@ -176,8 +179,8 @@
 	c.phase = phaseRunning
 	c.ready = false
 	c.withKV = withKV
-	c.accepted = 0
-	c.drained = false
+	c.epochTokens = 0
+	c.refusedByDraining = false
 	c.result.Epochs++
 	if withKV {
 		c.result.Imported++
@@ -190,32 +193,33 @@
 	}})
 }
 
-// noPlan ends a job of which certainly nothing ran, and waits with one that has begun.
-func (c *Core) noPlan(err error, out []Action) []Action {
+// onNoPlan fails a job of which certainly nothing ran. A job that may have run waits for engines, unless
+// MaxWaits or the retry budget is used up.
+func (c *Core) onNoPlan(err error, out []Action) []Action {
 	if c.phase != phasePlanning {
 		return out
 	}
 	var spent *BudgetError
 	known, _ := c.evidence.outcome()
-	unbegun := len(c.generated) == 0 && known == ferryoutcome.NotRun
-	if unbegun || c.waits >= c.cfg.MaxWaits || errors.As(err, &spent) {
+	notStarted := len(c.generated) == 0 && known == ferryoutcome.NotRun
+	if notStarted || c.waits >= c.cfg.MaxWaits || errors.As(err, &spent) {
 		p := ferryoutcome.New(ferryoutcome.KindUnavailable, "", "no engines are free to run this: %v", err)
-		return c.finish(p.After(retryAfter).Because(err), out)
+		return c.fail(p.After(retryAfter).Because(err), out)
 	}
 	c.waits++
 	c.phase = phaseWaiting
 	return append(out, Wait{Delay: min(maxWait, time.Duration(c.waits)*waitStep)})
 }
 
-func (c *Core) woke(out []Action) []Action {
+func (c *Core) onWoke(out []Action) []Action {
 	if c.phase != phaseWaiting {
 		return out
 	}
 	c.exclude = nil
-	return c.ask(false, out)
+	return c.requestPlan(false, out)
 }
 
-func (c *Core) arrived(m ItemArrived, now time.Time, out []Action) []Action {
+func (c *Core) onItem(m ItemArrived, now time.Time, out []Action) []Action {
 	it := &m.Item
 	if c.phase != phaseRunning || m.Epoch != c.epoch || it.Epoch < c.epoch {
 		c.result.Late++
@@ -223,139 +227,139 @@
 	}
 	switch {
 	case it.Epoch > c.epoch:
-		return c.bad(fmt.Errorf("item of epoch %d in epoch %d", it.Epoch, c.epoch), now, out)
+		return c.onInvalidItem(fmt.Errorf("received an item of epoch %d in epoch %d", it.Epoch, c.epoch), now, out)
 	case it.Ready:
 		c.ready = true
 		return out
 	case it.Failed != nil:
-		return c.failed(it.Failed, now, out)
+		return c.onStageFailed(it.Failed, now, out)
 	case it.Done:
-		return c.done(it, now, out)
+		return c.onDone(it, now, out)
 	}
-	return c.token(it, now, out)
+	return c.onToken(it, now, out)
 }
 
-func (c *Core) token(it *ferryengine.Item, now time.Time, out []Action) []Action {
+func (c *Core) onToken(it *ferryengine.Item, now time.Time, out []Action) []Action {
 	next := ferryid.Position(len(c.generated))
 	switch {
 	case it.Position < next && c.generated[it.Position] == it.Text:
 		c.result.Duplicates++
 		return out
 	case it.Position != next:
-		return c.bad(fmt.Errorf("token %d where %d is due", it.Position, next), now, out)
+		return c.onInvalidItem(fmt.Errorf("received token %d, want token %d", it.Position, next), now, out)
 	case int(next) >= c.job.MaxTokens:
-		return c.bad(fmt.Errorf("token %d of %d", it.Position, c.job.MaxTokens), now, out)
+		return c.onInvalidItem(fmt.Errorf("received token %d, above the maximum of %d tokens", it.Position, c.job.MaxTokens), now, out)
 	}
 	if err := checkReceipts(c.plan.Stages, it.Receipts); err != nil {
-		return c.bad(err, now, out)
+		return c.onInvalidItem(err, now, out)
 	}
 	c.generated = append(c.generated, it.Text)
 	c.evidence.ran = true
-	c.accepted++
+	c.epochTokens++
 	c.result.Tokens++
 	c.failures, c.waits = 0, 0
 	return append(out, Emit{Token: Token{Position: it.Position, Epoch: c.epoch, Text: it.Text}})
 }
 
-func (c *Core) done(it *ferryengine.Item, now time.Time, out []Action) []Action {
+func (c *Core) onDone(it *ferryengine.Item, now time.Time, out []Action) []Action {
 	if it.Reason != "stop" && len(c.generated) < c.job.MaxTokens {
-		return c.bad(fmt.Errorf("the answer ended at token %d of %d", len(c.generated), c.job.MaxTokens), now, out)
+		return c.onInvalidItem(fmt.Errorf("answer truncated: got %d of %d tokens", len(c.generated), c.job.MaxTokens), now, out)
 	}
 	c.result.Reason = it.Reason
 	c.phase = phaseFinished
-	out = append(out, Release{Plan: c.plan, Tokens: ferryid.Tokens(c.accepted), Times: it.Times})
+	out = append(out, Release{Plan: c.plan, Tokens: ferryid.Tokens(c.epochTokens), Times: it.Times})
 	return append(out, Finish{Result: c.result})
 }
 
-// bad ends an epoch whose items can't be right; the first stage, which sends them, is blamed.
-func (c *Core) bad(err error, now time.Time, out []Action) []Action {
-	c.movable = false
-	return c.end(ferryoutcome.Ran, c.plan.Stages[0].Address, err, now, out)
+// onInvalidItem ends an epoch after an invalid item and excludes the first stage, which sent it.
+func (c *Core) onInvalidItem(err error, now time.Time, out []Action) []Action {
+	c.kvMovable = false
+	return c.endEpoch(ferryoutcome.Ran, c.plan.Stages[0].Address, err, now, out)
 }
 
-func (c *Core) failed(f *ferryengine.Failure, now time.Time, out []Action) []Action {
+func (c *Core) onStageFailed(f *ferryengine.Failure, now time.Time, out []Action) []Action {
 	known := ferryoutcome.NotRun
 	if c.ready {
 		known = ferryoutcome.Unknown
 	}
-	blame := f.Stage
-	emptied := f.Kind == ferryengine.FailureEmpty
-	c.drained = f.Kind == ferryengine.FailureDraining
-	if emptied && c.withKV && c.accepted == 0 {
-		blame = ""
+	faultyStage := f.Stage
+	cacheLost := f.Kind == ferryengine.FailureEmpty
+	c.refusedByDraining = f.Kind == ferryengine.FailureDraining
+	if cacheLost && c.withKV && c.epochTokens == 0 {
+		faultyStage = ""
 	}
-	c.noImport = c.noImport || emptied
-	c.movable = !emptied
-	return c.end(known, blame, &StageError{Failure: *f}, now, out)
+	c.importDisabled = c.importDisabled || cacheLost
+	c.kvMovable = !cacheLost
+	return c.endEpoch(known, faultyStage, &StageError{Failure: *f}, now, out)
 }
 
-func (c *Core) broke(m Broke, now time.Time, out []Action) []Action {
+func (c *Core) onBroke(m Broke, now time.Time, out []Action) []Action {
 	if c.phase != phaseRunning || m.Epoch != c.epoch {
 		return out
 	}
 	if len(c.generated) >= c.job.MaxTokens {
-		return c.done(&ferryengine.Item{Done: true, Reason: "length"}, now, out)
+		return c.onDone(&ferryengine.Item{Done: true, Reason: "length"}, now, out)
 	}
 	var silent *ferryengine.SilentError
-	c.movable = !errors.As(m.Err, &silent)
-	c.drained = m.Refused == ferryoutcome.KindDraining
-	blame := c.plan.Stages[0].Address
+	c.kvMovable = !errors.As(m.Err, &silent)
+	c.refusedByDraining = m.Refused == ferryoutcome.KindDraining
+	faultyStage := c.plan.Stages[0].Address
 	if m.Refused == ferryoutcome.KindConflict {
-		// Another entry ran this stream at higher epochs: go above them.
+		// Another entry ran this stream at higher epochs; doubling the epoch soon exceeds them.
 		c.epoch += c.epoch
-		blame = ""
+		faultyStage = ""
 	}
-	return c.end(m.Outcome, blame, m.Err, now, out)
+	return c.endEpoch(m.Outcome, faultyStage, m.Err, now, out)
 }
 
-// end closes the epoch and begins the next, if the job's bounds allow it.
-func (c *Core) end(known ferryoutcome.Outcome, blame string, err error, now time.Time, out []Action) []Action {
+// endEpoch closes the epoch and requests a plan for the next one, or fails the job if its limits are reached.
+func (c *Core) endEpoch(known ferryoutcome.Outcome, faultyStage string, err error, now time.Time, out []Action) []Action {
 	out = c.close(known, out)
-	if c.accepted == 0 {
+	if c.epochTokens == 0 {
 		c.failures++
 	}
-	if i := c.plan.stage(blame); i >= 0 {
+	if i := c.plan.stage(faultyStage); i >= 0 {
 		c.exclude = append(c.exclude, c.plan.Stages[i].Name)
 	}
-	late := !c.job.Deadline.IsZero() && !now.Before(c.job.Deadline)
-	if late || c.failures >= c.cfg.MaxFailures || c.result.Epochs >= c.cfg.MaxEpochs {
+	expired := !c.job.Deadline.IsZero() && !now.Before(c.job.Deadline)
+	if expired || c.failures >= c.cfg.MaxFailures || c.result.Epochs >= c.cfg.MaxEpochs {
 		p := ferryoutcome.New(ferryoutcome.KindUpstreamFailed, "", "the engines failed after %d tokens, on %d pipelines", c.result.Tokens, c.result.Epochs)
-		return c.finish(p.Because(err), out)
+		return c.fail(p.Because(err), out)
 	}
-	return c.ask(c.accepted == 0 && !c.drained, out)
+	return c.requestPlan(c.epochTokens == 0 && !c.refusedByDraining, out)
 }
 
-// close gives the plan back and, unless nothing of the epoch ran, cancels it.
+// close releases the plan and cancels the epoch unless nothing of it ran.
 func (c *Core) close(known ferryoutcome.Outcome, out []Action) []Action {
 	c.previous = c.plan
-	out = append(out, Release{Plan: c.plan, Tokens: ferryid.Tokens(c.accepted)})
+	out = append(out, Release{Plan: c.plan, Tokens: ferryid.Tokens(c.epochTokens)})
 	if known == ferryoutcome.NotRun {
 		return out
 	}
-	c.evidence.uncertain(c.epoch, known)
+	c.evidence.addCancelled(c.epoch, known)
 	return append(out, CancelEpoch{Epoch: c.epoch, Plan: c.plan})
 }
 
-// stop ends the job from outside.
-func (c *Core) stop(p *ferryoutcome.Problem, out []Action) []Action {
+// abort ends the job because of its deadline or its caller.
+func (c *Core) abort(p *ferryoutcome.Problem, out []Action) []Action {
 	switch c.phase {
 	case phaseRunning:
 		out = c.close(ferryoutcome.Unknown, out)
-	case phaseMoving:
+	case phaseMovingKV:
 		out = append(out, Release{Plan: c.plan})
 	}
-	return c.finish(p, out)
+	return c.fail(p, out)
 }
 
-func (c *Core) finish(p *ferryoutcome.Problem, out []Action) []Action {
+func (c *Core) fail(p *ferryoutcome.Problem, out []Action) []Action {
 	c.err = p
-	c.phase = phaseSettling
-	return c.trySettle(out)
+	c.phase = phaseAwaitingCancels
+	return c.tryFinish(out)
 }
 
-// trySettle ends a failed job once its outcome is as well known as it can be.
-func (c *Core) trySettle(out []Action) []Action {
-	if c.phase != phaseSettling {
+// tryFinish finishes a failed job once its outcome is final.
+func (c *Core) tryFinish(out []Action) []Action {
+	if c.phase != phaseAwaitingCancels {
 		return out
 	}
 	known, final := c.evidence.outcome()
--- a/ferry/ferrypipeline/core_test.go
+++ b/ferry/ferrypipeline/core_test.go
@@ -22,32 +22,32 @@
 	simSteps  = 200
 )
 
-// simEpoch is the truth about one epoch, which the core does not see.
+// simEpoch is the actual state of one epoch, which the core can't see.
 type simEpoch struct {
-	request ferryengine.RunRequest
-	ready   bool
-	ran     bool
-	over    bool
-	asked   bool
-	doubted bool
+	request       ferryengine.RunRequest
+	ready         bool
+	ran           bool
+	over          bool
+	cancelPending bool
+	unresolved    bool
 }
 
-// sim drives a core with random messages and is the oracle of what it may do.
+// sim drives a core with random messages and checks its actions against an oracle.
 type sim struct {
-	t       *rapid.T
-	core    *ferrypipeline.Core
-	now     time.Time
-	want    []string
-	got     []ferrypipeline.Token
-	epochs  map[ferryid.Epoch]*simEpoch
-	order   []ferryid.Epoch
-	current *simEpoch
-	moving  ferryid.Epoch
-	asking  bool
-	waiting bool
-	plans   int
-	held    int
-	end     *ferrypipeline.Finish
+	t         *rapid.T
+	core      *ferrypipeline.Core
+	now       time.Time
+	want      []string
+	got       []ferrypipeline.Token
+	epochs    map[ferryid.Epoch]*simEpoch
+	order     []ferryid.Epoch
+	current   *simEpoch
+	moving    ferryid.Epoch
+	asking    bool
+	waiting   bool
+	plans     int
+	plansHeld int
+	end       *ferrypipeline.Finish
 }
 
 func simPlan(n int) ferrypipeline.Plan {
@@ -78,17 +78,17 @@
 	}
 }
 
-// check holds each action against the oracle.
+// check compares an action with the oracle.
 func (s *sim) check(a ferrypipeline.Action) {
 	t := s.t
-	assert.Assert(t, s.end == nil, "an action after the end: %#v", a)
+	assert.Assert(t, s.end == nil, "action after Finish: %#v", a)
 	switch a := a.(type) {
 	case ferrypipeline.AskPlan:
 		s.asking = true
 	case ferrypipeline.MoveKV:
 		s.moving = a.Epoch
 	case ferrypipeline.Start:
-		assert.Assert(t, s.current == nil || s.current.over, "two epochs at once")
+		assert.Assert(t, s.current == nil || s.current.over, "epoch started while another is running")
 		assert.Assert(t, s.epochs[a.Request.Epoch] == nil, "epoch %d started twice", a.Request.Epoch)
 		assert.NilError(t, a.Request.Check())
 		assert.DeepEqual(t, a.Request.Generated, s.want[:len(s.got)])
@@ -96,15 +96,15 @@
 		s.epochs[a.Request.Epoch] = s.current
 		s.order = append(s.order, a.Request.Epoch)
 	case ferrypipeline.Emit:
-		assert.Equal(t, a.Token.Position, ferryid.Position(len(s.got)), "not the next token")
+		assert.Equal(t, a.Token.Position, ferryid.Position(len(s.got)), "emitted token is not the next one")
 		assert.Equal(t, a.Token.Text, s.want[len(s.got)])
-		assert.Equal(t, a.Token.Epoch, s.current.request.Epoch, "a token of an older epoch")
+		assert.Equal(t, a.Token.Epoch, s.current.request.Epoch, "emitted token is of an older epoch")
 		s.got = append(s.got, a.Token)
 	case ferrypipeline.CancelEpoch:
 		s.epochs[a.Epoch].over = true
-		s.epochs[a.Epoch].asked = true
+		s.epochs[a.Epoch].cancelPending = true
 	case ferrypipeline.Release:
-		s.held--
+		s.plansHeld--
 		if s.current != nil {
 			s.current.over = true
 		}
@@ -116,29 +116,29 @@
 	}
 }
 
-// checkEnd compares the outcome with the truth: NotRun only if nothing ran, Unknown only if something is truly unknown.
+// checkEnd verifies the outcome: NotRun only if nothing ran, Unknown only if a first stage did not know.
 func (s *sim) checkEnd(f ferrypipeline.Finish) {
-	assert.Equal(s.t, s.held, 0, "plans not given back")
+	assert.Equal(s.t, s.plansHeld, 0, "plans not released")
 	if f.Err == nil {
-		assert.Equal(s.t, len(s.got), simTokens, "a short answer that claims to be whole")
+		assert.Equal(s.t, len(s.got), simTokens, "truncated answer without an error")
 		return
 	}
-	ran, doubted := false, false
+	ran, unresolved := false, false
 	for _, e := range s.epochs {
 		ran = ran || e.ran
-		doubted = doubted || e.doubted
+		unresolved = unresolved || e.unresolved
 	}
 	var p *ferryoutcome.Problem
 	assert.Assert(s.t, errors.As(f.Err, &p))
 	switch p.Outcome {
 	case ferryoutcome.NotRun:
-		assert.Assert(s.t, !ran, "NotRun of a job that ran")
+		assert.Assert(s.t, !ran, "outcome NotRun of a job that ran")
 	case ferryoutcome.Ran:
-		assert.Assert(s.t, ran, "Ran of a job that did not run")
+		assert.Assert(s.t, ran, "outcome Ran of a job that did not run")
 	case ferryoutcome.Unknown:
-		assert.Assert(s.t, doubted, "Unknown where the outcome is known")
+		assert.Assert(s.t, unresolved, "outcome Unknown although every first stage knew")
 	default:
-		s.t.Fatalf("no outcome: %v", p)
+		s.t.Fatalf("invalid outcome: %v", p)
 	}
 }
 
@@ -150,7 +150,7 @@
 	return it
 }
 
-// step sends one random message that the world could send now.
+// step sends a random message that is possible in the current state.
 func (s *sim) step() {
 	t := s.t
 	switch {
@@ -161,7 +161,7 @@
 			return
 		}
 		s.plans++
-		s.held++
+		s.plansHeld++
 		s.send(ferrypipeline.Planned{Plan: simPlan(s.plans)})
 		return
 	case s.moving != 0:
@@ -181,15 +181,15 @@
 	case 0, 1, 2, 3, 4, 5, 6:
 		s.progress()
 	case 7:
-		s.again()
+		s.duplicateItem()
 	case 8:
-		s.late()
+		s.lateItem()
 	case 9:
-		s.wrong()
+		s.invalidItem()
 	case 10:
 		s.fail()
 	case 11, 12:
-		s.breakOff()
+		s.breakConnection()
 	case 13:
 		s.answerCancel()
 	case 14:
@@ -223,14 +223,14 @@
 	s.deliver(e, s.item(e, ferryid.Position(len(s.got))))
 }
 
-func (s *sim) again() {
+func (s *sim) duplicateItem() {
 	if len(s.got) > 0 && s.current.ran {
 		s.deliver(s.current, s.item(s.current, ferryid.Position(rapid.IntRange(0, len(s.got)-1).Draw(s.t, "again"))))
 	}
 }
 
-// late sends a token of an older epoch, on its own connection or on the present one.
-func (s *sim) late() {
+// lateItem sends a token of an older epoch, on the connection of that epoch or of the current one.
+func (s *sim) lateItem() {
 	for _, epoch := range s.order {
 		e := s.epochs[epoch]
 		if e == s.current || !e.ran {
@@ -249,8 +249,8 @@
 	}
 }
 
-// wrong sends a token that no sound pipeline sends.
-func (s *sim) wrong() {
+// invalidItem sends an item that a correct pipeline never sends.
+func (s *sim) invalidItem() {
 	e := s.current
 	if !e.ready || len(s.got) >= simTokens-1 {
 		return
@@ -271,7 +271,7 @@
 	}
 	before := len(s.got)
 	s.deliver(e, it)
-	assert.Equal(s.t, len(s.got), before, "a wrong token was accepted")
+	assert.Equal(s.t, len(s.got), before, "invalid token accepted")
 }
 
 func (s *sim) fail() {
@@ -281,7 +281,7 @@
 	s.deliver(e, ferryengine.Item{Epoch: e.request.Epoch, Failed: f})
 }
 
-func (s *sim) breakOff() {
+func (s *sim) breakConnection() {
 	e := s.current
 	b := ferrypipeline.Broke{Epoch: e.request.Epoch, Outcome: ferryoutcome.Unknown, Err: errors.New("broken")}
 	if !e.ready && rapid.Bool().Draw(s.t, "not run") {
@@ -300,12 +300,12 @@
 func (s *sim) answerCancel() {
 	for _, epoch := range s.order {
 		e := s.epochs[epoch]
-		if !e.asked {
+		if !e.cancelPending {
 			continue
 		}
-		e.asked = false
+		e.cancelPending = false
 		known := rapid.Bool().Draw(s.t, "known")
-		e.doubted = !known
+		e.unresolved = !known
 		s.send(ferrypipeline.CancelAnswered{Epoch: epoch, Known: known, Ran: e.ran})
 		return
 	}
@@ -321,6 +321,6 @@
 			}
 			s.step()
 		}
-		t.Fatalf("the job did not end in %d messages", simSteps)
+		t.Fatalf("job did not end within %d messages", simSteps)
 	})
 }
--- a/ferry/ferrypipeline/doc.go
+++ b/ferry/ferrypipeline/doc.go
@@ -1,2 +1,3 @@
-// Package ferrypipeline chooses the engines that run a stream, takes it over their failures without a token lost or given twice, and checks that each layer ran once and in order.
+// Package ferrypipeline chooses the engines that run a stream and fails over between them without losing or
+// repeating a token. It also checks that each layer ran once and in order.
 package ferrypipeline
--- a/ferry/ferrypipeline/evidence.go
+++ b/ferry/ferrypipeline/evidence.go
@@ -8,46 +8,47 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// evidence is what is known of whether any layer of a job ran.
+// evidence tracks whether any layer of a job ran.
 type evidence struct {
 	ran bool
-	// maybe holds the epochs of which it is not known, and asked those whose first stage was asked and has not answered.
-	maybe map[ferryid.Epoch]bool
-	asked map[ferryid.Epoch]bool
+	// unknownEpochs holds the epochs of which that is not known; pendingCancels those whose first stage was
+	// sent a cancel and has not answered.
+	unknownEpochs  map[ferryid.Epoch]bool
+	pendingCancels map[ferryid.Epoch]bool
 }
 
-// uncertain notes a cancelled epoch and what was known of it.
-func (e *evidence) uncertain(epoch ferryid.Epoch, known ferryoutcome.Outcome) {
+// addCancelled adds a cancelled epoch with its outcome so far.
+func (e *evidence) addCancelled(epoch ferryid.Epoch, known ferryoutcome.Outcome) {
 	if known == ferryoutcome.Ran {
 		e.ran = true
 		return
 	}
-	e.maybe[epoch] = true
-	e.asked[epoch] = true
+	e.unknownEpochs[epoch] = true
+	e.pendingCancels[epoch] = true
 }
 
-// settle takes the first stage's answer: if it never ran a layer, no later stage did.
-func (e *evidence) settle(m CancelAnswered) {
-	delete(e.asked, m.Epoch)
+// recordAnswer records the first stage's answer to a cancel; if that stage ran no layer, no later stage did.
+func (e *evidence) recordAnswer(m CancelAnswered) {
+	delete(e.pendingCancels, m.Epoch)
 	if !m.Known {
 		return
 	}
-	delete(e.maybe, m.Epoch)
+	delete(e.unknownEpochs, m.Epoch)
 	e.ran = e.ran || m.Ran
 }
 
-// outcome is what is known now, and whether it can become better known.
+// outcome returns the outcome known so far; final is false while an outstanding answer can still change it.
 func (e *evidence) outcome() (known ferryoutcome.Outcome, final bool) {
 	switch {
 	case e.ran:
 		return ferryoutcome.Ran, true
-	case len(e.maybe) > 0:
-		return ferryoutcome.Unknown, len(e.asked) == 0
+	case len(e.unknownEpochs) > 0:
+		return ferryoutcome.Unknown, len(e.pendingCancels) == 0
 	}
 	return ferryoutcome.NotRun, true
 }
 
-// StageError says which stage of a pipeline failed.
+// StageError reports the failure of one stage of a pipeline.
 type StageError struct {
 	Failure ferryengine.Failure
 }
@@ -56,7 +57,7 @@
 	return fmt.Sprintf("stage %s: %s: %s", e.Failure.Stage, e.Failure.Kind, e.Failure.Detail)
 }
 
-// ReceiptError says that a token's receipts don't show each layer once and in order.
+// ReceiptError reports a token whose receipts do not match the stages of the plan.
 type ReceiptError struct {
 	Index  int
 	Detail string
@@ -66,14 +67,14 @@
 	return fmt.Sprintf("receipt %d: %s", e.Index, e.Detail)
 }
 
-// checkReceipts compares a token's receipts with the plan, which covers every layer once and in order.
+// checkReceipts returns a *ReceiptError unless a token has exactly one receipt per stage, in order.
 func checkReceipts(stages []Stage, receipts []ferryengine.Receipt) error {
 	if len(receipts) != len(stages) {
-		return &ReceiptError{Index: len(receipts), Detail: fmt.Sprintf("there are %d stages", len(stages))}
+		return &ReceiptError{Index: len(receipts), Detail: fmt.Sprintf("receipt count mismatch, want one for each of %d stages", len(stages))}
 	}
 	for i, r := range receipts {
 		if r.Stage != stages[i].Address || r.Layers != stages[i].Layers {
-			return &ReceiptError{Index: i, Detail: fmt.Sprintf("%s %s in place of %s %s", r.Stage, r.Layers, stages[i].Address, stages[i].Layers)}
+			return &ReceiptError{Index: i, Detail: fmt.Sprintf("got %s %s, want %s %s", r.Stage, r.Layers, stages[i].Address, stages[i].Layers)}
 		}
 	}
 	return nil
--- a/ferry/ferrypipeline/job.go
+++ b/ferry/ferrypipeline/job.go
@@ -8,10 +8,10 @@
 	"cactusferry.dev/ferry/ferrystream"
 )
 
-// Token is one token of an answer with its offset.
+// Token is one token of an answer with its position.
 type Token = ferrystream.Token
 
-// Job is one completion to run.
+// Job is a completion to run.
 type Job struct {
 	Service   ferryid.ServiceName
 	Stream    ferryid.StreamID
@@ -22,13 +22,13 @@
 	Priority  int
 	// Deadline ends the job; the zero time means none.
 	Deadline time.Time
-	// Resume is the text generated before, which is not given again.
+	// Resume holds the tokens generated before, which are not emitted again.
 	Resume []string
-	// Epoch is the last epoch that the stream is known to have had; the job's first is one higher.
+	// Epoch is the last known epoch of the stream; the job starts at the next.
 	Epoch ferryid.Epoch
 }
 
-// Check returns a *ferryengine.FieldError for a job that no engine could be asked to run.
+// Check returns a *ferryengine.FieldError if no valid request to an engine can be made from the job.
 func (j *Job) Check() error {
 	probe := ferryengine.RunRequest{
 		Stream: j.Stream, Epoch: 1, Prompt: j.Prompt, Generated: j.Resume, MaxTokens: j.MaxTokens,
@@ -37,30 +37,30 @@
 	return probe.Check()
 }
 
-// Picker chooses plans and keeps account of the work given out; it is used by many jobs at once.
+// Picker chooses plans and tracks the outstanding work of engines; it is safe for concurrent use by many jobs.
 type Picker interface {
 	// Pick chooses a plan without the excluded engines and counts its work as outstanding.
 	Pick(job *Job, exclude []ferryid.UpstreamName) (Plan, error)
-	// Done says that a picked plan is over and how many tokens it gave.
+	// Done releases a plan returned by Pick; tokens is the number of tokens that it produced.
 	Done(plan Plan, tokens ferryid.Tokens)
 }
 
-// Observer is a Picker that learns from what a plan's stages measured.
+// Observer is a Picker that uses the times measured by the stages of a plan.
 type Observer interface {
 	Observe(plan Plan, times []ferryengine.StageTime)
 }
 
-// Result says how a job went.
+// Result is the result of a job.
 type Result struct {
-	// Tokens counts the tokens given to the caller.
+	// Tokens counts the tokens emitted to the caller.
 	Tokens int
-	// Reason is why the answer ended, "length" or "stop".
+	// Reason is the finish reason of the answer, "length" or "stop".
 	Reason string
-	// Epochs counts the pipelines the job ran on.
+	// Epochs counts the pipelines that the job was started on.
 	Epochs int
-	// Imported counts the epochs that went on from a KV cache, not from the history.
+	// Imported counts the epochs started from a moved KV cache instead of a prefill of the history.
 	Imported int
-	// Late counts items of older epochs and Duplicates those that came twice; both were dropped.
+	// Late counts dropped items of older epochs, Duplicates dropped items that had been received before.
 	Late       int
 	Duplicates int
 }
--- a/ferry/ferrypipeline/main_test.go
+++ b/ferry/ferrypipeline/main_test.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferryrapid"
 )
 
-// TestMain fixes the seed and bounds the random tests, unless the command line says otherwise.
+// TestMain sets the default seed and number of checks of the random tests; flags override them.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 1, Checks: 500})
 }
--- a/ferry/ferrypipeline/message.go
+++ b/ferry/ferrypipeline/message.go
@@ -6,54 +6,55 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// Message is what a job's core is told.
+// Message is an input of a Core.
 type Message interface{ message() }
 
 // Begin starts the job.
 type Begin struct{}
 
-// Planned gives the plan that was asked for.
+// Planned is the answer to AskPlan with a plan.
 type Planned struct{ Plan Plan }
 
-// NoPlan says that there is none.
+// NoPlan is the answer to AskPlan if there is no plan.
 type NoPlan struct{ Err error }
 
-// ItemArrived gives an item that came over an epoch's connection.
+// ItemArrived is an item received on an epoch's connection.
 type ItemArrived struct {
 	Epoch ferryid.Epoch
 	Item  ferryengine.Item
 }
 
-// Broke says that an epoch's connection failed or was refused.
+// Broke reports that an epoch's connection failed or was refused.
 type Broke struct {
 	Epoch ferryid.Epoch
-	// Outcome is what is known of whether any layer of the epoch ran.
+	// Outcome tells whether any layer of the epoch ran.
 	Outcome ferryoutcome.Outcome
-	// Refused is the kind of the upstream's own refusal, if it was one.
+	// Refused is the kind of the problem if the upstream itself refused the request.
 	Refused ferryoutcome.Kind
 	Err     error
 }
 
-// KVMoved says whether every stage of the epoch's plan has the stream's KV cache.
+// KVMoved is the answer to MoveKV; OK is set if every stage of the epoch's plan has the stream's KV cache.
 type KVMoved struct {
 	Epoch ferryid.Epoch
 	OK    bool
 }
 
-// CancelAnswered says what the first stage of a cancelled epoch knows of it.
+// CancelAnswered is the answer of a cancelled epoch's first stage: whether it knows if any layer ran, and
+// whether one did.
 type CancelAnswered struct {
 	Epoch ferryid.Epoch
 	Known bool
 	Ran   bool
 }
 
-// Woke says that a wait is over.
+// Woke reports the end of a Wait.
 type Woke struct{}
 
-// DeadlinePassed says that the job's deadline has passed.
+// DeadlinePassed reports that the job's deadline has passed.
 type DeadlinePassed struct{}
 
-// CallerGone says that the answer can't be delivered any more.
+// CallerGone reports that the caller disconnected or a token could not be written to it.
 type CallerGone struct{ Err error }
 
 func (Begin) message()          {}
--- a/ferry/ferrypipeline/place.go
+++ b/ferry/ferrypipeline/place.go
@@ -2,7 +2,8 @@
 
 import "cactusferry.dev/ferry/ferryid"
 
-// Place splits a model's layers over engines in order, so that the slowest engine of the chain is as fast as can be; rates are in layers a second.
+// Place splits a model's layers over a chain of engines so that its throughput, that of the slowest engine, is
+// highest. Rates are in layers per second. It returns nil if there are no engines, or more than layers.
 func Place(rates []float64, layers ferryid.Layer) []ferryid.LayerRange {
 	n := len(rates)
 	if n == 0 || n > int(layers) {
@@ -21,19 +22,19 @@
 		}
 		sizes[best]++
 	}
-	return ranges(sizes)
+	return layerRanges(sizes)
 }
 
-// PlaceEqually splits the layers into equal parts, the baseline that Place is measured against.
+// PlaceEqually splits the layers into equal parts; it is the baseline for measurements of Place.
 func PlaceEqually(n int, layers ferryid.Layer) []ferryid.LayerRange {
 	sizes := make([]int, n)
 	for i := range sizes {
 		sizes[i] = (i+1)*int(layers)/n - i*int(layers)/n
 	}
-	return ranges(sizes)
+	return layerRanges(sizes)
 }
 
-func ranges(sizes []int) []ferryid.LayerRange {
+func layerRanges(sizes []int) []ferryid.LayerRange {
 	out := make([]ferryid.LayerRange, len(sizes))
 	next := ferryid.Layer(0)
 	for i, n := range sizes {
@@ -43,7 +44,7 @@
 	return out
 }
 
-// Bottleneck is the rate of tokens of the slowest engine of a placement; rates are in layers a second.
+// Bottleneck returns the token rate of the slowest engine of a placement; rates are in layers per second.
 func Bottleneck(rates []float64, placed []ferryid.LayerRange) ferryid.TokensPerSecond {
 	worst := 0.0
 	for i, r := range placed {
--- a/ferry/ferrypipeline/plan.go
+++ b/ferry/ferrypipeline/plan.go
@@ -8,7 +8,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Candidate is an engine that may hold a stage; Layers is what it holds, of which a stage may use a part.
+// Candidate is an engine that can run a stage; Layers are the layers that it holds, of which a stage may use a
+// part.
 type Candidate struct {
 	Name        ferryid.UpstreamName
 	Address     string
@@ -20,16 +21,17 @@
 // Candidates are the engines of one service.
 type Candidates []Candidate
 
-// Load is what is known of a candidate's speed and work at the time of a choice.
+// Load is the known speed and work of a candidate.
 type Load struct {
-	// Rate is the measured rate of tokens through all the layers that the candidate holds.
+	// Rate is the measured token rate through all layers that the candidate holds.
 	Rate ferryid.TokensPerSecond
-	// Outstanding is the predicted work given to the candidate and not done.
+	// Outstanding is the predicted work assigned to the candidate and not finished.
 	Outstanding ferryid.Tokens
-	// Slots is how many jobs this entry may have on the candidate while others have room, unbounded if 0, and Running how many it has.
+	// Slots is the number of jobs that this entry may have on the candidate while other candidates have free
+	// slots; 0 means unbounded. Running is the number that it has.
 	Slots   int
 	Running int
-	// Avoid keeps new work away.
+	// Avoid excludes the candidate from new plans.
 	Avoid bool
 }
 
@@ -40,7 +42,7 @@
 	Incarnation ferryid.Incarnation
 	Domain      ferryid.DomainName
 	Layers      ferryid.LayerRange
-	// Share is the part of the engine's layers that the stage uses, from 0 to 1.
+	// Share is the fraction of the engine's layers that the stage uses, from 0 to 1.
 	Share float64
 }
 
@@ -48,15 +50,15 @@
 type Plan struct {
 	Stages []Stage
 	Layers ferryid.Layer
-	// Tokens is the work that the plan was chosen for.
+	// Tokens is the work that the plan was chosen for, in tokens.
 	Tokens ferryid.Tokens
-	// Rate is the rate of the slowest stage, were it free.
+	// Rate is the token rate of the slowest stage without other work.
 	Rate ferryid.TokensPerSecond
-	// At is when the plan was chosen.
+	// At is the time at which the plan was chosen.
 	At time.Time
 }
 
-// PlanError says why a plan does not cover the model.
+// PlanError reports a plan whose stages do not cover the model's layers.
 type PlanError struct {
 	Layer  ferryid.Layer
 	Detail string
@@ -97,7 +99,7 @@
 	return out
 }
 
-// wire gives the plan's stages and their incarnations as engines read them.
+// wire returns the plan's stages and their incarnations in the form of a run request.
 func (p *Plan) wire() (ferryengine.Stages, map[string]ferryid.Incarnation) {
 	stages := make(ferryengine.Stages, len(p.Stages))
 	incarnations := map[string]ferryid.Incarnation{}
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -13,16 +13,17 @@
 const (
 	maxDomains = 16
 	sumWeight  = 0.5
-	// noSlot is what a job without a slot costs, in seconds, so that full engines come after all that have room.
-	noSlot       = 10.0
-	noPlan       = -1
-	startOfChain = -2
+	// noSlotPenalty is the cost in seconds of a job without a slot; it ranks full engines behind all with free
+	// slots.
+	noSlotPenalty = 10.0
+	noCandidate   = -1
+	chainStart    = -2
 )
 
-// LinkCosts gives the time that one token takes from a stage to the next, between two failure domains.
+// LinkCosts holds the transfer time of one token between stages, per pair of failure domains.
 type LinkCosts map[[2]ferryid.DomainName]time.Duration
 
-// NoChainError says that the candidates that may be used don't cover the layers.
+// NoChainError reports that the usable candidates do not cover the layers.
 type NoChainError struct {
 	Layers   ferryid.Layer
 	Excluded int
@@ -32,22 +33,23 @@
 	return fmt.Sprintf("no chain of engines covers %d layers, %d excluded", e.Layers, e.Excluded)
 }
 
-// PlannerConfig sets up a Planner.
+// PlannerConfig configures a Planner.
 type PlannerConfig struct {
 	Layers     ferryid.Layer
 	Candidates Candidates
 	Links      LinkCosts
-	// Fixed are the document's pipelines; without any the planner chains candidates itself.
+	// Fixed lists the pipelines of the service document; if empty, the planner builds chains from the
+	// candidates.
 	Fixed ferryservice.Pipelines
 }
 
-// edge is a candidate's use between two layer boundaries.
+// edge is a candidate that covers the layers between two boundaries.
 type edge struct {
 	candidate int
 	share     float64
 }
 
-// group is the edges between the same boundaries in one failure domain, of which only the quickest matters.
+// group holds the edges between the same boundaries in one failure domain, of which only the fastest is used.
 type group struct {
 	from   int
 	to     int
@@ -55,58 +57,58 @@
 	edges  []edge
 }
 
-// label is the best chain up to a boundary that ends in one failure domain.
+// label is the best chain up to a boundary whose last stage is in one failure domain.
 type label struct {
 	score float64
 	worst float64
 	sum   float64
 	link  float64
-	// candidate is the last of the chain, or noPlan.
+	// candidate is the last stage of the chain, or onNoPlan.
 	candidate int
 	prev      int
 }
 
-// Planner chooses among candidates that change seldom; it is for one goroutine at a time.
+// Planner chooses chains among a fixed set of candidates; it is not safe for concurrent use.
 type Planner struct {
-	layers     ferryid.Layer
-	candidates Candidates
-	domainOf   []int
-	domains    int
-	names      map[ferryid.DomainName]int
-	boundaries []ferryid.Layer
-	groups     []group
-	link       [maxDomains][maxDomains]float64
-	fixed      [][]int
-	labels     []label
-	// chain is the candidates chosen and cuts the layer at which each ends.
-	chain []int
-	cuts  []ferryid.Layer
+	layers      ferryid.Layer
+	candidates  Candidates
+	domainOf    []int
+	domains     int
+	domainIndex map[ferryid.DomainName]int
+	boundaries  []ferryid.Layer
+	groups      []group
+	link        [maxDomains][maxDomains]float64
+	fixed       [][]int
+	labels      []label
+	// chain holds the chosen candidates, cuts the layer at which each one ends.
+	chain     []int
+	stageEnds []ferryid.Layer
 }
 
-// NewPlanner prepares the choice among the candidates.
+// NewPlanner returns a planner, or an error for too many failure domains or no usable fixed pipeline.
 func NewPlanner(cfg PlannerConfig) (*Planner, error) {
-	names := map[ferryid.DomainName]int{}
-	p := &Planner{layers: cfg.Layers, candidates: cfg.Candidates, names: names}
+	domainIndex := map[ferryid.DomainName]int{}
+	p := &Planner{layers: cfg.Layers, candidates: cfg.Candidates, domainIndex: domainIndex}
 	index := map[ferryid.UpstreamName]int{}
 	for i, c := range cfg.Candidates {
-		if _, ok := names[c.Domain]; !ok {
-			names[c.Domain] = len(names)
+		if _, ok := domainIndex[c.Domain]; !ok {
+			domainIndex[c.Domain] = len(domainIndex)
 		}
-		p.domainOf = append(p.domainOf, names[c.Domain])
+		p.domainOf = append(p.domainOf, domainIndex[c.Domain])
 		index[c.Name] = i
 	}
-	p.domains = len(names)
+	p.domains = len(domainIndex)
 	if p.domains > maxDomains {
 		return nil, fmt.Errorf("at most %d failure domains, there are %d", maxDomains, p.domains)
 	}
 	for pair, d := range cfg.Links {
-		a, okA := names[pair[0]]
-		b, okB := names[pair[1]]
+		a, okA := domainIndex[pair[0]]
+		b, okB := domainIndex[pair[1]]
 		if okA && okB {
 			p.link[a][b] = d.Seconds()
 		}
 	}
-	p.cut()
+	p.buildGroups()
 	for _, f := range cfg.Fixed {
 		if chain, ok := fixedChain(f, index); ok {
 			p.fixed = append(p.fixed, chain)
@@ -131,8 +133,8 @@
 	return chain, true
 }
 
-// cut finds the layer boundaries and the groups of edges between them, those that end earlier first.
-func (p *Planner) cut() {
+// buildGroups computes the layer boundaries and the groups of edges between them, ordered by their end.
+func (p *Planner) buildGroups() {
 	set := map[ferryid.Layer]bool{0: true, p.layers: true}
 	for _, c := range p.candidates {
 		set[min(c.Layers.From, p.layers)] = true
@@ -144,12 +146,12 @@
 	slices.Sort(p.boundaries)
 	for to := range p.boundaries {
 		for from := range to {
-			p.edgesBetween(from, to)
+			p.addGroups(from, to)
 		}
 	}
 }
 
-func (p *Planner) edgesBetween(from, to int) {
+func (p *Planner) addGroups(from, to int) {
 	r := ferryid.LayerRange{From: p.boundaries[from], To: p.boundaries[to]}
 	for d := range p.domains {
 		g := group{from: from, to: to, domain: d}
@@ -164,9 +166,10 @@
 	}
 }
 
-// Choose writes the best plan for a job of so many tokens into plan, reusing its stages; loads and excluded run parallel to the candidates.
+// Choose writes the best plan for a job of the given tokens into plan, reusing its slice of stages. The slices
+// loads and excluded are parallel to the candidates. The error is a *NoChainError.
 func (p *Planner) Choose(loads []Load, excluded []bool, tokens ferryid.Tokens, plan *Plan) error {
-	p.chain, p.cuts = p.chain[:0], p.cuts[:0]
+	p.chain, p.stageEnds = p.chain[:0], p.stageEnds[:0]
 	found := false
 	if len(p.fixed) > 0 {
 		found = p.chooseFixed(loads, excluded, tokens)
@@ -174,13 +177,13 @@
 		found = p.chooseChain(loads, excluded, tokens)
 	}
 	if !found {
-		return &NoChainError{Layers: p.layers, Excluded: count(excluded)}
+		return &NoChainError{Layers: p.layers, Excluded: countTrue(excluded)}
 	}
-	p.write(loads, tokens, plan)
+	p.fillPlan(loads, tokens, plan)
 	return nil
 }
 
-func count(bs []bool) int {
+func countTrue(bs []bool) int {
 	n := 0
 	for _, b := range bs {
 		if b {
@@ -194,58 +197,59 @@
 	return !l.Avoid && l.Rate > 0 && (excluded == nil || !excluded[i])
 }
 
-// seconds is how long the candidate takes until it has done its work and this job's share.
-func seconds(l *Load, share float64, tokens ferryid.Tokens) float64 {
+// finishSeconds returns the time until the candidate finishes its outstanding work and this job's share.
+func finishSeconds(l *Load, share float64, tokens ferryid.Tokens) float64 {
 	s := (float64(l.Outstanding) + float64(tokens)*share) / float64(l.Rate)
 	if l.Slots > 0 && l.Running >= l.Slots {
-		s += float64(1+l.Running-l.Slots) * noSlot
+		s += float64(1+l.Running-l.Slots) * noSlotPenalty
 	}
 	return s
 }
 
-// chooseChain goes over the boundaries from layer 0 and keeps the best chain to each boundary and last failure domain.
+// chooseChain finds the best chain by dynamic programming over the boundaries. It keeps one label per boundary
+// and failure domain of the last stage.
 func (p *Planner) chooseChain(loads []Load, excluded []bool, tokens ferryid.Tokens) bool {
 	for i := range p.labels {
-		p.labels[i] = label{score: math.Inf(1), candidate: noPlan}
+		p.labels[i] = label{score: math.Inf(1), candidate: noCandidate}
 	}
 	for gi := range p.groups {
 		g := &p.groups[gi]
-		own, candidate := quickest(g.edges, loads, excluded, tokens)
-		if candidate == noPlan {
+		cost, candidate := fastest(g.edges, loads, excluded, tokens)
+		if candidate == noCandidate {
 			continue
 		}
 		at := &p.labels[g.to*p.domains+g.domain]
 		if g.from == 0 {
-			at.improve(label{worst: own, sum: own, candidate: candidate, prev: startOfChain}, tokens)
+			at.improve(label{worst: cost, sum: cost, candidate: candidate, prev: chainStart}, tokens)
 			continue
 		}
 		for pd := range p.domains {
 			prev := g.from*p.domains + pd
-			if b := &p.labels[prev]; b.candidate != noPlan {
+			if b := &p.labels[prev]; b.candidate != noCandidate {
 				at.improve(label{
-					worst: max(b.worst, own), sum: b.sum + own, link: b.link + p.link[pd][g.domain],
+					worst: max(b.worst, cost), sum: b.sum + cost, link: b.link + p.link[pd][g.domain],
 					candidate: candidate, prev: prev,
 				}, tokens)
 			}
 		}
 	}
-	return p.trace()
+	return p.backtrack()
 }
 
-// quickest returns the candidate of a group that is done first.
-func quickest(edges []edge, loads []Load, excluded []bool, tokens ferryid.Tokens) (own float64, candidate int) {
-	own, candidate = math.Inf(1), noPlan
+// fastest returns the candidate of a group that finishes first.
+func fastest(edges []edge, loads []Load, excluded []bool, tokens ferryid.Tokens) (cost float64, candidate int) {
+	cost, candidate = math.Inf(1), noCandidate
 	for i := range edges {
 		e := &edges[i]
 		l := &loads[e.candidate]
 		if !usable(l, excluded, e.candidate) {
 			continue
 		}
-		if s := seconds(l, e.share, tokens); s < own {
-			own, candidate = s, e.candidate
+		if s := finishSeconds(l, e.share, tokens); s < cost {
+			cost, candidate = s, e.candidate
 		}
 	}
-	return own, candidate
+	return cost, candidate
 }
 
 func (l *label) improve(next label, tokens ferryid.Tokens) {
@@ -255,34 +259,34 @@
 	}
 }
 
-// trace follows the best chain back to layer 0.
-func (p *Planner) trace() bool {
+// backtrack follows the labels of the best chain back to layer 0.
+func (p *Planner) backtrack() bool {
 	last := (len(p.boundaries) - 1) * p.domains
-	best := noPlan
+	best := noCandidate
 	for d := range p.domains {
-		if p.labels[last+d].candidate != noPlan && (best == noPlan || p.labels[last+d].score < p.labels[best].score) {
+		if p.labels[last+d].candidate != noCandidate && (best == noCandidate || p.labels[last+d].score < p.labels[best].score) {
 			best = last + d
 		}
 	}
-	if best == noPlan {
+	if best == noCandidate {
 		return false
 	}
-	for i := best; i != startOfChain; i = p.labels[i].prev {
+	for i := best; i != chainStart; i = p.labels[i].prev {
 		p.chain = append(p.chain, p.labels[i].candidate)
-		p.cuts = append(p.cuts, p.boundaries[i/p.domains])
+		p.stageEnds = append(p.stageEnds, p.boundaries[i/p.domains])
 	}
 	slices.Reverse(p.chain)
-	slices.Reverse(p.cuts)
-	p.merge()
+	slices.Reverse(p.stageEnds)
+	p.mergeRepeated()
 	return true
 }
 
-// merge leaves each candidate in the chain once: one that comes again holds all layers between, too.
-func (p *Planner) merge() {
+// mergeRepeated removes repeated candidates from the chain; a repeated one holds all layers in between too.
+func (p *Planner) mergeRepeated() {
 	for i := 0; i < len(p.chain); i++ {
 		for j := len(p.chain) - 1; j > i; j-- {
 			if p.chain[j] == p.chain[i] {
-				p.cuts = slices.Delete(p.cuts, i, j)
+				p.stageEnds = slices.Delete(p.stageEnds, i, j)
 				p.chain = slices.Delete(p.chain, i, j)
 				break
 			}
@@ -297,9 +301,9 @@
 		if ok && score < best {
 			best = score
 			p.chain = append(p.chain[:0], chain...)
-			p.cuts = p.cuts[:0]
+			p.stageEnds = p.stageEnds[:0]
 			for _, c := range chain {
-				p.cuts = append(p.cuts, min(p.candidates[c].Layers.To, p.layers))
+				p.stageEnds = append(p.stageEnds, min(p.candidates[c].Layers.To, p.layers))
 			}
 		}
 	}
@@ -314,9 +318,9 @@
 		if !usable(&loads[c], excluded, c) || held.From > next || held.To <= next {
 			return 0, false
 		}
-		own := seconds(&loads[c], float64(held.To-next)/float64(held.Len()), tokens)
-		worst = max(worst, own)
-		sum += own
+		cost := finishSeconds(&loads[c], float64(held.To-next)/float64(held.Len()), tokens)
+		worst = max(worst, cost)
+		sum += cost
 		if i > 0 {
 			link += p.link[p.domainOf[chain[i-1]]][p.domainOf[c]]
 		}
@@ -325,14 +329,14 @@
 	return worst + sumWeight*sum + float64(tokens)*link, next >= p.layers
 }
 
-// write fills the plan in, with the layers that two neighbours both hold split so that neither waits for the other.
-func (p *Planner) write(loads []Load, tokens ferryid.Tokens, plan *Plan) {
+// fillPlan fills in the plan; layers that two neighbours both hold are split to balance their finish times.
+func (p *Planner) fillPlan(loads []Load, tokens ferryid.Tokens, plan *Plan) {
 	plan.Layers, plan.Tokens = p.layers, tokens
 	plan.Stages = plan.Stages[:0]
 	next := ferryid.Layer(0)
 	for i, ci := range p.chain {
 		c := &p.candidates[ci]
-		to := p.cuts[i]
+		to := p.stageEnds[i]
 		if i+1 < len(p.chain) {
 			to = p.split(i, next, loads, tokens)
 		}
@@ -350,16 +354,16 @@
 	}
 }
 
-// split is the layer at which the chain's stage i, which begins at from, hands over to the next, that both may hold.
+// split returns the layer at which stage i of the chain, which begins at from, ends and the next stage begins.
 func (p *Planner) split(i int, from ferryid.Layer, loads []Load, tokens ferryid.Tokens) ferryid.Layer {
 	a, b := p.chain[i], p.chain[i+1]
 	ca, cb := p.candidates[a].Layers, p.candidates[b].Layers
-	end := p.cuts[i+1]
-	best, at := math.Inf(1), p.cuts[i]
+	end := p.stageEnds[i+1]
+	best, at := math.Inf(1), p.stageEnds[i]
 	for l := max(cb.From, from+1); l <= min(ca.To, end-1); l++ {
 		worst := max(
-			seconds(&loads[a], float64(l-from)/float64(ca.Len()), tokens),
-			seconds(&loads[b], float64(end-l)/float64(cb.Len()), tokens),
+			finishSeconds(&loads[a], float64(l-from)/float64(ca.Len()), tokens),
+			finishSeconds(&loads[b], float64(end-l)/float64(cb.Len()), tokens),
 		)
 		if worst < best {
 			best, at = worst, l
@@ -368,21 +372,21 @@
 	return at
 }
 
-// observeLink takes up a measured link time.
+// observeLink adds a measured link time to the moving average.
 func (p *Planner) observeLink(from, to ferryid.DomainName, d time.Duration) {
-	a, okA := p.names[from]
-	b, okB := p.names[to]
+	a, okA := p.domainIndex[from]
+	b, okB := p.domainIndex[to]
 	if okA && okB {
-		p.link[a][b] = smooth(p.link[a][b], d.Seconds())
+		p.link[a][b] = movingAverage(p.link[a][b], d.Seconds())
 	}
 }
 
-// takeLinks keeps the measured links of the planner before, for failure domains that both know.
-func (p *Planner) takeLinks(old *Planner) {
-	for from, a := range p.names {
-		for to, b := range p.names {
-			oldA, okA := old.names[from]
-			oldB, okB := old.names[to]
+// copyLinks copies the measured links of the previous planner, for failure domains that both know.
+func (p *Planner) copyLinks(old *Planner) {
+	for from, a := range p.domainIndex {
+		for to, b := range p.domainIndex {
+			oldA, okA := old.domainIndex[from]
+			oldB, okB := old.domainIndex[to]
 			if okA && okB {
 				p.link[a][b] = old.link[oldA][oldB]
 			}
--- a/ferry/ferrypipeline/planner_test.go
+++ b/ferry/ferrypipeline/planner_test.go
@@ -20,7 +20,7 @@
 
 const planLayers = 6
 
-// reachable is the oracle of whether any chain of the usable candidates covers the layers.
+// reachable reports whether any chain of the usable candidates covers the layers.
 func reachable(cs ferrypipeline.Candidates, ok []bool) bool {
 	next := ferryid.Layer(0)
 	for {
@@ -77,7 +77,7 @@
 		for _, s := range plan.Stages {
 			for i, c := range cs {
 				if c.Name == s.Name {
-					assert.Assert(t, ok[i], "%s must not be used", s.Name)
+					assert.Assert(t, ok[i], "%s is not usable but was chosen", s.Name)
 					assert.Assert(t, c.Layers.From <= s.Layers.From && s.Layers.To <= c.Layers.To, "%s does not hold %s", s.Name, s.Layers)
 				}
 			}
@@ -99,10 +99,10 @@
 		fixed ferryservice.Pipelines
 		want  string
 	}{
-		{"equal rates stay in one failure domain and split the layers", []ferrypipeline.Load{{Rate: 100}, {Rate: 100}, {Rate: 100}}, nil, "a[0,3) c[3,6) "},
-		{"the slower takes fewer layers", []ferrypipeline.Load{{Rate: 100}, {Rate: 100}, {Rate: 50}}, nil, "a[0,4) c[4,6) "},
-		{"work outstanding counts", []ferrypipeline.Load{{Rate: 100, Outstanding: 5000}, {Rate: 100}, {Rate: 100}}, nil, "b[0,3) c[3,6) "},
-		{"the link outweighs a little work", []ferrypipeline.Load{{Rate: 100, Outstanding: 20}, {Rate: 100}, {Rate: 100}}, nil, "a[0,3) c[3,6) "},
+		{"equal rates: one failure domain, layers split evenly", []ferrypipeline.Load{{Rate: 100}, {Rate: 100}, {Rate: 100}}, nil, "a[0,3) c[3,6) "},
+		{"slower engine gets fewer layers", []ferrypipeline.Load{{Rate: 100}, {Rate: 100}, {Rate: 50}}, nil, "a[0,4) c[4,6) "},
+		{"outstanding work counts", []ferrypipeline.Load{{Rate: 100, Outstanding: 5000}, {Rate: 100}, {Rate: 100}}, nil, "b[0,3) c[3,6) "},
+		{"link cost outweighs a little outstanding work", []ferrypipeline.Load{{Rate: 100, Outstanding: 20}, {Rate: 100}, {Rate: 100}}, nil, "a[0,3) c[3,6) "},
 		{"fixed", []ferrypipeline.Load{{Rate: 100}, {Rate: 100}, {Rate: 100}}, ferryservice.Pipelines{{Name: "p", Stages: []ferryid.UpstreamName{"b", "c"}}}, "b[0,3) c[3,6) "},
 	} {
 		p, err := ferrypipeline.NewPlanner(ferrypipeline.PlannerConfig{Layers: planLayers, Candidates: cs, Links: links, Fixed: tt.fixed})
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestChooseAllocatesNothing(t *testing.T) {
+func TestChooseDoesNotAllocate(t *testing.T) {
 	cfg, loads := fleet48()
 	p, err := ferrypipeline.NewPlanner(cfg)
 	assert.NilError(t, err)
@@ -125,7 +125,7 @@
 	assert.Equal(t, testing.AllocsPerRun(100, func() { _ = p.Choose(loads, nil, 100, &plan) }), 0.0)
 }
 
-func TestPoolCountsItsOwnWork(t *testing.T) {
+func TestPoolCountsOwnWork(t *testing.T) {
 	cfg, loads := fleet48()
 	for i := range loads {
 		loads[i].Outstanding = 0
@@ -149,7 +149,7 @@
 	}
 }
 
-// An engine that failed one job is avoided by others for a while, unless nothing else holds its layers.
+// An engine that failed one job is avoided by other jobs for a time, unless no other engine holds its layers.
 func TestPoolAvoidsSuspects(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	cfg := ferrypipeline.PlannerConfig{Layers: 4, Candidates: ferrypipeline.Candidates{
@@ -165,17 +165,18 @@
 	}
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
-	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "another job takes the engine that just failed")
-	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspect is better than none")
+	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "another job got the engine that just failed")
+	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspected engine is used if there is no other")
 	clock.Advance(time.Second)
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
 	clock.Advance(time.Second)
-	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "the second time it is avoided for longer")
+	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "the second suspicion is no longer than the first")
 }
 
-// An engine whose slots are taken comes after a slower one that has room, and the least overfull one first.
-func TestPoolKeepsToSlots(t *testing.T) {
+// An engine without free slots ranks behind a slower one with free slots; among full ones the least overfull
+// is first.
+func TestPoolRespectsSlots(t *testing.T) {
 	cfg := ferrypipeline.PlannerConfig{Layers: 4, Candidates: ferrypipeline.Candidates{
 		{Name: "quick", Layers: ferryid.LayerRange{To: 4}}, {Name: "slow", Layers: ferryid.LayerRange{To: 4}},
 	}}
@@ -198,12 +199,12 @@
 	for range 3 {
 		plan, err := pool.Pick(&ferrypipeline.Job{MaxTokens: 10}, nil)
 		assert.NilError(t, err)
-		assert.Equal(t, plan.Stages[0].Name, ferryid.UpstreamName("quick"), "no slots stated is no bound")
+		assert.Equal(t, plan.Stages[0].Name, ferryid.UpstreamName("quick"), "0 slots must mean unbounded")
 	}
 }
 
-// Measured links turn the choice; a measurement that can't be right changes nothing.
-func TestPoolLearnsLinks(t *testing.T) {
+// Measured link times change the choice; invalid measurements are ignored.
+func TestPoolMeasuresLinks(t *testing.T) {
 	cfg := ferrypipeline.PlannerConfig{Layers: 4, Candidates: ferrypipeline.Candidates{
 		{Name: "a", Address: "a", Domain: "x", Layers: ferryid.LayerRange{To: 2}},
 		{Name: "b", Address: "b", Domain: "y", Layers: ferryid.LayerRange{From: 2, To: 4}},
@@ -225,10 +226,10 @@
 	pool.Observe(plan, []ferryengine.StageTime{{Stage: "a", Steps: 10, HopMicros: 300000, HeldMicros: 400000}, {Stage: "b", Steps: 10, HeldMicros: 100000}})
 	assert.Equal(t, pick().Stages[1].Name, ferryid.UpstreamName("c"))
 	assert.NilError(t, pool.Set(cfg, pool.Loads()))
-	assert.Equal(t, pick().Stages[1].Name, ferryid.UpstreamName("c"), "a new list of engines forgot the links")
+	assert.Equal(t, pick().Stages[1].Name, ferryid.UpstreamName("c"), "Set dropped the measured links")
 }
 
-func TestPoolTakesReports(t *testing.T) {
+func TestPoolReport(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	cfg := ferrypipeline.PlannerConfig{Layers: 4, Candidates: ferrypipeline.Candidates{
 		{Name: "quick", Layers: ferryid.LayerRange{To: 4}}, {Name: "slow", Layers: ferryid.LayerRange{To: 4}},
@@ -272,7 +273,7 @@
 	assert.Assert(t, pool.Loads()[0].Avoid)
 	good.State = ferryengine.StateLive
 	assert.NilError(t, pool.Report(good))
-	assert.Assert(t, pool.Loads()[0].Avoid, "a live report took back that the engine leaves")
+	assert.Assert(t, pool.Loads()[0].Avoid, "a live report cleared Avoid of a leaving engine")
 	pool.Avoid(good.Name, false)
 	assert.Assert(t, !pool.Loads()[0].Avoid)
 }
@@ -298,8 +299,9 @@
 	assert.Assert(t, ferrypipeline.Place([]float64{1, 1}, 1) == nil)
 }
 
-// work gives jobs to engines by a policy, all at once, and returns the tokens a second until the last engine is done, as a share of the bound.
-func work(b *testing.B, choose func(p *ferrypipeline.Planner, loads []ferrypipeline.Load, plan *ferrypipeline.Plan, tokens ferryid.Tokens)) float64 {
+// simulatePolicy assigns 5000 jobs to engines by a policy, all at once. It returns the token rate until the
+// last engine finishes, as a fraction of the upper bound.
+func simulatePolicy(b *testing.B, choose func(p *ferrypipeline.Planner, loads []ferrypipeline.Load, plan *ferrypipeline.Plan, tokens ferryid.Tokens)) float64 {
 	cfg, loads := fleet48()
 	p, err := ferrypipeline.NewPlanner(cfg)
 	assert.NilError(b, err)
@@ -358,7 +360,7 @@
 		b.Run(tt.name, func(b *testing.B) {
 			share := 0.0
 			for b.Loop() {
-				share = work(b, tt.choose)
+				share = simulatePolicy(b, tt.choose)
 			}
 			b.ReportMetric(100*share, "%-of-bound")
 		})
@@ -376,18 +378,19 @@
 	b.ReportMetric(equal, "equal-tokens/s")
 }
 
-// What a token pays for links when they are weighed and when not, over chains of eight stages in three failure domains.
+// Measures the link time per token of chains of eight stages over three failure domains, with and without link
+// costs in the choice.
 func BenchmarkLinks(b *testing.B) {
 	cfg, loads := fleet48()
 	for pair := range cfg.Links {
 		cfg.Links[pair] = 5 * time.Millisecond
 	}
-	blind := cfg
-	blind.Links = nil
+	withoutLinks := cfg
+	withoutLinks.Links = nil
 	for _, tt := range []struct {
 		name string
 		cfg  ferrypipeline.PlannerConfig
-	}{{"Weighed", cfg}, {"Blind", blind}} {
+	}{{"Weighed", cfg}, {"Blind", withoutLinks}} {
 		b.Run(tt.name, func(b *testing.B) {
 			p, err := ferrypipeline.NewPlanner(tt.cfg)
 			assert.NilError(b, err)
--- a/ferry/ferrypipeline/pool.go
+++ b/ferry/ferrypipeline/pool.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// observeWeight is the weight of the newest measurement, and minObserveSteps the tokens it takes to count.
+	// observeWeight is the weight of the newest measurement in the moving averages; measurements over fewer
+	// than minObserveSteps tokens are ignored.
 	observeWeight   = 0.5
 	minObserveSteps = 4
 	maxReportSkew   = 5 * time.Second
-	firstSuspicion  = time.Second
+	minSuspicion    = time.Second
 	maxSuspicion    = 10 * time.Second
 )
 
-// suspicion keeps jobs away from an engine that failed another job, longer each time until it gives a token again.
+// suspicion excludes an engine that failed a job from other jobs for a time. The time doubles with each
+// failure until the engine produces a token again.
 type suspicion struct {
-	until time.Time
-	next  time.Duration
+	until    time.Time
+	duration time.Duration
 }
 
-// Pool is a Picker over one service's engines, which counts its own dispatches as outstanding at once.
+// Pool is a Picker over the engines of one service; it counts the work of its own plans as outstanding at once.
 type Pool struct {
 	clock clockwork.Clock
 
@@ -35,22 +37,22 @@
 	planner *Planner
 	index   map[ferryid.UpstreamName]int
 	loads   []Load
-	// others is the work that other entries have given to each candidate, as far as its reports show.
-	others   []ferryid.Tokens
-	reported []time.Time
-	excluded []bool
-	refused  int
-	suspects map[ferryid.UpstreamName]suspicion
-	scratch  Plan
+	// others is the work of other entries on each candidate, according to its load reports.
+	otherWork      []ferryid.Tokens
+	reported       []time.Time
+	excluded       []bool
+	refusedReports int
+	suspects       map[ferryid.UpstreamName]suspicion
+	scratch        Plan
 }
 
-// NewPool returns a pool of the planner's candidates, with loads parallel to them.
+// NewPool returns a pool of the planner's candidates; loads is parallel to them.
 func NewPool(cfg PlannerConfig, loads []Load, clock clockwork.Clock) (*Pool, error) {
 	p := &Pool{clock: clock, suspects: map[ferryid.UpstreamName]suspicion{}}
 	return p, p.Set(cfg, loads)
 }
 
-// Set replaces the candidates; work given to those that stay remains outstanding, and measured links remain.
+// Set replaces the candidates. The outstanding work of candidates that stay and the measured links are kept.
 func (p *Pool) Set(cfg PlannerConfig, loads []Load) error {
 	planner, err := NewPlanner(cfg)
 	if err != nil {
@@ -59,35 +61,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.planner != nil {
-		planner.takeLinks(p.planner)
+		planner.copyLinks(p.planner)
 	}
 	index := map[ferryid.UpstreamName]int{}
 	loads = slices.Clone(loads)
 	for i, c := range cfg.Candidates {
 		index[c.Name] = i
 		if old, ok := p.index[c.Name]; ok {
-			loads[i].Outstanding = p.loads[old].Outstanding - p.others[old]
+			loads[i].Outstanding = p.loads[old].Outstanding - p.otherWork[old]
 			loads[i].Running = p.loads[old].Running
 		}
 	}
 	p.planner, p.index, p.loads = planner, index, loads
 	p.excluded = make([]bool, len(loads))
-	p.others = make([]ferryid.Tokens, len(loads))
+	p.otherWork = make([]ferryid.Tokens, len(loads))
 	p.reported = make([]time.Time, len(loads))
 	return nil
 }
 
-// Pick chooses the plan whose slowest stage is done first; an engine that one job excludes is avoided by all for a while, unless there is no chain without it.
+// Pick chooses the plan whose slowest stage finishes first. An engine that one job excludes is avoided by all
+// jobs for a time, unless there is no chain without it.
 func (p *Pool) Pick(job *Job, exclude []ferryid.UpstreamName) (Plan, error) {
 	return p.pick(job, exclude, true)
 }
 
-// PickUnsuspected is Pick, but returns a *NoChainError rather than a plan with an engine that other jobs failed on.
+// PickUnsuspected is like Pick but returns a *NoChainError instead of a plan with a suspected engine.
 func (p *Pool) PickUnsuspected(job *Job, exclude []ferryid.UpstreamName) (Plan, error) {
 	return p.pick(job, exclude, false)
 }
 
-func (p *Pool) pick(job *Job, exclude []ferryid.UpstreamName, suspectsToo bool) (Plan, error) {
+func (p *Pool) pick(job *Job, exclude []ferryid.UpstreamName, allowSuspects bool) (Plan, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -95,10 +98,10 @@
 		p.suspect(exclude[len(exclude)-1], now)
 	}
 	tokens := ferryid.Tokens(job.MaxTokens - len(job.Resume))
-	p.mark(exclude, now)
+	p.setExcluded(exclude, now)
 	err := p.planner.Choose(p.loads, p.excluded, tokens, &p.scratch)
-	if err != nil && suspectsToo && len(p.suspects) > 0 {
-		p.mark(exclude, time.Time{})
+	if err != nil && allowSuspects && len(p.suspects) > 0 {
+		p.setExcluded(exclude, time.Time{})
 		err = p.planner.Choose(p.loads, p.excluded, tokens, &p.scratch)
 	}
 	if err != nil {
@@ -106,7 +109,7 @@
 	}
 	plan := p.scratch.clone()
 	plan.At = now
-	p.count(&plan, 1)
+	p.addWork(&plan, 1)
 	return plan, nil
 }
 
@@ -115,13 +118,14 @@
 	if now.Before(s.until) {
 		return
 	}
-	s.next = min(maxSuspicion, max(firstSuspicion, 2*s.next))
-	s.until = now.Add(s.next)
+	s.duration = min(maxSuspicion, max(minSuspicion, 2*s.duration))
+	s.until = now.Add(s.duration)
 	p.suspects[name] = s
 }
 
-// mark sets what may not be used: the job's own exclusions and, unless now is zero, the suspects.
-func (p *Pool) mark(exclude []ferryid.UpstreamName, now time.Time) {
+// setExcluded sets the excluded candidates: the exclusions of the job and, unless now is zero, the suspected
+// engines.
+func (p *Pool) setExcluded(exclude []ferryid.UpstreamName, now time.Time) {
 	clear(p.excluded)
 	for _, name := range exclude {
 		if i, ok := p.index[name]; ok {
@@ -138,11 +142,12 @@
 	}
 }
 
-// Done takes a plan's work off what is outstanding; engines that gave tokens are suspects no more.
+// Done removes a plan's work from the outstanding work and clears the suspicion of engines that produced
+// tokens.
 func (p *Pool) Done(plan Plan, tokens ferryid.Tokens) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count(&plan, -1)
+	p.addWork(&plan, -1)
 	if tokens == 0 || len(p.suspects) == 0 {
 		return
 	}
@@ -153,17 +158,17 @@
 	}
 }
 
-func (p *Pool) count(plan *Plan, sign float64) {
+func (p *Pool) addWork(plan *Plan, sign float64) {
 	for _, s := range plan.Stages {
 		if i, ok := p.index[s.Name]; ok {
 			work := ferryid.Tokens(sign * float64(plan.Tokens) * s.Share)
-			p.loads[i].Outstanding = max(p.others[i], p.loads[i].Outstanding+work)
+			p.loads[i].Outstanding = max(p.otherWork[i], p.loads[i].Outstanding+work)
 			p.loads[i].Running = max(0, p.loads[i].Running+int(sign))
 		}
 	}
 }
 
-// Avoid keeps new work away from an engine, or lets it come again.
+// Avoid excludes an engine from new plans, or includes it again.
 func (p *Pool) Avoid(name ferryid.UpstreamName, avoid bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +177,7 @@
 	}
 }
 
-// SetSlots sets how many jobs this entry may have on an engine while others have room.
+// SetSlots sets the number of jobs that this entry may have on an engine while others have free slots.
 func (p *Pool) SetSlots(name ferryid.UpstreamName, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,14 +186,15 @@
 	}
 }
 
-// Loads returns a copy of the present loads, parallel to the candidates.
+// Loads returns a copy of the current loads, parallel to the candidates.
 func (p *Pool) Loads() []Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.loads)
 }
 
-// Observe takes up the measured rates of a plan's engines and the time of the links between them; a measurement that can't be right changes nothing.
+// Observe updates the rates of a plan's engines and the times of the links between them by measurements of its
+// stages. Measurements that do not match the plan or cover too few tokens are ignored.
 func (p *Pool) Observe(plan Plan, times []ferryengine.StageTime) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,21 +208,21 @@
 		}
 		if j, ok := p.index[s.Name]; ok && t.BusyMicros > 0 {
 			rate := float64(t.Steps) * s.Share / (float64(t.BusyMicros) / 1e6)
-			p.loads[j].Rate = ferryid.TokensPerSecond(smooth(float64(p.loads[j].Rate), rate))
+			p.loads[j].Rate = ferryid.TokensPerSecond(movingAverage(float64(p.loads[j].Rate), rate))
 		}
 		if i > 0 {
-			before := &times[i-1]
-			link := time.Duration(max(0, before.HopMicros-t.HeldMicros)) * time.Microsecond / time.Duration(t.Steps)
+			prev := &times[i-1]
+			link := time.Duration(max(0, prev.HopMicros-t.HeldMicros)) * time.Microsecond / time.Duration(t.Steps)
 			p.planner.observeLink(plan.Stages[i-1].Domain, s.Domain, link)
 		}
 	}
 }
 
-func smooth(old, measured float64) float64 {
+func movingAverage(old, measured float64) float64 {
 	return (1-observeWeight)*old + observeWeight*measured
 }
 
-// ReportError says why a load report was refused.
+// ReportError reports why a load report was refused.
 type ReportError struct {
 	Name   ferryid.UpstreamName
 	Detail string
@@ -226,7 +232,8 @@
 	return fmt.Sprintf("load report of %s refused: %s", e.Name, e.Detail)
 }
 
-// Report takes up an engine's lagging report: what it has to do beyond this entry's own work is that of others. A report that can't be right is refused, counted and changes nothing.
+// Report updates a candidate by a load report, which lags behind. Outstanding work beyond that of this entry is
+// attributed to other entries. An invalid report is refused, counted and changes nothing.
 func (p *Pool) Report(l ferryengine.Load) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,30 +242,30 @@
 	switch {
 	case err != nil:
 	case !known:
-		err = &ReportError{Name: l.Name, Detail: "there is no such engine"}
+		err = &ReportError{Name: l.Name, Detail: "unknown engine"}
 	case l.At.After(p.clock.Now().Add(maxReportSkew)):
-		err = &ReportError{Name: l.Name, Detail: "it comes from the future"}
+		err = &ReportError{Name: l.Name, Detail: "time stamp is in the future"}
 	case l.At.Before(p.reported[i]):
-		err = &ReportError{Name: l.Name, Detail: "a newer one was here"}
+		err = &ReportError{Name: l.Name, Detail: "a newer report was received before"}
 	}
 	if err != nil {
-		p.refused++
+		p.refusedReports++
 		return err
 	}
 	p.reported[i] = l.At
-	own := p.loads[i].Outstanding - p.others[i]
-	p.others[i] = max(0, l.OutstandingTokens-own)
-	p.loads[i].Outstanding = own + p.others[i]
-	// A report that is live does not take back who said that the engine leaves; Avoid and Set do.
+	own := p.loads[i].Outstanding - p.otherWork[i]
+	p.otherWork[i] = max(0, l.OutstandingTokens-own)
+	p.loads[i].Outstanding = own + p.otherWork[i]
+	// A live report does not clear Avoid; only Avoid and Set do.
 	if l.State == ferryengine.StateLeaving {
 		p.loads[i].Avoid = true
 	}
 	return nil
 }
 
-// Refused counts the reports that were refused.
+// Refused returns the number of refused reports.
 func (p *Pool) Refused() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refused
+	return p.refusedReports
 }
--- a/ferry/ferrypipeline/pool_test.go
+++ b/ferry/ferrypipeline/pool_test.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-func TestReportDoesNotEndAvoidance(t *testing.T) {
+func TestLiveReportDoesNotEndAvoidance(t *testing.T) {
 	layers := ferryid.LayerRange{To: 4}
 	cfg := ferrypipeline.PlannerConfig{Layers: 4, Candidates: ferrypipeline.Candidates{
 		{Name: "a", Address: "127.0.0.1:1", Layers: layers}, {Name: "b", Address: "127.0.0.1:2", Layers: layers},
@@ -30,12 +30,12 @@
 	}
 	pool.Avoid("a", true)
 	report(ferryengine.StateLive)
-	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "an engine that says it is live is still avoided")
+	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "a live report ended the avoidance")
 	pool.Avoid("a", false)
 	report(ferryengine.StateLeaving)
-	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "an engine that says it leaves gets nothing")
+	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "an engine that reports leaving was picked")
 	report(ferryengine.StateLive)
-	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "only Avoid lets it come again")
+	assert.Equal(t, pick(), ferryid.UpstreamName("b"), "a live report ended the avoidance after leaving")
 	pool.Avoid("a", false)
 	assert.Equal(t, pick(), ferryid.UpstreamName("a"))
 }
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// messageRing bounds what a job's cancels, waits and moves tell its core; who finds it full waits, or gives up when the job is over.
-	messageRing    = 8
+	// messageBuffer is the buffer size for messages of a job's cancels, waits and KV moves. Senders block
+	// while it is full, until the job ends.
+	messageBuffer  = 8
 	cancelTimeout  = 2 * time.Second
 	actionCapacity = 8
 )
 
-// Engines is what a Runner needs of engines; *ferryengine.Client has it.
+// Engines is the part of *ferryengine.Client that a Runner uses.
 type Engines interface {
 	Run(ctx context.Context, req ferryengine.RunRequest) (ferryengine.Stream, error)
 	Cancel(ctx context.Context, address string, stream ferryid.StreamID, epoch ferryid.Epoch) (ferryengine.CancelResult, error)
@@ -29,43 +30,45 @@
 	ImportKV(ctx context.Context, address string, kv ferryengine.KV) error
 }
 
-// Runner runs jobs: it does what their cores decide. Its fields are set before the first job.
+// Runner runs jobs by performing the actions of their cores. Its fields must not change after the first job
+// starts.
 type Runner struct {
 	Engines Engines
 	Picker  Picker
 	Clock   clockwork.Clock
 	Core    CoreConfig
-	// Budget bounds the retries of all jobs; without one there is no bound but each job's own.
+	// Budget limits the retries of all jobs together; if nil, only the limits of each job apply.
 	Budget *RetryBudget
-	// Log takes the epochs of each job, if set.
+	// Log receives events of each job's epochs, if set.
 	Log *ferryevent.Log
-	// Trace sees each message before the core does, if set.
+	// Trace is called with each message before the core processes it, if set.
 	Trace func(now time.Time, m Message)
 
 	cancels sync.WaitGroup
 }
 
-// Wait returns when the cancels of jobs that are over have been sent.
+// Wait blocks until the cancels of finished jobs have been sent.
 func (r *Runner) Wait() {
 	r.cancels.Wait()
 }
 
-// Run runs a job to its end and calls emit with each token once and in order; an error is a *ferryoutcome.Problem whose outcome says whether anything ran.
+// Run runs a job to its end and calls emit with each token once and in order. An error is a
+// *ferryoutcome.Problem, whose outcome tells whether anything ran.
 func (r *Runner) Run(ctx context.Context, job Job, emit func(Token) error) (Result, error) {
 	if err := job.Check(); err != nil {
 		return Result{}, ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "%v", err)
 	}
 	s := &session{
 		r: r, ctx: ctx, job: &job, emit: emit,
-		core: NewCore(&job, r.Core), messages: make(chan Message, messageRing), done: make(chan struct{}),
+		core: NewCore(&job, r.Core), messages: make(chan Message, messageBuffer), done: make(chan struct{}),
 	}
-	s.reading, s.halt = context.WithCancel(ctx)
+	s.readCtx, s.stopReading = context.WithCancel(ctx)
 	defer s.close()
 	if r.Budget != nil {
 		r.Budget.First()
 	}
 	if !job.Deadline.IsZero() {
-		passed, halt := make(chan struct{}), s.halt
+		passed, halt := make(chan struct{}), s.stopReading
 		s.deadline = passed
 		t := r.Clock.AfterFunc(job.Deadline.Sub(r.Clock.Now()), func() {
 			close(passed)
@@ -76,44 +79,45 @@
 	return s.loop()
 }
 
-// session is one job on its caller's goroutine, which alone owns the core and reads the engine's connection: while a token can't be passed on, none is read.
+// session is a running job. The goroutine of the caller owns the core and reads the engine's connection, so
+// that a blocked emit stops the reading and back pressure reaches the engine.
 type session struct {
-	r        *Runner
-	ctx      context.Context
-	job      *Job
-	emit     func(Token) error
-	core     *Core
-	messages chan Message
-	soon     []Message
-	done     chan struct{}
-	gone     <-chan struct{}
-	deadline <-chan struct{}
-	// reading ends with the caller or the deadline, so that neither waits for a silent engine.
-	reading context.Context
-	halt    context.CancelFunc
-	opening *ferryengine.RunRequest
-	stream  ferryengine.Stream
-	epoch   ferryid.Epoch
-	stop    context.CancelFunc
-	// leaving counts the connections that are being closed.
-	leaving  sync.WaitGroup
+	r          *Runner
+	ctx        context.Context
+	job        *Job
+	emit       func(Token) error
+	core       *Core
+	messages   chan Message
+	pending    []Message
+	done       chan struct{}
+	callerDone <-chan struct{}
+	deadline   <-chan struct{}
+	// reading is cancelled by the caller's end or the deadline, so that neither waits for a silent engine.
+	readCtx     context.Context
+	stopReading context.CancelFunc
+	toStart     *ferryengine.RunRequest
+	stream      ferryengine.Stream
+	epoch       ferryid.Epoch
+	cancelRun   context.CancelFunc
+	// closing waits for the connections that are being closed.
+	closing  sync.WaitGroup
 	finished *Finish
 }
 
-// close ends the job's goroutines and what is still read.
+// close ends the job's goroutines and connections.
 func (s *session) close() {
 	close(s.done)
-	s.leave(false)
+	s.closeStream(false)
 	go func() {
-		s.leaving.Wait()
-		s.halt()
+		s.closing.Wait()
+		s.stopReading()
 	}()
 }
 
 func (s *session) loop() (Result, error) {
 	actions := make([]Action, 0, actionCapacity)
-	s.gone = s.ctx.Done()
-	s.soon = append(s.soon, Begin{})
+	s.callerDone = s.ctx.Done()
+	s.pending = append(s.pending, Begin{})
 	for {
 		m := s.next()
 		now := s.r.Clock.Now()
@@ -130,37 +134,38 @@
 	}
 }
 
-// next waits for the core's next message: what is known already, then what others say, then the engine's connection.
+// next returns the next message for the core: a pending one first, then one from another goroutine, then one
+// from the engine's connection.
 func (s *session) next() Message {
-	if len(s.soon) > 0 {
-		m := s.soon[0]
-		s.soon = s.soon[1:]
+	if len(s.pending) > 0 {
+		m := s.pending[0]
+		s.pending = s.pending[1:]
 		return m
 	}
-	if s.opening == nil && s.stream == nil {
+	if s.toStart == nil && s.stream == nil {
 		return s.wait()
 	}
-	if m := s.interruption(); m != nil {
+	if m := s.pollMessage(); m != nil {
 		return m
 	}
-	if s.opening != nil {
+	if s.toStart != nil {
 		if err := s.open(); err != nil {
-			return s.broke(err)
+			return s.brokeMessage(err)
 		}
 	}
 	it, err := s.stream.Next()
 	if err != nil {
-		s.leave(false)
-		return s.broke(err)
+		s.closeStream(false)
+		return s.brokeMessage(err)
 	}
 	if it.Done || it.Failed != nil {
-		// A failed epoch's connection is given up: the engine may break it off behind the failure.
-		s.leave(it.Done)
+		// The connection of a failed epoch is not reused, as the engine may close it after the failure.
+		s.closeStream(it.Done)
 	}
 	return ItemArrived{Epoch: s.epoch, Item: it}
 }
 
-// wait waits for a message of another goroutine, the deadline or the caller's end.
+// wait blocks until a message from another goroutine, the deadline or the caller's end.
 func (s *session) wait() Message {
 	select {
 	case m := <-s.messages:
@@ -168,15 +173,15 @@
 	case <-s.deadline:
 		s.deadline = nil
 		return DeadlinePassed{}
-	case <-s.gone:
-		s.gone = nil
+	case <-s.callerDone:
+		s.callerDone = nil
 		return CallerGone{Err: s.ctx.Err()}
 	}
 }
 
-// interruption returns what does not wait for the engine, or nil.
-func (s *session) interruption() Message {
-	if len(s.messages) == 0 && s.reading.Err() == nil {
+// pollMessage returns a message that is available without reading the connection, or nil.
+func (s *session) pollMessage() Message {
+	if len(s.messages) == 0 && s.readCtx.Err() == nil {
 		return nil
 	}
 	select {
@@ -185,19 +190,20 @@
 	case <-s.deadline:
 		s.deadline = nil
 		return DeadlinePassed{}
-	case <-s.gone:
-		s.gone = nil
+	case <-s.callerDone:
+		s.callerDone = nil
 		return CallerGone{Err: s.ctx.Err()}
 	default:
 		return nil
 	}
 }
 
-// broke tells of an epoch's error, after what may have caused it.
-func (s *session) broke(err error) Message {
-	b := brokeBy(s.epoch, err)
-	if m := s.interruption(); m != nil {
-		s.soon = append(s.soon, b)
+// brokeMessage returns the message for an epoch's error. A deadline or a caller's end that may have caused the
+// error is returned before it.
+func (s *session) brokeMessage(err error) Message {
+	b := classifyError(s.epoch, err)
+	if m := s.pollMessage(); m != nil {
+		s.pending = append(s.pending, b)
 		return m
 	}
 	return b
@@ -206,14 +212,14 @@
 func (s *session) perform(a Action) {
 	switch a := a.(type) {
 	case AskPlan:
-		s.soon = append(s.soon, s.pick(a))
+		s.pending = append(s.pending, s.pick(a))
 	case Start:
 		s.start(a)
 	case MoveKV:
 		go s.moveKV(a)
 	case Emit:
 		if err := s.emit(a.Token); err != nil {
-			s.soon = append(s.soon, CallerGone{Err: err})
+			s.pending = append(s.pending, CallerGone{Err: err})
 		}
 	case CancelEpoch:
 		s.cancel(a)
@@ -226,17 +232,17 @@
 		s.r.Clock.AfterFunc(a.Delay, func() { s.post(Woke{}) })
 	case Finish:
 		s.finished = &a
-		s.note("StreamFinished", "%d tokens on %d pipelines", a.Result.Tokens, a.Result.Epochs)
+		s.logEvent("StreamFinished", "%d tokens on %d pipelines", a.Result.Tokens, a.Result.Epochs)
 	}
 }
 
-func (s *session) note(kind, format string, args ...any) {
+func (s *session) logEvent(kind, format string, args ...any) {
 	if s.r.Log != nil {
 		s.r.Log.Add(kind, string(s.job.Stream), format, args...)
 	}
 }
 
-// post hands a message to the core's goroutine and reports false if the job is over.
+// post sends a message to the core's goroutine; it returns false if the job has ended.
 func (s *session) post(m Message) bool {
 	select {
 	case s.messages <- m:
@@ -259,46 +265,49 @@
 	return Planned{Plan: plan}
 }
 
-// start leaves the opening to next, so that what else the core decided does not wait for it.
+// start leaves opening the connection to next, so that the core's other actions do not wait for it.
 func (s *session) start(a Start) {
-	s.note("EpochStarted", "epoch %d from token %d on %d stages, first %s", a.Request.Epoch, len(a.Request.Generated), len(a.Request.Stages), a.Request.Stages[0].Address)
-	s.leave(false)
-	s.epoch, s.opening = a.Request.Epoch, &a.Request
+	s.logEvent("EpochStarted", "epoch %d from token %d on %d stages, first %s", a.Request.Epoch, len(a.Request.Generated), len(a.Request.Stages), a.Request.Stages[0].Address)
+	s.closeStream(false)
+	s.epoch, s.toStart = a.Request.Epoch, &a.Request
 }
 
-// open starts the epoch on its first stage.
+// open sends the run request of the epoch to its first stage.
 func (s *session) open() error {
-	ctx, stop := context.WithCancel(s.reading)
-	req := s.opening
-	s.opening = nil
+	ctx, stop := context.WithCancel(s.readCtx)
+	req := s.toStart
+	s.toStart = nil
 	stream, err := s.r.Engines.Run(ctx, *req)
 	if err != nil {
 		stop()
 		return err
 	}
-	s.stream, s.stop = stream, stop
+	s.stream, s.cancelRun = stream, stop
 	return nil
 }
 
-// leave ends the reading of an epoch; after its last item the connection is left to end by itself and is used again.
-func (s *session) leave(ended bool) {
-	s.opening = nil
+// closeStream stops reading an epoch. If its last item was read, the connection is left to finish and is
+// reused; otherwise the request is cancelled.
+func (s *session) closeStream(ended bool) {
+	s.toStart = nil
 	if s.stream == nil {
 		return
 	}
-	stream, stop := s.stream, s.stop
-	s.stream, s.stop = nil, nil
+	stream, stop := s.stream, s.cancelRun
+	s.stream, s.cancelRun = nil, nil
 	if !ended {
 		stop()
 	}
-	s.leaving.Go(func() {
+	s.closing.Go(func() {
 		defer stop()
 		_ = stream.Close()
 	})
 }
 
-// brokeBy judges an epoch's error: an answer that began proves nothing about layers, so only the upstream's own word and an unwritten call are certain.
-func brokeBy(epoch ferryid.Epoch, err error) Broke {
+// classifyError returns the Broke message for an epoch's error. The outcome is NotRun only if the upstream
+// refused the request itself or the request was never written; an answer that began does not tell whether a
+// layer ran.
+func classifyError(epoch ferryid.Epoch, err error) Broke {
 	b := Broke{Epoch: epoch, Outcome: ferryoutcome.Unknown, Err: err}
 	var refused *ferryengine.RefusedError
 	var dispatch *ferryengine.DispatchError
@@ -311,7 +320,7 @@
 	return b
 }
 
-// moveKV takes the KV cache of every stage that changes engines from the old one to the new.
+// moveKV transfers the KV cache of every stage whose engine changes.
 func (s *session) moveKV(a MoveKV) {
 	ok := true
 	for i := range a.To.Stages {
@@ -324,7 +333,7 @@
 			err = s.r.Engines.ImportKV(s.ctx, to.Address, kv)
 		}
 		if err != nil {
-			s.note("KVNotMoved", "epoch %d: %v", a.Epoch, err)
+			s.logEvent("KVNotMoved", "epoch %d: %v", a.Epoch, err)
 			ok = false
 			break
 		}
@@ -332,10 +341,11 @@
 	s.post(KVMoved{Epoch: a.Epoch, OK: ok})
 }
 
-// cancel closes the epoch's connection and tells each of its stages, the first one's answer going to the core.
+// cancel closes the epoch's connection, sends a cancel to each stage and posts the first stage's answer to the
+// core.
 func (s *session) cancel(a CancelEpoch) {
-	s.note("EpochCancelled", "epoch %d", a.Epoch)
-	s.leave(false)
+	s.logEvent("EpochCancelled", "epoch %d", a.Epoch)
+	s.closeStream(false)
 	s.r.cancels.Add(len(a.Plan.Stages))
 	for i, st := range a.Plan.Stages {
 		go func() {
@@ -344,7 +354,7 @@
 			defer stop()
 			answer, err := s.r.Engines.Cancel(ctx, st.Address, s.job.Stream, a.Epoch)
 			if i == 0 {
-				// Only the incarnation that was asked to run can say that nothing ran.
+				// Only the incarnation that got the run request can report that nothing ran.
 				same := st.Incarnation != "" && st.Incarnation == answer.Incarnation
 				s.post(CancelAnswered{Epoch: a.Epoch, Known: err == nil && (answer.Ran || same), Ran: answer.Ran})
 			}
--- a/ferry/ferrypipeline/runner_test.go
+++ b/ferry/ferrypipeline/runner_test.go
@@ -16,20 +16,20 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// scripted is an engine that sends its items and then nothing until the call is given up.
-type scripted struct {
+// scriptedEngine is an engine that sends its items and then blocks until the call is cancelled.
+type scriptedEngine struct {
 	ctx    context.Context
 	items  []ferryengine.Item
 	reads  int
 	silent chan struct{}
 }
 
-func (s *scripted) Run(ctx context.Context, _ ferryengine.RunRequest) (ferryengine.Stream, error) {
+func (s *scriptedEngine) Run(ctx context.Context, _ ferryengine.RunRequest) (ferryengine.Stream, error) {
 	s.ctx = ctx
 	return s, nil
 }
 
-func (s *scripted) Next() (ferryengine.Item, error) {
+func (s *scriptedEngine) Next() (ferryengine.Item, error) {
 	s.reads++
 	if len(s.items) == 0 {
 		close(s.silent)
@@ -41,17 +41,17 @@
 	return it, nil
 }
 
-func (*scripted) Close() error { return nil }
+func (*scriptedEngine) Close() error { return nil }
 
-func (*scripted) Cancel(context.Context, string, ferryid.StreamID, ferryid.Epoch) (ferryengine.CancelResult, error) {
+func (*scriptedEngine) Cancel(context.Context, string, ferryid.StreamID, ferryid.Epoch) (ferryengine.CancelResult, error) {
 	return ferryengine.CancelResult{Ran: true}, nil
 }
 
-func (*scripted) ExportKV(context.Context, string, ferryid.StreamID) (ferryengine.KV, error) {
+func (*scriptedEngine) ExportKV(context.Context, string, ferryid.StreamID) (ferryengine.KV, error) {
 	return ferryengine.KV{}, io.EOF
 }
 
-func (*scripted) ImportKV(context.Context, string, ferryengine.KV) error { return io.EOF }
+func (*scriptedEngine) ImportKV(context.Context, string, ferryengine.KV) error { return io.EOF }
 
 func scriptedItems(plan ferrypipeline.Plan, n int) []ferryengine.Item {
 	items := []ferryengine.Item{{Epoch: 1, Ready: true}}
@@ -65,21 +65,22 @@
 	return items
 }
 
-// An engine goes silent in mid-stream; the caller's end and the deadline end the job all the same, each as itself.
-func TestSilentEngineIsLeft(t *testing.T) {
+// A job on an engine that goes silent mid-stream must still end by the caller's cancellation and by its
+// deadline.
+func TestSilentEngineDoesNotHoldJob(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		end  func(cancel func(), clock *clockwork.FakeClock)
 		want string
 	}{
-		{"caller goes", func(cancel func(), _ *clockwork.FakeClock) { cancel() }, "the caller went away"},
+		{"caller cancels", func(cancel func(), _ *clockwork.FakeClock) { cancel() }, "the caller went away"},
 		{"deadline", func(_ func(), clock *clockwork.FakeClock) { clock.Advance(time.Minute) }, "the deadline passed after 2 tokens"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			plan := relayPlan("10.0.0.1:8000")
-			engine := &scripted{items: scriptedItems(plan, 2), silent: make(chan struct{})}
-			r := &ferrypipeline.Runner{Engines: engine, Picker: onePlan{plan}, Clock: clock}
+			engine := &scriptedEngine{items: scriptedItems(plan, 2), silent: make(chan struct{})}
+			r := &ferrypipeline.Runner{Engines: engine, Picker: fixedPicker{plan}, Clock: clock}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() {
@@ -97,12 +98,12 @@
 	}
 }
 
-// While a caller does not take a token, nothing more of its stream is read.
+// No item is read from the engine while the emit callback of the previous token blocks.
 func TestSlowCallerStopsReading(t *testing.T) {
 	plan := relayPlan("10.0.0.1:8000")
 	items := append(scriptedItems(plan, 9), ferryengine.Item{Epoch: 1, Done: true, Reason: "length", Tokens: 9})
-	engine := &scripted{items: items, silent: make(chan struct{})}
-	r := &ferrypipeline.Runner{Engines: engine, Picker: onePlan{plan}, Clock: clockwork.NewFakeClock()}
+	engine := &scriptedEngine{items: items, silent: make(chan struct{})}
+	r := &ferrypipeline.Runner{Engines: engine, Picker: fixedPicker{plan}, Clock: clockwork.NewFakeClock()}
 	var reads []int
 	_, err := r.Run(t.Context(), ferrypipeline.Job{Service: "s", Stream: "s", MaxTokens: 9}, func(ferrypipeline.Token) error {
 		reads = append(reads, engine.reads)
--- a/ferry/ferrypipeline/trace.go
+++ b/ferry/ferrypipeline/trace.go
@@ -20,7 +20,7 @@
 	maxTraceMessages  = 1 << 20
 )
 
-// TraceLine is one recorded message, with the time since the job began.
+// TraceLine is one recorded message with the time since the start of the job.
 type TraceLine struct {
 	AtMicros int64                `json:"AtMicros"`
 	Kind     string               `json:"Kind"`
@@ -36,17 +36,17 @@
 	Ran      bool                 `json:"Ran,omitempty"`
 }
 
-// Trace is a recorded job: what it was and every message its core was told.
+// Trace is a recording of a job and every message that its core processed.
 type Trace struct {
 	Job   Job
 	Lines []TraceLine
 }
 
-// Recorder records the messages of one job; its Add is for Runner.Trace.
+// Recorder records the messages of one job; use its Add as Runner.Trace.
 type Recorder struct {
-	mu    sync.Mutex
-	began time.Time
-	lines []TraceLine
+	mu      sync.Mutex
+	started time.Time
+	lines   []TraceLine
 }
 
 // Add records a message.
@@ -54,19 +54,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.lines) == 0 {
-		r.began = now
+		r.started = now
 	}
 	l := traceLine(m)
-	l.AtMicros = now.Sub(r.began).Microseconds()
+	l.AtMicros = now.Sub(r.started).Microseconds()
 	r.lines = append(r.lines, l)
 }
 
-// Trace returns what was recorded, with times counted from the job's beginning.
+// Trace returns the recording, with the deadline relative to the start of the job.
 func (r *Recorder) Trace(job Job) Trace {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !job.Deadline.IsZero() {
-		job.Deadline = time.Unix(0, 0).UTC().Add(job.Deadline.Sub(r.began))
+		job.Deadline = time.Unix(0, 0).UTC().Add(job.Deadline.Sub(r.started))
 	}
 	return Trace{Job: job, Lines: append([]TraceLine(nil), r.lines...)}
 }
@@ -108,14 +108,14 @@
 		return Begin{}, nil
 	case "Planned":
 		if l.Plan == nil {
-			return nil, fmt.Errorf("Planned without a plan")
+			return nil, fmt.Errorf("message Planned has no plan")
 		}
 		return Planned{Plan: *l.Plan}, nil
 	case "NoPlan":
 		return NoPlan{Err: errors.New(l.Err)}, nil
 	case "ItemArrived":
 		if l.Item == nil {
-			return nil, fmt.Errorf("ItemArrived without an item")
+			return nil, fmt.Errorf("message ItemArrived has no item")
 		}
 		return ItemArrived{Epoch: l.Epoch, Item: *l.Item}, l.Item.Check()
 	case "Broke":
@@ -135,7 +135,7 @@
 	case "CallerGone":
 		return CallerGone{Err: errors.New(l.Err)}, nil
 	}
-	return nil, fmt.Errorf("unknown kind of message %q", l.Kind)
+	return nil, fmt.Errorf("unknown message kind %q", l.Kind)
 }
 
 // Encode writes the trace as lines of JSON, the job first.
@@ -180,7 +180,7 @@
 	return t, s.Err()
 }
 
-// Replay gives the core every message of the trace and returns what it did, one action a line.
+// Replay runs a core on the messages of the trace and returns its actions, one per line.
 func (t *Trace) Replay(cfg CoreConfig) (string, error) {
 	var b strings.Builder
 	job := t.Job
--- a/ferry/ferrypipeline/trace_test.go
+++ b/ferry/ferrypipeline/trace_test.go
@@ -12,7 +12,8 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// The traces were recorded on stand-in engines, by go test ./ferrystandengine -run Traces -record DIR in ferrystand; the golden files state what the core does with them.
+// The traces were recorded on simulated engines with go test ./ferrystandengine -run Traces -record DIR in
+// ferrystand; the golden files hold the actions of the core.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/traces/*.trace")
 	assert.NilError(t, err)
