--- a/ferry/ferryplatform/budget.go
+++ b/ferry/ferryplatform/budget.go
@@ -13,11 +13,12 @@
 	defaultCallBurst      = 40
 )
 
-// Budget is one process's share of the platform's rate, in calls; the zero value stands for the defaults of 20 a second and a burst of 40.
+// Budget limits the calls of one process to the platform. Fields that are 0 default to 20 calls per second and
+// a burst of 40.
 type Budget struct {
-	// PerSecond is the number of calls a second that the process may make over time.
+	// PerSecond is the sustained rate in calls per second.
 	PerSecond float64 `toml:"PerSecond" json:"PerSecond"`
-	// Burst is the number of calls that it may make at once after a pause.
+	// Burst is the maximum number of calls at once.
 	Burst int `toml:"Burst" json:"Burst"`
 }
 
@@ -30,27 +31,27 @@
 	}
 }
 
-// bucket is the token bucket over all calls of one process.
-type bucket struct {
+// tokenBucket is the token bucket for all calls of a client.
+type tokenBucket struct {
 	clock   clockwork.Clock
 	limiter *rate.Limiter
 	refused atomic.Int64
 }
 
-func newBucket(clock clockwork.Clock, b Budget) *bucket {
+func newTokenBucket(clock clockwork.Clock, b Budget) *tokenBucket {
 	b.setDefaults()
-	return &bucket{clock: clock, limiter: rate.NewLimiter(rate.Limit(b.PerSecond), b.Burst)}
+	return &tokenBucket{clock: clock, limiter: rate.NewLimiter(rate.Limit(b.PerSecond), b.Burst)}
 }
 
-func (b *bucket) set(to Budget) {
+func (b *tokenBucket) set(to Budget) {
 	to.setDefaults()
 	now := b.clock.Now()
 	b.limiter.SetLimitAt(now, rate.Limit(to.PerSecond))
 	b.limiter.SetBurstAt(now, to.Burst)
 }
 
-// take uses one call of the budget, or returns a *BudgetError that says when there is one again.
-func (b *bucket) take(op string) error {
+// take takes one call from the budget, or returns a *BudgetError with the time until the next one is available.
+func (b *tokenBucket) take(op string) error {
 	now := b.clock.Now()
 	r := b.limiter.ReserveN(now, 1)
 	wait := r.DelayFrom(now)
--- a/ferry/ferryplatform/call.go
+++ b/ferry/ferryplatform/call.go
@@ -18,7 +18,7 @@
 	maxDetailBytes = 4 << 10
 )
 
-// RefusedError says that the platform answered and refused the call, so nothing took effect.
+// RefusedError reports that the platform refused the call; the call had no effect.
 type RefusedError struct {
 	Op     string
 	Status int
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("platform refused: %s: %d %s: %s", e.Op, e.Status, http.StatusText(e.Status), e.Detail)
 }
 
-// do makes one call within the budget and the timeout.
+// do sends one call, subject to the budget and the timeout.
 func (c *Client) do(ctx context.Context, in Call) (Reply, error) {
 	op := in.String()
 	if err := c.bucket.take(op); err != nil {
@@ -40,7 +40,7 @@
 	defer cancel()
 	var sent atomic.Bool
 	trace := httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	w, err := c.wire.Encode(in)
+	w, err := c.protocol.Encode(in)
 	if err != nil {
 		return Reply{}, &UnavailableError{Op: op, Err: err}
 	}
@@ -54,12 +54,12 @@
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return Reply{}, broken(in, sent.Load(), err)
+		return Reply{}, incompleteError(in, sent.Load(), err)
 	}
 	defer res.Body.Close()
 	out, err := c.read(in, w, res)
-	var gone *UnavailableError
-	c.down.Store(errors.As(err, &gone))
+	var unavailable *UnavailableError
+	c.down.Store(errors.As(err, &unavailable))
 	return out, err
 }
 
@@ -78,40 +78,41 @@
 	return req, nil
 }
 
-// broken judges a call without a whole answer; a write is known not to have taken effect only if it never had a connection.
-func broken(in Call, sent bool, err error) error {
-	if in.write() && sent {
+// incompleteError returns the error of a call without a complete answer. A write certainly had no effect only
+// if no connection was obtained.
+func incompleteError(in Call, sent bool, err error) error {
+	if in.isWrite() && sent {
 		return &UnknownOutcomeError{Op: in.String(), Err: err}
 	}
 	return &UnavailableError{Op: in.String(), Err: err}
 }
 
-// read judges an answer by its status and decodes it.
+// read decodes an answer, or returns the error for its status.
 func (c *Client) read(in Call, w Wire, res *http.Response) (Reply, error) {
 	if res.StatusCode/100 != 2 {
-		return Reply{}, c.refusal(in, res)
+		return Reply{}, c.statusError(in, res)
 	}
-	most := w.MaxAnswer
-	if most == 0 {
-		most = maxListBytes
+	maxBytes := w.MaxAnswer
+	if maxBytes == 0 {
+		maxBytes = maxListBytes
 	}
-	b, err := io.ReadAll(io.LimitReader(res.Body, most+1))
-	if err == nil && int64(len(b)) > most {
-		err = fmt.Errorf("answer over %d bytes", most)
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxBytes+1))
+	if err == nil && int64(len(b)) > maxBytes {
+		err = fmt.Errorf("answer over %d bytes", maxBytes)
 	}
-	if err != nil && !in.write() {
+	if err != nil && !in.isWrite() {
 		return Reply{}, &UnavailableError{Op: in.String(), Err: err}
 	}
-	out, err := c.wire.Decode(in, res.Header, b)
+	out, err := c.protocol.Decode(in, res.Header, b)
 	if err != nil {
-		return Reply{}, broken(in, true, err)
+		return Reply{}, incompleteError(in, true, err)
 	}
 	return out, nil
 }
 
-// refusal judges an answer that is no success.
-func (c *Client) refusal(in Call, res *http.Response) error {
-	if err := c.wire.Refusal(in, res.StatusCode); err != nil {
+// statusError returns the error for an answer with a status other than 2xx.
+func (c *Client) statusError(in Call, res *http.Response) error {
+	if err := c.protocol.Refusal(in, res.StatusCode); err != nil {
 		return err
 	}
 	b, readErr := io.ReadAll(io.LimitReader(res.Body, maxDetailBytes))
@@ -126,5 +127,5 @@
 	case res.StatusCode/100 == 4:
 		return err
 	}
-	return broken(in, true, err)
+	return incompleteError(in, true, err)
 }
--- a/ferry/ferryplatform/calls.go
+++ b/ferry/ferryplatform/calls.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Calls counts calls to the platform by kind; a waiting watch counts as one.
+// Calls counts calls to the platform by operation; a watch counts once, however long it waits.
 type Calls struct {
 	Get       int64 `json:"Get"`
 	Put       int64 `json:"Put"`
@@ -12,13 +12,13 @@
 	Instances int64 `json:"Instances"`
 }
 
-// Total is the number of calls of all kinds.
+// Total returns the number of calls of all operations.
 func (c Calls) Total() int64 {
 	return c.Get + c.Put + c.Delete + c.List + c.Watch + c.Instances
 }
 
-// counters are the counts behind Calls.
-type counters [operations]atomic.Int64
+// counters holds the counts of Calls for concurrent use.
+type counters [operationCount]atomic.Int64
 
 func (c *counters) snapshot() Calls {
 	return Calls{
--- a/ferry/ferryplatform/client.go
+++ b/ferry/ferryplatform/client.go
@@ -18,32 +18,32 @@
 	idleConns          = 4
 )
 
-// ClientConfig says where the platform is and how much of it this process may use.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// URL is the platform's base URL, such as http://127.0.0.1:9000.
 	URL string
-	// Protocol is how the platform speaks; nil stands for the project's own.
+	// Protocol encodes and decodes calls; nil selects the default protocol with conditional requests.
 	Protocol Protocol
-	// HTTP makes the calls; nil stands for a client of its own without a proxy.
+	// HTTP sends the calls; nil selects a new client without a proxy.
 	HTTP *http.Client
-	// Clock times calls and budget; nil stands for the real one.
+	// Clock is the clock for timeouts and the budget; nil selects the real clock.
 	Clock clockwork.Clock
-	// Budget bounds the calls of this process.
+	// Budget limits the rate of calls.
 	Budget Budget
-	// Timeout bounds each call, beyond the wait that a watch asks for; 0 stands for 5 s.
+	// Timeout bounds each call, in addition to the wait of a watch; 0 selects 5 s.
 	Timeout time.Duration
 }
 
-// Client is the platform over HTTP; it implements Store and Lister, and never repeats a call by itself.
+// Client calls the platform over HTTP; it implements Store and Lister and never retries a call.
 type Client struct {
-	base    string
-	wire    Protocol
-	http    *http.Client
-	clock   clockwork.Clock
-	timeout time.Duration
-	bucket  *bucket
-	calls   counters
-	down    atomic.Bool
+	base     string
+	protocol Protocol
+	http     *http.Client
+	clock    clockwork.Clock
+	timeout  time.Duration
+	bucket   *tokenBucket
+	calls    counters
+	down     atomic.Bool
 }
 
 // New returns a client of the platform.
@@ -55,19 +55,19 @@
 		cfg.Timeout = defaultCallTimeout
 	}
 	if cfg.Protocol == nil {
-		cfg.Protocol = conditional{}
+		cfg.Protocol = conditionalProtocol{}
 	}
 	return &Client{
-		wire:    cfg.Protocol,
-		base:    strings.TrimSuffix(cfg.URL, "/"),
-		http:    withoutRedirects(cfg.HTTP),
-		clock:   cfg.Clock,
-		timeout: cfg.Timeout,
-		bucket:  newBucket(cfg.Clock, cfg.Budget),
+		protocol: cfg.Protocol,
+		base:     strings.TrimSuffix(cfg.URL, "/"),
+		http:     withoutRedirects(cfg.HTTP),
+		clock:    cfg.Clock,
+		timeout:  cfg.Timeout,
+		bucket:   newTokenBucket(cfg.Clock, cfg.Budget),
 	}
 }
 
-// withoutRedirects copies the client so that a redirect is an answer; following one would send a write twice.
+// withoutRedirects returns a copy of the client that follows no redirects, as that would send a write twice.
 func withoutRedirects(given *http.Client) *http.Client {
 	c := http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -81,17 +81,17 @@
 	return &c
 }
 
-// Calls returns the count of calls sent so far, by kind.
+// Calls returns the number of calls sent, by operation.
 func (c *Client) Calls() Calls {
 	return c.calls.snapshot()
 }
 
-// OverBudget counts the calls that were refused with a *BudgetError.
+// OverBudget returns the number of calls refused with a *BudgetError.
 func (c *Client) OverBudget() int64 {
 	return c.bucket.refused.Load()
 }
 
-// SetBudget replaces the budget, which a fleet's entries compute from their live count.
+// SetBudget replaces the budget; entries call it with their share when the number of live entries changes.
 func (c *Client) SetBudget(b Budget) {
 	c.bucket.set(b)
 }
@@ -101,13 +101,13 @@
 	return !c.down.Load()
 }
 
-// Get returns one object or a *NotFoundError.
+// Get returns an object, or a *NotFoundError.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	r, err := c.do(ctx, Call{Op: OpGet, Kind: kind, Name: name})
 	return r.Object, err
 }
 
-// Put writes a value if the object is still at the version expected, NoVersion meaning that it must not exist.
+// Put writes a value if the object is at the expected version; NoVersion means that it must not exist.
 func (c *Client) Put(ctx context.Context, kind, name string, expected Version, value []byte) (Version, error) {
 	call := Call{Op: OpPut, Kind: kind, Name: name, Expected: expected, Value: value}
 	if len(value) > maxValueBytes {
@@ -117,13 +117,14 @@
 	return r.Version, err
 }
 
-// Delete removes an object if it is still at the version expected.
+// Delete deletes an object if it is at the expected version.
 func (c *Client) Delete(ctx context.Context, kind, name string, expected Version) error {
 	_, err := c.do(ctx, Call{Op: OpDelete, Kind: kind, Name: name, Expected: expected})
 	return err
 }
 
-// List returns all objects of a kind; a list of several pages is at the version of the first, from which nothing after it is missed.
+// List returns all objects of a kind. A list of several pages has the version of the first page, so that a
+// watch from it misses no change made while the others were read.
 func (c *Client) List(ctx context.Context, kind string) (Changes, error) {
 	var out Changes
 	call := Call{Op: OpList, Kind: kind}
@@ -143,13 +144,13 @@
 	}
 }
 
-// Watch waits until objects of a kind change after a version, or until the wait is over.
+// Watch returns when objects of a kind have changed after a version, or when the wait is over.
 func (c *Client) Watch(ctx context.Context, kind string, after Version, wait time.Duration) (Changes, error) {
 	r, err := c.do(ctx, Call{Op: OpWatch, Kind: kind, After: after, Wait: wait})
 	return r.Changes, err
 }
 
-// Instances returns the lagging instance list.
+// Instances returns the instance list, which lags behind.
 func (c *Client) Instances(ctx context.Context) (Instances, error) {
 	r, err := c.do(ctx, Call{Op: OpInstances})
 	return r.Instances, err
--- a/ferry/ferryplatform/client_test.go
+++ b/ferry/ferryplatform/client_test.go
@@ -20,8 +20,8 @@
 
 var start = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
-// verdict names the type of an error.
-func verdict(err error) string {
+// errorKind returns a short name for the type of an error.
+func errorKind(err error) string {
 	switch {
 	case err == nil:
 		return "OK"
@@ -41,7 +41,7 @@
 	return err.Error()
 }
 
-func TestClientJudgesAnswers(t *testing.T) {
+func TestClientClassifiesAnswers(t *testing.T) {
 	abort := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 	status := func(code int) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { w.WriteHeader(code) }
@@ -62,10 +62,10 @@
 		{"no condition", status(428), "Refused", "Refused"},
 		{"too many", status(429), "Unavailable", "Unavailable"},
 		{"outage", status(503), "Unavailable", "Unavailable"},
-		{"gateway lost it", status(502), "Unavailable", "Unknown"},
+		{"bad gateway", status(502), "Unavailable", "Unknown"},
 		{"internal", status(500), "Unavailable", "Unknown"},
 		{"redirect", func(w http.ResponseWriter) { w.Header().Set("Location", "/"); w.WriteHeader(307) }, "Unavailable", "Unknown"},
-		{"answer lost", abort, "Unavailable", "Unknown"},
+		{"connection aborted", abort, "Unavailable", "Unknown"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -78,25 +78,25 @@
 			defer srv.Close()
 			c := ferryplatform.New(ferryplatform.ClientConfig{URL: srv.URL, Clock: clockwork.NewFakeClockAt(start)})
 			_, err := c.Get(t.Context(), "services", "a")
-			assert.Equal(t, verdict(err), tt.read)
+			assert.Equal(t, errorKind(err), tt.read)
 			reads := arrived.Load()
 			_, err = c.Put(t.Context(), "services", "a", 3, []byte("x"))
-			assert.Equal(t, verdict(err), tt.write)
-			assert.Equal(t, arrived.Load()-reads, int64(1), "a write is sent once")
+			assert.Equal(t, errorKind(err), tt.write)
+			assert.Equal(t, arrived.Load()-reads, int64(1), "a write must be sent exactly once")
 			assert.Equal(t, c.Calls().Put, int64(1))
 		})
 	}
 }
 
-func TestClientWithoutConnectionSentNothing(t *testing.T) {
-	// Nothing listens on port 1, and the system never gives it away.
+func TestWriteWithoutConnectionIsUnavailable(t *testing.T) {
+	// Nothing listens on port 1, and it is outside the range of ephemeral ports.
 	c := ferryplatform.New(ferryplatform.ClientConfig{URL: "http://127.0.0.1:1"})
 	_, err := c.Put(t.Context(), "services", "a", 3, []byte("x"))
-	assert.Equal(t, verdict(err), "Unavailable")
+	assert.Equal(t, errorKind(err), "Unavailable")
 	assert.Assert(t, !c.Up())
 }
 
-func TestClientTimesOutOnSilence(t *testing.T) {
+func TestClientTimeout(t *testing.T) {
 	arrived := make(chan struct{}, 4)
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -128,16 +128,16 @@
 			clock.Advance(tt.after - time.Millisecond)
 			select {
 			case err := <-done:
-				t.Fatalf("ended early: %v", err)
+				t.Fatalf("call ended before its timeout: %v", err)
 			default:
 			}
 			clock.Advance(time.Millisecond)
-			assert.Equal(t, verdict(<-done), tt.want)
+			assert.Equal(t, errorKind(<-done), tt.want)
 		})
 	}
 }
 
-func TestClientKeepsToItsBudget(t *testing.T) {
+func TestClientBudget(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("ETag", `"1"`) }))
 	defer srv.Close()
 	clock := clockwork.NewFakeClockAt(start)
@@ -149,7 +149,7 @@
 	var over *ferryplatform.BudgetError
 	assert.Assert(t, errors.As(get(), &over))
 	assert.Equal(t, over.RetryAfter, 500*time.Millisecond)
-	assert.Equal(t, c.Calls().Get, int64(3), "a refused call is not sent")
+	assert.Equal(t, c.Calls().Get, int64(3), "a call over budget must not be sent")
 	clock.Advance(over.RetryAfter)
 	assert.NilError(t, get())
 	c.SetBudget(ferryplatform.Budget{PerSecond: 100, Burst: 100})
@@ -160,7 +160,7 @@
 	assert.Equal(t, c.OverBudget(), int64(1))
 }
 
-func TestClientBoundsAnswers(t *testing.T) {
+func TestClientLimitsAnswerSize(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("ETag", `"1"`)
 		_, _ = io.Copy(w, io.LimitReader(zeros{}, 2<<20))
@@ -170,21 +170,21 @@
 	_, err := c.Get(t.Context(), "k", "n")
 	assert.ErrorContains(t, err, "answer over 1048576 bytes")
 	_, err = c.Put(t.Context(), "k", "n", 1, make([]byte, 1<<20+1))
-	assert.Equal(t, verdict(err), "Refused")
+	assert.Equal(t, errorKind(err), "Refused")
 }
 
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-func TestDecodeChangesChecks(t *testing.T) {
+func TestDecodeChangesValidation(t *testing.T) {
 	tests := []struct{ name, body, want string }{
 		{"good", `{"Version":2,"Objects":[{"Kind":"k","Name":"n","Version":2,"Value":"eA=="}]}`, ""},
 		{"other kind", `{"Version":2,"Objects":[{"Kind":"j","Name":"n","Version":2}]}`, "among those of kind"},
 		{"no name", `{"Version":2,"Objects":[{"Kind":"k","Version":2}]}`, "without a name"},
 		{"no version", `{"Version":2,"Objects":[{"Kind":"k","Name":"n"}]}`, "at version 0"},
-		{"ahead of itself", `{"Version":2,"Objects":[{"Kind":"k","Name":"n","Version":3}]}`, "at version 3 in an answer at version 2"},
-		{"cut off", `{"Version":2,"Obj`, "unexpected end"},
+		{"newer than the answer", `{"Version":2,"Objects":[{"Kind":"k","Name":"n","Version":3}]}`, "at version 3 in an answer at version 2"},
+		{"truncated body", `{"Version":2,"Obj`, "unexpected end"},
 		{"negative", `{"Version":-2}`, "cannot unmarshal"},
 	}
 	for _, tt := range tests {
@@ -221,7 +221,7 @@
 		out, err := ferryplatform.DecodeInstances(b)
 		for _, in := range out {
 			if err == nil && in.Name == "" {
-				t.Fatal("instance without a name")
+				t.Fatal("accepted an instance without a name")
 			}
 		}
 	})
--- a/ferry/ferryplatform/decode.go
+++ b/ferry/ferryplatform/decode.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// DecodeChanges reads the answer to a list or watch of a kind, and checks it.
+// DecodeChanges decodes and validates the answer to a list or watch of a kind.
 func DecodeChanges(kind string, b []byte) (Changes, error) {
 	var out Changes
 	if err := json.Unmarshal(b, &out); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// DecodeInstances reads the instance list, and checks it.
+// DecodeInstances decodes and validates the instance list.
 func DecodeInstances(b []byte) (Instances, error) {
 	var out Instances
 	if err := json.Unmarshal(b, &out); err != nil {
--- a/ferry/ferryplatform/doc.go
+++ b/ferry/ferryplatform/doc.go
@@ -1,2 +1,3 @@
-// Package ferryplatform is the adapter to the platform: its object API with versions, conditional updates and watches, and its instance list.
+// Package ferryplatform is the client of the platform's object API, with versions, conditional updates and
+// watches, and of its instance list.
 package ferryplatform
--- a/ferry/ferryplatform/ferryplatformtest/doc.go
+++ b/ferry/ferryplatform/ferryplatformtest/doc.go
@@ -1,2 +1,2 @@
-// Package ferryplatformtest provides an in-memory platform with fault switches, for tests and for the platform stand-in.
+// Package ferryplatformtest provides an in-memory fake of the platform with fault injection.
 package ferryplatformtest
--- a/ferry/ferryplatform/ferryplatformtest/fake.go
+++ b/ferry/ferryplatform/ferryplatformtest/fake.go
@@ -19,13 +19,13 @@
 
 type objectKey struct{ kind, name string }
 
-// change is one version of one object, and when it took effect.
+// change is one version of an object with the time at which it took effect.
 type change struct {
 	at     time.Time
 	object ferryplatform.Object
 }
 
-// write is a conditional write, which may be waiting to take effect late.
+// write is a conditional write; due is set for one that takes effect later.
 type write struct {
 	due      time.Time
 	key      objectKey
@@ -42,24 +42,24 @@
 	calls     ferryplatform.Calls
 	version   ferryplatform.Version
 	objects   map[objectKey][]change
-	late      []write
+	pending   []write
 	instances []listing
 	saved     *snapshot
 	changed   chan struct{}
 }
 
-// snapshot is the part of the state that a restore brings back.
+// snapshot is the state saved by Snapshot.
 type snapshot struct {
 	version ferryplatform.Version
 	objects map[objectKey][]change
 }
 
-// New returns an empty platform on the clock.
+// New returns an empty platform with the given clock.
 func New(clock clockwork.Clock) *Fake {
 	return &Fake{clock: clock, objects: map[objectKey][]change{}, changed: make(chan struct{})}
 }
 
-// SetFaults replaces the fault switches and wakes waiting watches.
+// SetFaults replaces the injected faults and wakes waiting watches.
 func (f *Fake) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,36 +67,36 @@
 	f.wake()
 }
 
-// Faults returns the fault switches as they stand.
+// Faults returns the current faults.
 func (f *Fake) Faults() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults
 }
 
-// Calls returns the count of calls by kind.
+// Calls returns the number of calls, by operation.
 func (f *Fake) Calls() ferryplatform.Calls {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Snapshot keeps the state of the objects for Restore.
+// Snapshot saves the objects and the version for Restore.
 func (f *Fake) Snapshot() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.applyDue()
 	f.saved = &snapshot{version: f.version, objects: cloneObjects(f.objects)}
 }
 
-// Restore goes back to the last Snapshot, versions included, and reports false if there is none.
+// Restore rolls the objects and the version back to the last Snapshot; it returns false if there is none.
 func (f *Fake) Restore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.saved == nil {
 		return false
 	}
-	f.settle()
+	f.applyDue()
 	f.version = f.saved.version
 	f.objects = cloneObjects(f.saved.objects)
 	f.wake()
@@ -111,14 +111,14 @@
 	return out
 }
 
-// Get returns one object or a *ferryplatform.NotFoundError.
+// Get returns an object, or a *ferryplatform.NotFoundError.
 func (f *Fake) Get(ctx context.Context, kind, name string) (ferryplatform.Object, error) {
-	if err := f.enter(ctx, "get "+kind+"/"+name, func(c *ferryplatform.Calls) { c.Get++ }); err != nil {
+	if err := f.beginCall(ctx, "get "+kind+"/"+name, func(c *ferryplatform.Calls) { c.Get++ }); err != nil {
 		return ferryplatform.Object{}, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.applyDue()
 	o := f.latest(objectKey{kind, name})
 	if o.Version == ferryplatform.NoVersion || o.Deleted {
 		return ferryplatform.Object{}, &ferryplatform.NotFoundError{Kind: kind, Name: name}
@@ -126,23 +126,24 @@
 	return copyObject(o), nil
 }
 
-// Put writes a value if the object is still at the version expected.
+// Put writes a value if the object is at the expected version.
 func (f *Fake) Put(ctx context.Context, kind, name string, expected ferryplatform.Version, value []byte) (ferryplatform.Version, error) {
 	w := write{key: objectKey{kind, name}, expected: expected, value: slices.Clone(value)}
 	return f.write(ctx, "put "+kind+"/"+name, w, func(c *ferryplatform.Calls) { c.Put++ })
 }
 
-// Delete removes an object if it is still at the version expected.
+// Delete deletes an object if it is at the expected version.
 func (f *Fake) Delete(ctx context.Context, kind, name string, expected ferryplatform.Version) error {
 	w := write{key: objectKey{kind, name}, expected: expected, deleted: true}
 	_, err := f.write(ctx, "delete "+kind+"/"+name, w, func(c *ferryplatform.Calls) { c.Delete++ })
 	return err
 }
 
-// write does one conditional write; a caller that leaves during the delay does not stop it.
+// write performs a conditional write. If ctx ends during the delay, the write still takes effect when it is
+// due.
 func (f *Fake) write(ctx context.Context, op string, w write, count func(*ferryplatform.Calls)) (ferryplatform.Version, error) {
 	due := f.clock.Now().Add(millis(f.Faults().DelayMS))
-	if err := f.enter(ctx, op, count); err != nil {
+	if err := f.beginCall(ctx, op, count); err != nil {
 		if ctx.Err() == nil {
 			return 0, err
 		}
@@ -151,7 +152,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.applyDue()
 	if f.faults.LoseAnswers == 0 {
 		return f.apply(w, f.clock.Now())
 	}
@@ -164,14 +165,14 @@
 	return 0, &ferryplatform.UnknownOutcomeError{Op: op, Err: errLost}
 }
 
-// enter counts the call, waits out the delay and fails in an outage.
-func (f *Fake) enter(ctx context.Context, op string, count func(*ferryplatform.Calls)) error {
+// beginCall counts a call, fails it in an outage and otherwise waits for the delay.
+func (f *Fake) beginCall(ctx context.Context, op string, count func(*ferryplatform.Calls)) error {
 	f.mu.Lock()
 	count(&f.calls)
 	delay := millis(f.faults.DelayMS)
-	out := f.faults.Outage
+	outage := f.faults.Outage
 	f.mu.Unlock()
-	if out {
+	if outage {
 		return &ferryplatform.UnavailableError{Op: op, Err: errOutage}
 	}
 	if delay <= 0 {
@@ -193,39 +194,39 @@
 
 func (f *Fake) schedule(w write, due time.Time) {
 	w.due = due
-	f.late = append(f.late, w)
+	f.pending = append(f.pending, w)
 	f.clock.AfterFunc(due.Sub(f.clock.Now()), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.settle()
+		f.applyDue()
 	})
 }
 
-// settle lets the late writes that are due take effect.
-func (f *Fake) settle() {
+// applyDue applies the late writes that are due.
+func (f *Fake) applyDue() {
 	now := f.clock.Now()
-	rest := f.late[:0]
-	for _, w := range f.late {
+	rest := f.pending[:0]
+	for _, w := range f.pending {
 		if w.due.After(now) {
 			rest = append(rest, w)
 			continue
 		}
 		_, _ = f.apply(w, w.due)
 	}
-	f.late = rest
+	f.pending = rest
 }
 
-// apply does a conditional write, which took effect at the time given.
+// apply applies a conditional write with the given time of effect.
 func (f *Fake) apply(w write, at time.Time) (ferryplatform.Version, error) {
 	old := f.latest(w.key)
-	is := old.Version
+	current := old.Version
 	if old.Deleted {
-		is = ferryplatform.NoVersion
+		current = ferryplatform.NoVersion
 	}
-	if w.deleted && is == ferryplatform.NoVersion {
+	if w.deleted && current == ferryplatform.NoVersion {
 		return 0, &ferryplatform.NotFoundError{Kind: w.key.kind, Name: w.key.name}
 	}
-	if is != w.expected {
+	if current != w.expected {
 		return 0, &ferryplatform.ConflictError{Kind: w.key.kind, Name: w.key.name, Expected: w.expected}
 	}
 	f.version++
@@ -235,7 +236,7 @@
 	return f.version, nil
 }
 
-// prune drops the versions that not even a lagging watch shows any more.
+// prune drops the versions that are too old to be returned by a lagging watch.
 func (f *Fake) prune(cs []change) []change {
 	horizon := f.clock.Now().Add(-millis(f.faults.WatchLagMS))
 	keep := 0
--- a/ferry/ferryplatform/ferryplatformtest/fake_test.go
+++ b/ferry/ferryplatform/ferryplatformtest/fake_test.go
@@ -14,14 +14,14 @@
 
 var start = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
-func lost(err error) bool { return errors.As(err, new(*ferryplatform.UnknownOutcomeError)) }
+func unknownOutcome(err error) bool { return errors.As(err, new(*ferryplatform.UnknownOutcomeError)) }
 
-func TestLateEffectLandsAfterAReadThatShowedNothing(t *testing.T) {
+func TestLateEffectAfterReadNotFound(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := ferryplatformtest.New(clock)
 	f.SetFaults(ferryplatformtest.Faults{LoseAnswers: 1, LateEffectMS: 500})
 	_, err := f.Put(t.Context(), "k", "n", ferryplatform.NoVersion, []byte("late"))
-	assert.Assert(t, lost(err))
+	assert.Assert(t, unknownOutcome(err))
 	_, err = f.Get(t.Context(), "k", "n")
 	assert.ErrorType(t, err, &ferryplatform.NotFoundError{})
 	clock.Advance(500 * time.Millisecond)
@@ -35,7 +35,7 @@
 	f := ferryplatformtest.New(clock)
 	f.SetFaults(ferryplatformtest.Faults{LoseAnswers: 1, LateEffectMS: 500})
 	_, err := f.Put(t.Context(), "k", "n", ferryplatform.NoVersion, []byte("late"))
-	assert.Assert(t, lost(err))
+	assert.Assert(t, unknownOutcome(err))
 	_, err = f.Put(t.Context(), "k", "n", ferryplatform.NoVersion, []byte("first"))
 	assert.NilError(t, err)
 	clock.Advance(time.Second)
@@ -62,7 +62,7 @@
 	assert.Equal(t, len(c.Objects), 1)
 }
 
-func TestRestoreGoesBackAndTellsTheWatch(t *testing.T) {
+func TestWatchAfterRestoreReturnsOlderVersion(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := ferryplatformtest.New(clock)
 	v, err := f.Put(t.Context(), "k", "n", ferryplatform.NoVersion, []byte("old"))
@@ -93,7 +93,7 @@
 	assert.Equal(t, len(rows), 0)
 }
 
-func TestWatchLagShowsOlderVersionsFirst(t *testing.T) {
+func TestWatchLagReturnsOlderVersionsFirst(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := ferryplatformtest.New(clock)
 	f.SetFaults(ferryplatformtest.Faults{WatchLagMS: 1000})
@@ -109,7 +109,7 @@
 	assert.Equal(t, string(c.Objects[0].Value), "b")
 }
 
-func TestWatchesAndListsGoBack(t *testing.T) {
+func TestOldWatchesAndOldReads(t *testing.T) {
 	f := ferryplatformtest.New(clockwork.NewFakeClockAt(start))
 	v, err := f.Put(t.Context(), "k", "n", ferryplatform.NoVersion, []byte("old"))
 	assert.NilError(t, err)
--- a/ferry/ferryplatform/ferryplatformtest/instances.go
+++ b/ferry/ferryplatform/ferryplatformtest/instances.go
@@ -9,10 +9,10 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// maxListings bounds how many past instance lists are kept for a list that lags.
+// maxListings bounds the past instance lists kept for ListLagMS.
 const maxListings = 1024
 
-// listing is the instance list from a moment on.
+// listing is the instance list as of a time.
 type listing struct {
 	at   time.Time
 	rows ferryplatform.Instances
@@ -20,7 +20,7 @@
 
 // Instances returns the instance list as it was ListLagMS ago.
 func (f *Fake) Instances(ctx context.Context) (ferryplatform.Instances, error) {
-	if err := f.enter(ctx, "instances", func(c *ferryplatform.Calls) { c.Instances++ }); err != nil {
+	if err := f.beginCall(ctx, "instances", func(c *ferryplatform.Calls) { c.Instances++ }); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
@@ -43,7 +43,7 @@
 	f.setRows(append(f.rowsWithout(in.Name), in))
 }
 
-// RemoveInstance takes an instance out of the list.
+// RemoveInstance removes an instance from the list.
 func (f *Fake) RemoveInstance(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/ferry/ferryplatform/ferryplatformtest/watch.go
+++ b/ferry/ferryplatform/ferryplatformtest/watch.go
@@ -11,28 +11,28 @@
 
 // List returns all objects of a kind.
 func (f *Fake) List(ctx context.Context, kind string) (ferryplatform.Changes, error) {
-	if err := f.enter(ctx, "list "+kind, func(c *ferryplatform.Calls) { c.List++ }); err != nil {
+	if err := f.beginCall(ctx, "list "+kind, func(c *ferryplatform.Calls) { c.List++ }); err != nil {
 		return ferryplatform.Changes{}, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.applyDue()
 	return f.list(kind), nil
 }
 
 func (f *Fake) list(kind string) ferryplatform.Changes {
-	return listOf(f.shown(), kind)
+	return listSnapshot(f.readState(), kind)
 }
 
-// shown is the state that lists and watches show.
-func (f *Fake) shown() snapshot {
+// readState returns the state for lists and watches, which is stale under OldReads.
+func (f *Fake) readState() snapshot {
 	if f.faults.OldReads && f.saved != nil {
 		return *f.saved
 	}
 	return snapshot{version: f.version, objects: f.objects}
 }
 
-func listOf(s snapshot, kind string) ferryplatform.Changes {
+func listSnapshot(s snapshot, kind string) ferryplatform.Changes {
 	out := ferryplatform.Changes{Version: s.version, Objects: []ferryplatform.Object{}}
 	for k, cs := range s.objects {
 		if o := cs[len(cs)-1].object; k.kind == kind && !o.Deleted {
@@ -43,12 +43,13 @@
 	return out
 }
 
-// old is a watch's answer that goes back to the last Snapshot under the version asked for, if one is due.
-func (f *Fake) old(kind string, after ferryplatform.Version) (ferryplatform.Changes, bool) {
+// oldWatchAnswer returns a watch's answer with the objects of the last Snapshot at version after, if
+// OldWatches calls for one.
+func (f *Fake) oldWatchAnswer(kind string, after ferryplatform.Version) (ferryplatform.Changes, bool) {
 	if f.faults.OldWatches == 0 || f.saved == nil {
 		return ferryplatform.Changes{}, false
 	}
-	out := listOf(*f.saved, kind)
+	out := listSnapshot(*f.saved, kind)
 	if len(out.Objects) == 0 {
 		return out, false
 	}
@@ -57,46 +58,47 @@
 	return out, true
 }
 
-// Watch waits until objects of a kind change after a version; a version from before a restore is answered with the whole list.
+// Watch returns when objects of a kind have changed after a version, or when the wait is over. If the version
+// is newer than the store's, after a rollback, it returns the whole list.
 func (f *Fake) Watch(ctx context.Context, kind string, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, error) {
 	op := "watch " + kind
-	if err := f.enter(ctx, op, func(c *ferryplatform.Calls) { c.Watch++ }); err != nil {
+	if err := f.beginCall(ctx, op, func(c *ferryplatform.Calls) { c.Watch++ }); err != nil {
 		return ferryplatform.Changes{}, err
 	}
-	over := f.clock.After(wait)
+	timeout := f.clock.After(wait)
 	for {
-		found, changed, err := f.look(op, kind, after)
+		found, changed, err := f.currentAnswer(op, kind, after)
 		if err != nil || len(found.Objects) > 0 || found.Version < after {
 			return found, err
 		}
 		select {
 		case <-ctx.Done():
 			return ferryplatform.Changes{}, &ferryplatform.UnavailableError{Op: op, Err: ctx.Err()}
-		case <-over:
+		case <-timeout:
 			return found, nil
 		case <-changed:
 		}
 	}
 }
 
-// look returns what a watch shows now, and a channel that closes when that may have changed.
-func (f *Fake) look(op, kind string, after ferryplatform.Version) (ferryplatform.Changes, <-chan struct{}, error) {
+// currentAnswer returns the current answer to a watch, and a channel that is closed when it may have changed.
+func (f *Fake) currentAnswer(op, kind string, after ferryplatform.Version) (ferryplatform.Changes, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.applyDue()
 	if f.faults.Outage {
 		return ferryplatform.Changes{}, nil, &ferryplatform.UnavailableError{Op: op, Err: errOutage}
 	}
-	if out, ok := f.old(kind, after); ok {
+	if out, ok := f.oldWatchAnswer(kind, after); ok {
 		return out, f.changed, nil
 	}
-	state := f.shown()
+	state := f.readState()
 	if after > state.version {
-		return listOf(state, kind), f.changed, nil
+		return listSnapshot(state, kind), f.changed, nil
 	}
 	horizon := f.clock.Now().Add(-millis(f.faults.WatchLagMS))
 	out := ferryplatform.Changes{Version: after, Objects: []ferryplatform.Object{}}
-	hidden := time.Duration(-1)
+	nextVisible := time.Duration(-1)
 	for k, cs := range state.objects {
 		if k.kind != kind {
 			continue
@@ -106,18 +108,18 @@
 			out.Objects = append(out.Objects, copyObject(o))
 			out.Version = max(out.Version, o.Version)
 		}
-		if next > 0 && (hidden < 0 || next < hidden) {
-			hidden = next
+		if next > 0 && (nextVisible < 0 || next < nextVisible) {
+			nextVisible = next
 		}
 	}
 	sortObjects(out.Objects)
-	if len(out.Objects) == 0 && hidden > 0 {
-		f.wakeAfter(hidden)
+	if len(out.Objects) == 0 && nextVisible > 0 {
+		f.wakeAfter(nextVisible)
 	}
 	return out, f.changed, nil
 }
 
-// visible returns the newest version that is old enough, and how long the next one still has to wait.
+// visible returns the newest version up to the horizon, and the time until the next one becomes visible.
 func visible(cs []change, horizon time.Time) (ferryplatform.Object, time.Duration) {
 	var o ferryplatform.Object
 	for _, c := range cs {
--- a/ferry/ferryplatform/protocol.go
+++ b/ferry/ferryplatform/protocol.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Operation is one kind of call to the platform.
+// Operation is the operation of a call to the platform.
 type Operation int
 
-// The operations; OpInstances is for platforms that keep instances apart from objects.
+// Operations; OpInstances is for platforms with an instance list apart from objects.
 const (
 	OpGet Operation = iota
 	OpPut
@@ -20,25 +20,25 @@
 	OpList
 	OpWatch
 	OpInstances
-	operations
+	operationCount
 )
 
 func (o Operation) String() string {
 	return [...]string{"get", "put", "delete", "list", "watch", "instances"}[o]
 }
 
-// Call is one call to the platform; which fields count depends on the operation.
+// Call is one call to the platform; the fields used depend on the operation.
 type Call struct {
 	Op   Operation
 	Kind string
 	Name string
-	// Expected is the version that the object of a write must have, NoVersion meaning that it must not exist.
+	// Expected is the version that the object of a write must have; NoVersion means that it must not exist.
 	Expected Version
 	Value    []byte
-	// After and Wait are what a watch watches from and for how long.
+	// After is the version after which a watch returns changes, Wait the maximum time that it waits.
 	After Version
 	Wait  time.Duration
-	// More continues a list after the page that said so.
+	// More is the page token of a list, from the Reply with the previous page.
 	More string
 }
 
@@ -50,52 +50,53 @@
 	return strings.TrimSpace(c.Op.String() + " " + c.Kind)
 }
 
-func (c Call) write() bool {
+func (c Call) isWrite() bool {
 	return c.Op == OpPut || c.Op == OpDelete
 }
 
-// Wire is a call as it goes to the platform over HTTP, its path relative to the base URL.
+// Wire is the HTTP request of a call, with the path relative to the base URL.
 type Wire struct {
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// MaxAnswer is the most bytes that an answer may have; zero stands for the bound of lists.
+	// MaxAnswer is the maximum size of the answer in bytes; 0 selects the maximum for lists.
 	MaxAnswer int64
 }
 
-// Reply is the platform's answer of success, as far as the operation has one.
+// Reply is a successful answer; the fields set depend on the operation.
 type Reply struct {
 	Object  Object
 	Version Version
 	Changes Changes
-	// More, if set, says that the list goes on.
+	// More is the token of the next page of a list, empty after the last one.
 	More      string
 	Instances Instances
 }
 
-// Protocol is the way in which a platform speaks over HTTP.
+// Protocol encodes the calls and decodes the answers of a platform's HTTP API.
 type Protocol interface {
-	// Encode puts a call into its wire form.
+	// Encode returns the HTTP request of a call.
 	Encode(c Call) (Wire, error)
-	// Decode reads an answer of success, and checks it.
+	// Decode decodes and validates a successful answer.
 	Decode(c Call, h http.Header, body []byte) (Reply, error)
-	// Refusal judges the status of an answer that is no success: a *NotFoundError, *ConflictError or *HistoryGoneError, or nil if it is none of them.
+	// Refusal returns the *NotFoundError, *ConflictError or *HistoryGoneError for a status other than 2xx, or
+	// nil if the status means none of them.
 	Refusal(c Call, status int) error
 }
 
-// conditional is the project's own protocol, with conditions in HTTP's header fields (RFC 9110).
-type conditional struct{}
+// conditionalProtocol is the default protocol; it uses the conditional request header fields of RFC 9110.
+type conditionalProtocol struct{}
 
-// Encode puts a call into its wire form.
-func (conditional) Encode(c Call) (Wire, error) {
+// Encode returns the HTTP request of a call.
+func (conditionalProtocol) Encode(c Call) (Wire, error) {
 	switch c.Op {
 	case OpGet:
 		return Wire{Method: http.MethodGet, Path: objectPath(c.Kind, c.Name), MaxAnswer: maxValueBytes}, nil
 	case OpPut:
-		return Wire{Method: http.MethodPut, Path: objectPath(c.Kind, c.Name), Header: condition(c.Expected), Body: c.Value, MaxAnswer: maxValueBytes}, nil
+		return Wire{Method: http.MethodPut, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected), Body: c.Value, MaxAnswer: maxValueBytes}, nil
 	case OpDelete:
-		return Wire{Method: http.MethodDelete, Path: objectPath(c.Kind, c.Name), Header: condition(c.Expected)}, nil
+		return Wire{Method: http.MethodDelete, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected)}, nil
 	case OpWatch:
 		q := url.Values{"after": {strconv.FormatUint(uint64(c.After), 10)}, "wait": {c.Wait.String()}}
 		return Wire{Method: http.MethodGet, Path: kindPath(c.Kind) + "?" + q.Encode()}, nil
@@ -105,16 +106,16 @@
 	return Wire{Method: http.MethodGet, Path: kindPath(c.Kind)}, nil
 }
 
-// condition makes a write conditional.
-func condition(expected Version) http.Header {
+// conditionHeader returns the header fields that make a write conditional.
+func conditionHeader(expected Version) http.Header {
 	if expected == NoVersion {
 		return http.Header{"If-None-Match": {"*"}}
 	}
 	return http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(uint64(expected), 10))}}
 }
 
-// Decode reads an answer of success, and checks it.
-func (conditional) Decode(c Call, h http.Header, body []byte) (Reply, error) {
+// Decode decodes and validates a successful answer.
+func (conditionalProtocol) Decode(c Call, h http.Header, body []byte) (Reply, error) {
 	switch c.Op {
 	case OpGet, OpPut:
 		v, err := etag(h)
@@ -129,12 +130,12 @@
 	return Reply{}, nil
 }
 
-// Refusal judges the status of an answer that is no success.
-func (conditional) Refusal(c Call, status int) error {
+// Refusal returns the error for a status other than 2xx, or nil.
+func (conditionalProtocol) Refusal(c Call, status int) error {
 	switch {
 	case status == http.StatusNotFound && c.Op != OpPut:
 		return &NotFoundError{Kind: c.Kind, Name: c.Name}
-	case status == http.StatusPreconditionFailed && c.write():
+	case status == http.StatusPreconditionFailed && c.isWrite():
 		return &ConflictError{Kind: c.Kind, Name: c.Name, Expected: c.Expected}
 	}
 	return nil
--- a/ferry/ferryplatform/store.go
+++ b/ferry/ferryplatform/store.go
@@ -8,13 +8,13 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Version is the version of one object; it rises with every write to any object.
+// Version is the version of an object; it increases with every write to any object.
 type Version uint64
 
-// NoVersion stands for an object that does not exist.
+// NoVersion is the version of an object that does not exist.
 const NoVersion Version = 0
 
-// Object is one stored value.
+// Object is a stored value with its key and version.
 type Object struct {
 	Kind    string  `json:"Kind"`
 	Name    string  `json:"Name"`
@@ -23,40 +23,40 @@
 	Value   []byte  `json:"Value"`
 }
 
-// Changes is the answer to a watch: the objects that changed, and the version to watch on from.
+// Changes is the result of a list or watch: objects, and the version to continue watching from.
 type Changes struct {
 	Version Version  `json:"Version"`
 	Objects []Object `json:"Objects"`
 }
 
-// Store is the object API, as the rest of the project sees it.
+// Store is the object API of the platform.
 type Store interface {
-	// Get returns one object or a *NotFoundError.
+	// Get returns an object, or a *NotFoundError.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Put writes a value if the object is still at the version expected, NoVersion meaning that it must not exist.
+	// Put writes a value if the object is at the expected version; NoVersion means that it must not exist.
 	Put(ctx context.Context, kind, name string, expected Version, value []byte) (Version, error)
-	// Delete removes an object if it is still at the version expected.
+	// Delete deletes an object if it is at the expected version.
 	Delete(ctx context.Context, kind, name string, expected Version) error
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind string) (Changes, error)
-	// Watch waits until objects of a kind change after a version, or until the wait is over.
+	// Watch returns when objects of a kind have changed after a version, or when the wait is over.
 	Watch(ctx context.Context, kind string, after Version, wait time.Duration) (Changes, error)
 }
 
-// InstanceRole says what an instance is.
+// InstanceRole is the role of an instance.
 type InstanceRole string
 
-// The roles of instances.
+// Roles of instances.
 const (
 	RoleEntry  InstanceRole = "Entry"
 	RoleEngine InstanceRole = "Engine"
 	RolePlain  InstanceRole = "Plain"
 )
 
-// InstanceState is what the instance list says of an instance.
+// InstanceState is the state of an instance in the instance list.
 type InstanceState string
 
-// The states of instances.
+// States of instances.
 const (
 	StateLive    InstanceState = "Live"
 	StateLeaving InstanceState = "Leaving"
@@ -74,26 +74,26 @@
 	State         InstanceState       `json:"State"`
 	Accelerator   string              `json:"Accelerator,omitempty"`
 	Layers        ferryid.LayerRange  `json:"Layers"`
-	// Slots is how many requests it processes at once; zero stands for unknown.
+	// Slots is the number of requests that the instance processes at once, 0 if not known.
 	Slots int `json:"Slots,omitempty"`
-	// Started is when its process started; the same name may start again and then holds nothing of before.
+	// Started is the start time of the process; an instance restarted under the same name has lost its state.
 	Started time.Time `json:"Started,omitzero"`
-	// Warming is how much longer it stays slow after its start.
+	// Warming is the remaining time for which the instance is slow after its start.
 	Warming time.Duration `json:"Warming,omitempty"`
-	// Model and ModelVersion say which weights its layers are of.
+	// Model and ModelVersion identify the weights of its layers.
 	Model        string `json:"Model,omitempty"`
 	ModelVersion int    `json:"ModelVersion,omitempty"`
 }
 
-// Instances is the lagging instance list.
+// Instances is the instance list, which lags behind.
 type Instances []Instance
 
-// Lister gives the instance list.
+// Lister returns the instance list.
 type Lister interface {
 	Instances(ctx context.Context) (Instances, error)
 }
 
-// NotFoundError says that there is no such object.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct {
 	Kind string
 	Name string
@@ -103,7 +103,8 @@
 	return fmt.Sprintf("no object %s/%s", e.Kind, e.Name)
 }
 
-// HistoryGoneError says that the platform no longer holds the changes after a version, so the kind has to be listed again.
+// HistoryGoneError reports that the platform no longer has the changes after a version; the kind has to be
+// listed again.
 type HistoryGoneError struct {
 	Kind  string
 	After Version
@@ -113,7 +114,7 @@
 	return fmt.Sprintf("changes of kind %s after version %d are gone", e.Kind, e.After)
 }
 
-// ConflictError says that the object was not at the expected version, so the write certainly did not take effect.
+// ConflictError reports that the object was not at the expected version; the write had no effect.
 type ConflictError struct {
 	Kind     string
 	Name     string
@@ -124,7 +125,8 @@
 	return fmt.Sprintf("object %s/%s is not at version %d", e.Kind, e.Name, e.Expected)
 }
 
-// UnavailableError says that the platform refused or could not be reached, so nothing took effect.
+// UnavailableError reports that the platform could not be reached or did not serve the call, which had no
+// effect.
 type UnavailableError struct {
 	Op  string
 	Err error
@@ -136,7 +138,7 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// UnknownOutcomeError says that a write's answer was lost: it may have taken effect, or may still.
+// UnknownOutcomeError reports a write without a valid answer; it may have taken effect or may do so later.
 type UnknownOutcomeError struct {
 	Op  string
 	Err error
@@ -148,7 +150,7 @@
 
 func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// BudgetError says that this process's share of the platform's rate is used up; nothing was sent.
+// BudgetError reports that the budget of this process is exhausted; the call was not sent.
 type BudgetError struct {
 	Op         string
 	RetryAfter time.Duration
--- a/ferry/ferryplatform/timeout.go
+++ b/ferry/ferryplatform/timeout.go
@@ -8,12 +8,13 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// timeoutError says that a call took longer than it may.
+// timeoutError reports a call that exceeded its timeout.
 type timeoutError struct{ after time.Duration }
 
 func (e *timeoutError) Error() string { return fmt.Sprintf("no answer after %s", e.after) }
 
-// withTimeout ends a context on the clock; unlike clockwork's own, its Err never blocks on a fake clock.
+// withTimeout is context.WithTimeout on the given clock. Unlike the contexts of package clockwork, the Err of
+// the returned context never blocks on a fake clock.
 func withTimeout(ctx context.Context, clock clockwork.Clock, d time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	t := clock.AfterFunc(d, func() { cancel(&timeoutError{d}) })
