--- a/ferry/ferrysubset/doc.go
+++ b/ferry/ferrysubset/doc.go
@@ -1,2 +1,4 @@
-// Package ferrysubset computes which of a service's engines one entry works, from the names of the live entries and the engines alone.
+// Package ferrysubset computes the subset of a service's engines that an entry uses, by rendezvous hashing.
+//
+// The subset depends only on the names of the live entries and the engines, so that all entries agree on it.
 package ferrysubset
--- a/ferry/ferrysubset/main_test.go
+++ b/ferry/ferrysubset/main_test.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferryrapid"
 )
 
-// TestMain fixes the seed and bounds the random tests, unless the command line says otherwise.
+// TestMain sets the seed and the size of the random tests, unless they are set by flags.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 1, Checks: 100})
 }
--- a/ferry/ferrysubset/subset.go
+++ b/ferry/ferrysubset/subset.go
@@ -14,64 +14,67 @@
 	maskBits      = 64
 )
 
-// Candidate is an engine, or a fixed pipeline of engines, that a subset holds or does not.
+// Candidate is an engine, or a fixed pipeline of engines, that may be part of a subset.
 type Candidate struct {
 	Name   ferryid.UpstreamName
 	Domain ferryid.DomainName
 	Layers ferryid.LayerRange
-	// Out says that it gets no new work, as all entries know; it does not count where the subset needs engines.
+	// Out is set if the candidate gets no new work, as all entries know. It does not count
+	// towards a subset's needs.
 	Out bool
-	// Lost says that this entry does not reach it; it does not count for this entry's needs, but for the sizes that all must agree on.
+	// Lost is set if this entry cannot reach the candidate. It does not count towards this entry's needs,
+	// but towards the sizes on which all entries must agree.
 	Lost bool
 }
 
-func (c *Candidate) counts() bool {
+func (c *Candidate) usable() bool {
 	return !c.Out && !c.Lost
 }
 
-// Config says how large subsets are.
+// Config configures the sizes of subsets.
 type Config struct {
-	// AllUpTo is the number of candidates that get work up to which every entry works all.
+	// AllUpTo is the number of candidates with work up to which every entry uses all of them.
 	AllUpTo int
-	// Size is the mean number of candidates that an entry works at the least.
+	// Size is the minimum mean number of candidates in a subset.
 	Size int
-	// Entries is how many entries work each candidate at the least.
+	// Entries is the minimum number of entries that use each candidate.
 	Entries int
-	// PerRange is how many candidates of each layer range a subset holds at the least, if there are so many.
+	// PerRange is the minimum number of candidates of each layer range in a subset, if there are that many.
 	PerRange int
-	// ReadsPerSecond is how many engines an entry reads a second at the most where it works a subset.
+	// ReadsPerSecond is the maximum number of engines whose state an entry with a
+	// proper subset reads per second.
 	ReadsPerSecond int
-	// IdleReadsPerSecond is the same while the entry has no calls.
+	// IdleReadsPerSecond is that maximum while the entry has no calls.
 	IdleReadsPerSecond int
 }
 
-// Default is what the entries use; all entries must use the same.
+// Default is the configuration of all entries, which must be the same for all.
 var Default = Config{AllUpTo: 24, Size: 24, Entries: 4, PerRange: 3, ReadsPerSecond: 10, IdleReadsPerSecond: 2}
 
-// Grouped returns the configuration for candidates that are pipelines of so many engines each.
+// Grouped returns the configuration for candidates that are pipelines of the given number of engines.
 func (c Config) Grouped(engines int) Config {
 	c.AllUpTo = max(1, c.AllUpTo/max(1, engines))
 	c.Size = max(1, c.Size/max(1, engines))
 	return c
 }
 
-// Whole reports whether so many entries all work all of the candidates that get work.
+// Whole reports whether every entry uses all candidates with work.
 func (c Config) Whole(entries, candidates int) bool {
 	return candidates <= c.AllUpTo || c.Copies(entries, candidates) >= float64(entries)
 }
 
-// Copies is the mean number of entries that work a candidate.
+// Copies returns the mean number of entries that use a candidate.
 func (c Config) Copies(entries, candidates int) float64 {
 	return max(float64(c.Entries), float64(entries)*float64(c.Size)/float64(max(1, candidates)))
 }
 
-// Chooser computes subsets and keeps its buffers; it is for one goroutine at a time.
+// Chooser computes subsets and reuses its buffers. It is not safe for concurrent use.
 type Chooser struct {
 	cfg        Config
 	entries    []uint64
 	candidates []Candidate
 	hashes     []uint64
-	in         []bool
+	inSubset   []bool
 	domainOf   []int
 	rangeOf    []int
 	domains    []ferryid.DomainName
@@ -79,13 +82,13 @@
 	spanned    uint64
 }
 
-// layerRange is what a subset holds of the candidates with the same layers.
+// layerRange counts the candidates with the same layers, in total and in the subset.
 type layerRange struct {
-	layers  ferryid.LayerRange
-	total   int
-	have    int
-	domains uint64
-	spanned uint64
+	layers   ferryid.LayerRange
+	total    int
+	selected int
+	domains  uint64
+	spanned  uint64
 }
 
 // New returns a chooser.
@@ -93,13 +96,14 @@
 	return &Chooser{cfg: cfg}
 }
 
-// Choose appends to out the indices of the candidates that self works, in rising order.
+// Choose appends to out the indices of the candidates that self uses, in ascending order.
 //
-// Each candidate is worked by the live entries whose names weigh most with its own, so that an entry that goes or
-// comes moves only its own places. On top of these, self takes what it weighs most of, until its subset spans the
-// failure domains and holds some of each layer range: every chain of ranges that the whole list has, the subset has too.
+// Each candidate is used by the live entries with the highest weights for it, so that an entry that joins or
+// leaves changes only its own assignments. In addition, self uses the candidates with its highest weights
+// until the subset spans the failure domains and has PerRange candidates of each layer range. A chain of
+// ranges that the whole list has then exists in the subset too.
 func (c *Chooser) Choose(self ferryid.EntryName, entries []ferryid.EntryName, candidates []Candidate, out []int) []int {
-	working := c.take(entries, candidates)
+	working := c.load(entries, candidates)
 	if c.cfg.Whole(len(entries), working) {
 		for i := range candidates {
 			out = append(out, i)
@@ -109,12 +113,12 @@
 	own := xxhash.Sum64String(string(self))
 	copies := c.cfg.Copies(len(entries), working)
 	for i, h := range c.hashes {
-		if c.worked(own, h, int(copies+unit(h))) {
+		if c.uses(own, h, int(copies+unit(h))) {
 			c.add(i)
 		}
 	}
 	c.fill(own)
-	for i, in := range c.in {
+	for i, in := range c.inSubset {
 		if in {
 			out = append(out, i)
 		}
@@ -122,9 +126,9 @@
 	return out
 }
 
-// take notes the entries and candidates and returns how many candidates get work.
-func (c *Chooser) take(entries []ferryid.EntryName, candidates []Candidate) (working int) {
-	c.entries, c.hashes, c.in = c.entries[:0], c.hashes[:0], c.in[:0]
+// load stores the entries and candidates and returns how many candidates get work.
+func (c *Chooser) load(entries []ferryid.EntryName, candidates []Candidate) (working int) {
+	c.entries, c.hashes, c.inSubset = c.entries[:0], c.hashes[:0], c.inSubset[:0]
 	c.domains, c.domainOf = c.domains[:0], c.domainOf[:0]
 	c.ranges, c.rangeOf = c.ranges[:0], c.rangeOf[:0]
 	c.candidates, c.spanned = candidates, 0
@@ -134,13 +138,13 @@
 	for i := range candidates {
 		e := &candidates[i]
 		c.hashes = append(c.hashes, xxhash.Sum64String(string(e.Name)))
-		c.in = append(c.in, false)
+		c.inSubset = append(c.inSubset, false)
 		c.domainOf = append(c.domainOf, c.domain(e.Domain))
 		c.rangeOf = append(c.rangeOf, c.layerRange(e.Layers))
 		if !e.Out {
 			working++
 		}
-		if e.counts() {
+		if e.usable() {
 			r := &c.ranges[c.rangeOf[i]]
 			r.total++
 			r.domains |= bit(c.domainOf[i])
@@ -169,8 +173,8 @@
 	return len(c.ranges) - 1
 }
 
-// worked reports whether fewer than k entries weigh more with the candidate than self.
-func (c *Chooser) worked(self, candidate uint64, k int) bool {
+// uses reports whether fewer than k entries have a higher weight for the candidate than self.
+func (c *Chooser) uses(self, candidate uint64, k int) bool {
 	own := weight(self, candidate)
 	for _, e := range c.entries {
 		if weight(e, candidate) > own {
@@ -184,17 +188,17 @@
 }
 
 func (c *Chooser) add(i int) {
-	c.in[i] = true
-	if !c.candidates[i].counts() {
+	c.inSubset[i] = true
+	if !c.candidates[i].usable() {
 		return
 	}
 	r := &c.ranges[c.rangeOf[i]]
-	r.have++
+	r.selected++
 	r.spanned |= bit(c.domainOf[i])
 	c.spanned |= bit(c.domainOf[i])
 }
 
-// fill adds what is missing of failure domains and layer ranges.
+// fill adds the candidates that are missing to span failure domains and layer ranges.
 func (c *Chooser) fill(self uint64) {
 	for i := range c.ranges {
 		r := &c.ranges[i]
@@ -203,7 +207,7 @@
 		for bits.OnesCount64(r.spanned) < span {
 			c.add(c.heaviest(self, i, r.spanned))
 		}
-		for r.have < want {
+		for r.selected < want {
 			c.add(c.heaviest(self, i, 0))
 		}
 	}
@@ -214,11 +218,12 @@
 	}
 }
 
-// heaviest is the candidate of a range outside of the given domains that is not in the subset yet and weighs most with self; there must be one.
+// heaviest returns the candidate with the highest weight for self that is in the layer range, outside of the
+// given domains and not in the subset. There must be one.
 func (c *Chooser) heaviest(self uint64, layers int, domains uint64) int {
 	best, most := -1, uint64(0)
 	for i, h := range c.hashes {
-		if c.in[i] || !c.candidates[i].counts() || c.rangeOf[i] != layers || domains&bit(c.domainOf[i]) != 0 {
+		if c.inSubset[i] || !c.candidates[i].usable() || c.rangeOf[i] != layers || domains&bit(c.domainOf[i]) != 0 {
 			continue
 		}
 		if w := weight(self, h); best < 0 || w > most {
@@ -236,7 +241,7 @@
 	return mix(entry ^ candidate*oddMultiplier)
 }
 
-// unit returns a number in [0, 1) that is the same each time for one hash.
+// unit maps a hash to a number in [0, 1).
 func unit(h uint64) float64 {
 	return float64(mix(h)>>11) / math.Exp2(53)
 }
--- a/ferry/ferrysubset/subset_test.go
+++ b/ferry/ferrysubset/subset_test.go
@@ -13,7 +13,7 @@
 	"cactusferry.dev/ferry/ferrysubset"
 )
 
-// fleet is entries and engines; engine i holds the i-th part of the layers.
+// fleet is a set of entries and engines; engine i holds part i modulo the number of parts of the layers.
 type fleet struct {
 	entries []ferryid.EntryName
 	engines []ferrysubset.Candidate
@@ -49,8 +49,8 @@
 	return out
 }
 
-// pairs are the places of entries at engines.
-func (f fleet) pairs() map[string]bool {
+// assignments returns the pairs of an entry and an engine that it uses.
+func (f fleet) assignments() map[string]bool {
 	out := map[string]bool{}
 	for i, s := range f.subsets() {
 		for _, e := range s {
@@ -60,7 +60,7 @@
 	return out
 }
 
-func apart(a, b map[string]bool) int {
+func differences(a, b map[string]bool) int {
 	n := 0
 	for k := range a {
 		if !b[k] {
@@ -75,7 +75,7 @@
 	return n
 }
 
-func (f fleet) working() int {
+func (f fleet) withWork() int {
 	n := 0
 	for _, e := range f.engines {
 		if !e.Out {
@@ -85,7 +85,8 @@
 	return n
 }
 
-// check asserts that a subset has what the whole list has: failure domains, and of each layer range enough, spread over domains.
+// check asserts that a subset spans the failure domains and has enough candidates of each layer
+// range, from enough domains.
 func (f fleet) check(t assert.TestingT, subset []int) {
 	type key struct {
 		layers ferryid.LayerRange
@@ -121,7 +122,8 @@
 	}
 }
 
-// Every engine is worked by enough entries, every subset has whole pipelines in the failure domains, and none is far from the mean.
+// TestSubsetsCoverAndBalance checks that each engine is used by enough entries, that each subset has whole
+// pipelines across the failure domains, and that no subset is far larger than the mean.
 func TestSubsetsCoverAndBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
@@ -132,47 +134,48 @@
 		cfg := ferrysubset.Default
 		worked := make([]int, len(f.engines))
 		mean := float64(len(f.engines))
-		if n := f.working(); !cfg.Whole(len(f.entries), n) {
+		if n := f.withWork(); !cfg.Whole(len(f.entries), n) {
 			mean *= max(float64(cfg.Entries)/float64(len(f.entries)), float64(cfg.Size)/float64(n))
 		}
-		// Six deviations above the mean, and what whole pipelines may need.
+		// Six standard deviations above the mean, and what complete pipelines may need.
 		most := mean + 6*math.Sqrt(mean) + float64(6*cfg.PerRange+8)
 		for _, s := range f.subsets() {
 			f.check(t, s)
-			assert.Assert(t, float64(len(s)) <= most, "%d engines, the mean is %v", len(s), mean)
+			assert.Assert(t, float64(len(s)) <= most, "subset of %d engines, the mean is %v", len(s), mean)
 			for _, i := range s {
 				worked[i]++
 			}
 		}
 		for i, n := range worked {
-			assert.Assert(t, n >= min(cfg.Entries, len(f.entries)), "engine %d has %d entries", i, n)
+			assert.Assert(t, n >= min(cfg.Entries, len(f.entries)), "engine %d is used by %d entries only", i, n)
 		}
 	})
 }
 
-// A change of membership moves the places of one entry or engine, and not much beside.
-func TestChangeMovesFew(t *testing.T) {
+// TestMembershipChangeMovesFewAssignments checks that an entry that leaves, or an engine that gets no more work,
+// changes few assignments besides its own.
+func TestMembershipChangeMovesFewAssignments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleetOf(rapid.IntRange(20, 120).Draw(t, "entries"), rapid.IntRange(80, 500).Draw(t, "engines"), 4, 8)
-		before := f.pairs()
+		before := f.assignments()
 		held := float64(len(before)) / float64(len(f.entries))
 		after := f
 		i := rapid.IntRange(0, len(f.entries)-1).Draw(t, "entry")
 		after.entries = slices.Delete(slices.Clone(f.entries), i, i+1)
-		moved := apart(before, after.pairs())
-		// Its places are given up and taken by others; where the mean is kept, as many places again come or go.
-		assert.Assert(t, float64(moved) <= 4*held+30, "%d places moved, an entry has %v", moved, held)
+		moved := differences(before, after.assignments())
+		// Its assignments move to others. To keep the mean, up to as many more are added or removed.
+		assert.Assert(t, float64(moved) <= 4*held+30, "%d assignments changed, an entry has %v", moved, held)
 
 		after = f
 		after.engines = slices.Clone(f.engines)
 		after.engines[rapid.IntRange(0, len(f.engines)-1).Draw(t, "engine")].Out = true
 		copies := float64(len(before)) / float64(len(f.engines))
-		moved = apart(before, after.pairs())
-		assert.Assert(t, float64(moved) <= 4*copies+30, "%d places moved, an engine has %v", moved, copies)
+		moved = differences(before, after.assignments())
+		assert.Assert(t, float64(moved) <= 4*copies+30, "%d assignments changed, an engine has %v", moved, copies)
 	})
 }
 
-func TestSmallFleetsWorkAll(t *testing.T) {
+func TestSmallFleetsUseAllEngines(t *testing.T) {
 	for _, tt := range []struct{ entries, engines, want int }{
 		{9, 24, 24}, {350, 24, 24}, {4, 1600, 1600}, {1, 1000, 1000}, {0, 40, 40}, {4, 40, 40},
 	} {
@@ -182,7 +185,8 @@
 	}
 }
 
-// At the planned size a lost failure domain of entries leaves each engine with entries, and one of engines leaves each entry with whole pipelines.
+// TestPlannedSize checks that, at the planned size, each engine still has entries after the loss of a
+// failure domain of entries, and each entry whole pipelines after the loss of a failure domain of engines.
 func TestPlannedSize(t *testing.T) {
 	f := fleetOf(350, 1600, 4, 8)
 	worked := make([]int, len(f.engines))
@@ -198,9 +202,9 @@
 	}
 	t.Logf("subsets of %d to %d engines; without one of eight domains an engine has %d to %d entries", least, most, slices.Min(worked), slices.Max(worked))
 	assert.Assert(t, slices.Min(worked) >= 1)
-	before := f.pairs()
+	before := f.assignments()
 	less := fleetOf(349, 1600, 4, 8)
-	t.Logf("%d places, %d of them given up or taken where one entry goes", len(before), apart(before, less.pairs()))
+	t.Logf("%d assignments, %d of them change when one entry leaves", len(before), differences(before, less.assignments()))
 	for i := range f.engines {
 		f.engines[i].Out = f.engines[i].Domain == "domain-3"
 	}
@@ -226,7 +230,7 @@
 	}
 }
 
-func TestTurns(t *testing.T) {
+func TestTurnsRotate(t *testing.T) {
 	var turns ferrysubset.Turns
 	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{0, 1, 2})
 	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{3, 4, 0})
--- a/ferry/ferrysubset/turns.go
+++ b/ferry/ferrysubset/turns.go
@@ -1,11 +1,12 @@
 package ferrysubset
 
-// Turns lets engines be read one after another, some each second; it is for one goroutine at a time.
+// Turns selects engines to be read in rotation. It is not safe for concurrent use.
 type Turns struct {
 	next int
 }
 
-// Next appends to out the indices of those of n engines whose turn it is, at most as many as given.
+// Next appends to out the indices of the next engines in the rotation, at most the
+// given number of the n engines.
 func (t *Turns) Next(n, most int, out []int) []int {
 	for range min(n, most) {
 		out = append(out, t.next%n)
