--- a/ferry/ferryadmin/client.go
+++ b/ferry/ferryadmin/client.go
@@ -23,20 +23,22 @@
 )
 
 const (
-	// callTimeout is longer than an entry takes to resolve a lost answer of the platform.
+	// callTimeout is longer than an entry takes to resolve a write with unknown outcome at the platform.
 	callTimeout    = 25 * time.Second
 	dialTimeout    = 2 * time.Second
 	maxAnswerBytes = 64 << 20
 )
 
-// Client calls the operators' API of one entry.
+// Client is a client of the operators' API of one entry.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// NewClient returns a client for the entry at the URL, such as http://127.0.0.1:9101; token may be empty, and keys nil without TLS.
+// NewClient returns a client for the entry at the base URL, such as http://127.0.0.1:9101.
+//
+// The token may be empty, and keys may be nil without TLS.
 func NewClient(base, token string, keys *tls.Config) *Client {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, TLSClientConfig: keys}
 	return &Client{
@@ -46,10 +48,10 @@
 	}
 }
 
-// UnreachableError says that an entry did not answer.
+// UnreachableError is returned if an entry did not answer.
 type UnreachableError struct {
 	Entry string
-	// Sent says that the entry may have taken the request nevertheless.
+	// Sent is set if the entry may have received the request.
 	Sent bool
 	Err  error
 }
@@ -60,7 +62,7 @@
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// RefusedError says that an entry answered with an error.
+// RefusedError is returned if an entry answered with an error status.
 type RefusedError struct {
 	Entry   string
 	Problem ferryoutcome.Problem
@@ -80,7 +82,7 @@
 	return out, c.get(ctx, "/admin/status", &out)
 }
 
-// Events returns the entry's part of the time line.
+// Events returns the entry's events of the time line.
 func (c *Client) Events(ctx context.Context) (ferryevent.Events, error) {
 	var out ferryevent.Events
 	return out, c.get(ctx, "/admin/events", &out)
@@ -101,14 +103,14 @@
 	return out, c.get(ctx, "/admin/documents", &out)
 }
 
-// Claims returns what is known of the claims of a service, of one key only if it is not empty, as JSON.
+// Claims returns the claims of a service as JSON, limited to one key unless it is empty.
 func (c *Client) Claims(ctx context.Context, service ferryid.ServiceName, key string) (json.RawMessage, error) {
 	q := url.Values{"service": {string(service)}, "key": {key}}
 	var out json.RawMessage
 	return out, c.get(ctx, "/admin/claims?"+q.Encode(), &out)
 }
 
-// Drain marks an upstream as leaving, or takes it back.
+// Drain marks an upstream as leaving, or clears the mark.
 func (c *Client) Drain(ctx context.Context, req DrainRequest) error {
 	status, body, err := c.do(ctx, http.MethodPost, "/admin/drain", req)
 	if err != nil {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// Apply applies a document, and returns the errors of ferrydocument.Apply.
+// Apply applies a document. It returns the error types of ferrydocument.Apply.
 func (c *Client) Apply(ctx context.Context, req ferrydocument.ApplyRequest) (ferryservice.Accepted, error) {
 	status, body, err := c.do(ctx, http.MethodPost, documentPath(req.Service), req)
 	if err != nil {
@@ -148,7 +150,7 @@
 	return ferryservice.Accepted{}, c.refused(status, body)
 }
 
-// lostRace tells a lost race from the other conflicts, which come as problem details.
+// lostRace distinguishes a lost race from other conflicts, whose bodies are problem details.
 func (c *Client) lostRace(body []byte) error {
 	var out LostRace
 	if err := c.decode(body, &out); err != nil {
@@ -206,13 +208,13 @@
 	return res.StatusCode, b, nil
 }
 
-// dialFailed reports whether a call failed before there was a connection.
+// dialFailed reports whether a call failed before a connection was established.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// unwrapURL drops the part of an error that repeats the URL.
+// unwrapURL returns the error inside a *url.Error, whose text would repeat the URL.
 func unwrapURL(err error) error {
 	var u *url.Error
 	if errors.As(err, &u) {
@@ -223,7 +225,7 @@
 
 func (c *Client) decode(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("entry %s answered in a form that is not understood: %w", c.base, err)
+		return fmt.Errorf("decode the answer of entry %s: %w", c.base, err)
 	}
 	return nil
 }
--- a/ferry/ferryadmin/doc.go
+++ b/ferry/ferryadmin/doc.go
@@ -1,2 +1,2 @@
-// Package ferryadmin holds the wire types of the operators' API of an entry, and a client for it.
+// Package ferryadmin defines the wire types of an entry's operators' API and a client for it.
 package ferryadmin
