--- a/ferry/ferrydiscovery/table.go
+++ b/ferry/ferrydiscovery/table.go
@@ -107,35 +107,35 @@
 func (t *Table) Apply(changes []Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	moved := t.endOutage()
+	updated := t.endOutage()
 	for _, c := range changes {
 		if c.Removed {
-			moved = t.remove(c.Upstream.Name, c.Upstream.Version) || moved
+			updated = t.remove(c.Upstream.Name, c.Upstream.Version) || updated
 			continue
 		}
-		moved = t.put(c.Upstream) || moved
+		updated = t.put(c.Upstream) || updated
 	}
 	t.outage = false
-	t.publish(moved)
+	t.publish(updated)
 }
 
 // Replace applies the complete list at a version. Upstreams that it lacks have been removed.
 func (t *Table) Replace(list []Upstream, at ferryplatform.Version) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	moved := t.endOutage()
+	updated := t.endOutage()
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
 		listed[u.Name] = true
-		moved = t.put(u) || moved
+		updated = t.put(u) || updated
 	}
 	for name, u := range t.rows {
 		if !listed[name] && u.Version <= at {
-			moved = t.remove(name, at) || moved
+			updated = t.remove(name, at) || updated
 		}
 	}
 	t.outage = false
-	t.publish(moved)
+	t.publish(updated)
 }
 
 // Expire removes expired upstreams that have not registered again in time, and returns
@@ -144,12 +144,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	moved := false
+	updated := false
 	for name, until := range t.graceUntil {
 		if !now.Before(until) {
 			delete(t.graceUntil, name)
 			delete(t.rows, name)
-			moved = true
+			updated = true
 			continue
 		}
 		if next.IsZero() || until.Before(next) {
@@ -161,7 +161,7 @@
 			delete(t.tombstones, name)
 		}
 	}
-	t.publish(moved)
+	t.publish(updated)
 	return next
 }
 
@@ -213,8 +213,8 @@
 	return true
 }
 
-func (t *Table) publish(moved bool) {
-	if !moved {
+func (t *Table) publish(updated bool) {
+	if !updated {
 		return
 	}
 	v := &View{services: map[ferryid.ServiceName][]*Upstream{}, byName: make(map[string]*Upstream, len(t.rows))}
--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -13,9 +13,9 @@
 	// the engine's platform entry.
 	orderVisibleTimeout = 4 * time.Second
 	// settleFor is how long no new engine must have appeared before the first placement, so that all engines
-	// are known. It is a little more than the heartbeat interval. settleMost bounds the wait.
-	settleFor  = 1400 * time.Millisecond
-	settleMost = 4 * time.Second
+	// are known. It is a little more than the heartbeat interval. maxSettle bounds the wait.
+	settleFor = 1400 * time.Millisecond
+	maxSettle = 4 * time.Second
 	// retryAfter is the delay after an order that was refused or not answered.
 	retryAfter = 500 * time.Millisecond
 )
@@ -27,7 +27,7 @@
 	placed  bool
 	// lacking is the time since which a failure domain has lacked at least one layer.
 	lacking map[ferryid.DomainName]time.Time
-	// first and newest are the times when the first and the newest engine appeared.
+	// firstSeen and newestSeen are the times when the first and the newest engine appeared.
 	firstSeen, newestSeen time.Time
 }
 
@@ -39,10 +39,10 @@
 	state  orderState
 	// until is the deadline of an order in progress, or the end of a delay.
 	until time.Time
-	// since is the time when the engine appeared.
+	// appearedAt is the time when the engine appeared.
 	appearedAt time.Time
-	// doubt is set while an order without an answer may still take effect.
-	doubt bool
+	// outcomeUnknown is set while an order without an answer may still take effect.
+	outcomeUnknown bool
 }
 
 type orderState int
@@ -74,17 +74,17 @@
 		e := old[name]
 		if e == nil || !e.up.SameRun(u) {
 			e = &engine{appearedAt: now}
-			c.appeared(now)
+			c.recordArrival(now)
 		}
 		e.up = u
 		if e.state != idle && u.Layers == e.target {
-			e.state, e.doubt = idle, false
+			e.state, e.outcomeUnknown = idle, false
 		}
 		c.engines[name] = e
 	}
 }
 
-func (c *Core) appeared(now time.Time) {
+func (c *Core) recordArrival(now time.Time) {
 	if c.firstSeen.IsZero() {
 		c.firstSeen = now
 	}
@@ -94,7 +94,7 @@
 // settled reports whether enough engines are known for a placement. If some engine already holds layers,
 // there is no need to wait.
 func (c *Core) settled(now time.Time) bool {
-	if c.placed || now.Sub(c.newestSeen) >= settleFor || now.Sub(c.firstSeen) >= settleMost {
+	if c.placed || now.Sub(c.newestSeen) >= settleFor || now.Sub(c.firstSeen) >= maxSettle {
 		return true
 	}
 	for _, e := range c.engines {
@@ -218,18 +218,18 @@
 	}
 	switch a {
 	case Begun:
-		e.state, e.doubt = begun, false
+		e.state, e.outcomeUnknown = begun, false
 		e.until = now.Add(c.loadTime(s.Layers) + orderVisibleTimeout)
 		if e.up.Layers == e.target {
 			e.state = idle
 		}
 	case Refused:
 		e.state, e.until = idle, now.Add(retryAfter)
-		if e.doubt {
+		if e.outcomeUnknown {
 			e.state = doubtful
 		}
 	case Unknown:
-		e.state, e.until, e.doubt = doubtful, now.Add(retryAfter), true
+		e.state, e.until, e.outcomeUnknown = doubtful, now.Add(retryAfter), true
 	}
 }
 
--- a/ferry/ferryplacement/placer.go
+++ b/ferry/ferryplacement/placer.go
@@ -62,21 +62,21 @@
 	Place(ctx context.Context, u *ferrydiscovery.Upstream, o PlaceOrder) error
 }
 
-// Tenure reports whether this entry may send orders, under which fencing number and until when.
-type Tenure interface {
+// Lease reports whether this entry may send orders, under which fencing number and until when.
+type Lease interface {
 	Check() (ferryid.Fence, time.Time, error)
 }
 
 // Config configures a Placer. All fields are required.
 type Config struct {
 	Engines Engines
-	Tenure  Tenure
+	Lease   Lease
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
 }
 
 // Placer sends the orders that move the engines of one service to the planned placement, while
-// its entry has the tenure.
+// its entry holds the lease.
 type Placer struct {
 	cfg     Config
 	core    *Core
@@ -140,12 +140,12 @@
 }
 
 func (p *Placer) step(ctx context.Context) {
-	if _, _, err := p.cfg.Tenure.Check(); err != nil {
+	if _, _, err := p.cfg.Lease.Check(); err != nil {
 		return
 	}
 	for _, s := range p.core.Next(p.cfg.Clock.Now()) {
 		go func() {
-			r := result{send: s, answer: p.order(ctx, s)}
+			r := result{send: s, answer: p.sendOrder(ctx, s)}
 			select {
 			case p.results <- r:
 			case <-ctx.Done():
@@ -154,8 +154,8 @@
 	}
 }
 
-// order sends one order with the number of orders that the engine has begun, and returns its outcome.
-func (p *Placer) order(ctx context.Context, s Send) OrderOutcome {
+// sendOrder sends one order with the number of orders that the engine has begun, and returns its outcome.
+func (p *Placer) sendOrder(ctx context.Context, s Send) OrderOutcome {
 	ctx, cancel := clockwork.WithTimeout(ctx, p.cfg.Clock, orderTimeout)
 	defer cancel()
 	log := p.cfg.Log.With().Str("Engine", s.Upstream.Name).Stringer("Layers", s.Layers).Logger()
@@ -170,7 +170,7 @@
 		log.Info().Stringer("Held", state.Layers).Msg("another order is in progress on the engine; order not sent")
 		return Refused
 	}
-	fence, _, err := p.cfg.Tenure.Check()
+	fence, _, err := p.cfg.Lease.Check()
 	if err != nil {
 		log.Info().Err(err).Msg("order not sent: no valid lease")
 		return Refused
--- a/ferry/ferryplacement/plan.go
+++ b/ferry/ferryplacement/plan.go
@@ -120,8 +120,8 @@
 
 func (p *plan) capacity(e *Engine) int { return Capacity(p.model, e.Accelerator) }
 
-// order assigns an engine a new range.
-func (p *plan) order(e *Engine, r ferryid.LayerRange) {
+// assign assigns an engine a new range.
+func (p *plan) assign(e *Engine, r ferryid.LayerRange) {
 	p.cover.add(e.Domain, e.Held, -1)
 	p.live.add(e.Domain, e.Live, -1)
 	e.Held, e.Live = r, overlap(e.Live, r)
@@ -140,8 +140,8 @@
 	return r
 }
 
-// free reports whether an engine can be sent an order.
-func (p *plan) free(e *Engine) bool { return !e.Fixed && !p.ordered[e.Name] }
+// assignable reports whether an engine can be sent an order.
+func (p *plan) assignable(e *Engine) bool { return !e.Fixed && !p.ordered[e.Name] }
 
 // pool is a set of engines that hold a copy of the model together, by descending memory.
 type pool []*Engine
@@ -262,7 +262,7 @@
 		holders--
 	}
 	for _, e := range copying[len(copying)-holders:] {
-		p.order(e, ferryid.LayerRange{To: ferryid.Layer(first)})
+		p.assign(e, ferryid.LayerRange{To: ferryid.Layer(first)})
 	}
 	to := p.model.Layers
 	for _, e := range copying[:len(copying)-holders] {
@@ -272,7 +272,7 @@
 		n := p.length(e, tokens)
 		from := max(first, to-n)
 		// The last range overlaps covered layers, so that the engine is used fully.
-		p.order(e, ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(min(from+n, p.model.Layers))})
+		p.assign(e, ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(min(from+n, p.model.Layers))})
 		to = from
 	}
 	p.fillEmpty(l)
@@ -305,18 +305,18 @@
 func (p *plan) fillEmpty(l pool) {
 	first := p.firstPart(l)
 	for _, e := range l {
-		if e.Held.Len() > 0 || !p.free(e) {
+		if e.Held.Len() > 0 || !p.assignable(e) {
 			continue
 		}
 		if gap := p.widestGap(e.Domain); gap.Len() > 0 {
-			p.order(e, p.cut(e, gap))
+			p.assign(e, p.limitToCapacity(e, gap))
 			continue
 		}
 		if e.Age < newEngineWait && !l.fresh() {
 			continue
 		}
 		r, _ := p.cover.best(e.Domain, p.share(l, e), first)
-		p.order(e, r)
+		p.assign(e, r)
 	}
 }
 
@@ -336,8 +336,8 @@
 	return best
 }
 
-// cut shortens a gap to the capacity of an engine.
-func (p *plan) cut(e *Engine, gap ferryid.LayerRange) ferryid.LayerRange {
+// limitToCapacity shortens a gap to the capacity of an engine.
+func (p *plan) limitToCapacity(e *Engine, gap ferryid.LayerRange) ferryid.LayerRange {
 	if n := p.capacity(e); gap.Len() > n {
 		gap.To = gap.From + ferryid.Layer(n)
 	}
--- a/ferry/ferryplacement/plan_test.go
+++ b/ferry/ferryplacement/plan_test.go
@@ -83,7 +83,7 @@
 	return out
 }
 
-func show(engines []Engine) string {
+func describe(engines []Engine) string {
 	sorted := slices.Clone(engines)
 	slices.SortFunc(sorted, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Held.From, b.Held.From), cmp.Compare(a.Name, b.Name))
@@ -98,7 +98,7 @@
 func TestPlanForEmptyEngines(t *testing.T) {
 	engines := fleet(mixed)
 	settle(t, model(), engines, nil)
-	golden.Assert(t, show(engines), "fresh.golden")
+	golden.Assert(t, describe(engines), "fresh.golden")
 	for _, d := range []ferryid.DomainName{"a", "b", "c"} {
 		here := holders(engines, d, 80)
 		assert.Assert(t, slices.Min(here) >= 1, "domain %s lacks layers, holders: %v", d, here)
@@ -191,7 +191,7 @@
 					missing++
 				}
 			}
-			assert.Equal(t, missing, 0, "domain %s lacks %d layers:\n%s", d, missing, show(engines))
+			assert.Equal(t, missing, 0, "domain %s lacks %d layers:\n%s", d, missing, describe(engines))
 		})
 	}
 }
--- a/ferry/ferryplacement/repair.go
+++ b/ferry/ferryplacement/repair.go
@@ -22,7 +22,7 @@
 				break
 			}
 		}
-		p.grow(l)
+		p.extendToShare(l)
 	}
 }
 
@@ -37,13 +37,13 @@
 		{extendAfter, func(e *Engine) ferryid.LayerRange {
 			return p.extension(e, capacity(p.model, e.Accelerator, minRequestShare))
 		}},
-		{moveAfter, p.move},
+		{moveAfter, p.moveTarget},
 	} {
 		var best *Engine
 		var to ferryid.LayerRange
 		most := 0
 		for _, e := range l {
-			if e.Held.Len() == 0 || !p.free(e) || p.Lacking[e.Domain] < try.after || !p.cover.lacksAny(e.Domain) {
+			if e.Held.Len() == 0 || !p.assignable(e) || p.Lacking[e.Domain] < try.after || !p.cover.lacksAny(e.Domain) {
 				continue
 			}
 			r := try.order(e)
@@ -53,7 +53,7 @@
 			}
 		}
 		if best != nil {
-			p.order(best, to)
+			p.assign(best, to)
 			return true
 		}
 	}
@@ -94,9 +94,9 @@
 	return layer >= 0 && layer < p.model.Layers && p.cover.of(d)[layer] == 0
 }
 
-// move returns the gap that an engine could fill instead of its layers. It is empty if the engine is the
+// moveTarget returns the gap that an engine could fill instead of its layers. It is empty if the engine is the
 // only one of its domain that serves one of them.
-func (p *plan) move(e *Engine) ferryid.LayerRange {
+func (p *plan) moveTarget(e *Engine) ferryid.LayerRange {
 	live := p.live.of(e.Domain)
 	for l := int(e.Held.From); l < int(e.Held.To) && l < len(live); l++ {
 		others := live[l]
@@ -107,22 +107,22 @@
 			return ferryid.LayerRange{}
 		}
 	}
-	return p.cut(e, p.widestGap(e.Domain))
+	return p.limitToCapacity(e, p.widestGap(e.Domain))
 }
 
 // minGrowthValue is the least value of additional layers that justifies a load.
 const minGrowthValue = 5.0
 
-// grow extends an engine that holds less than its share because it had to load quickly. Domains that lack
+// extendToShare extends an engine that holds less than its share because it had to load quickly. Domains that lack
 // layers need their loads for those.
-func (p *plan) grow(l pool) {
+func (p *plan) extendToShare(l pool) {
 	for _, e := range l {
 		want := p.share(l, e)
-		if e.Held.Len() == 0 || e.Held.From == 0 || e.Held.Len() >= want || !p.free(e) || p.cover.lacksAny(e.Domain) {
+		if e.Held.Len() == 0 || e.Held.From == 0 || e.Held.Len() >= want || !p.assignable(e) || p.cover.lacksAny(e.Domain) {
 			continue
 		}
 		if r, gain := p.bestExtension(e, want-e.Held.Len()); gain >= minGrowthValue {
-			p.order(e, r)
+			p.assign(e, r)
 			return
 		}
 	}
--- a/ferry/ferryrelay/relay.go
+++ b/ferry/ferryrelay/relay.go
@@ -118,15 +118,15 @@
 	}
 }
 
-// Reached reports whether the last direct call to the platform was answered; also true before the first.
-func (r *Relay) Reached() bool {
+// PlatformReachable reports whether the last direct call to the platform was answered; also true before the first.
+func (r *Relay) PlatformReachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failingSince.IsZero()
 }
 
-// Reads reports whether this entry reads from the platform directly.
-func (r *Relay) Reads() bool {
+// ReadsDirectly reports whether this entry reads from the platform directly.
+func (r *Relay) ReadsDirectly() bool {
 	_, relayed := r.reader()
 	return !relayed
 }
--- a/ferry/ferryrelay/relay_test.go
+++ b/ferry/ferryrelay/relay_test.go
@@ -26,7 +26,7 @@
 	links    map[ferryid.EntryName]*platformLink
 	// reader is the entry that all others read from; empty means none.
 	reader ferryid.EntryName
-	// silent entries do not answer questions.
+	// unresponsive entries do not answer questions.
 	unresponsive map[ferryid.EntryName]bool
 }
 
@@ -199,7 +199,7 @@
 			assert.Assert(t, errors.As(err, &missing))
 		}
 		assert.Equal(t, f.calls("b"), 0)
-		assert.Assert(t, f.relays["a"].Reached(), "a missing object is an answer of the platform")
+		assert.Assert(t, f.relays["a"].PlatformReachable(), "a missing object is an answer of the platform")
 	})
 }
 
@@ -238,7 +238,7 @@
 		f.links["a"].shut, f.links["b"].shut = true, true
 		_, err := f.watch(t, "a", at)
 		assert.ErrorContains(t, err, "no route")
-		assert.Assert(t, !f.relays["a"].Reached())
+		assert.Assert(t, !f.relays["a"].PlatformReachable())
 
 		// Only the first watch calls the platform directly.
 		for range 20 {
@@ -258,7 +258,7 @@
 		c, err := f.watch(t, "b", at)
 		assert.NilError(t, err)
 		assert.Equal(t, text(c), "x=2")
-		assert.Assert(t, f.relays["b"].Reached())
+		assert.Assert(t, f.relays["b"].PlatformReachable())
 	})
 }
 
--- a/ferry/ferryrelay/serve.go
+++ b/ferry/ferryrelay/serve.go
@@ -39,7 +39,7 @@
 
 // unreadVerdict returns why a kind cannot be read from this entry, which may just have become the reader.
 func (r *Relay) unreadVerdict(kind string) verdict {
-	if r.Reached() && !r.mirror(kind).isComplete() {
+	if r.PlatformReachable() && !r.mirror(kind).isComplete() {
 		return verdictNotRead
 	}
 	return verdictLost
--- a/ferry/ferryroute/health.go
+++ b/ferry/ferryroute/health.go
@@ -10,10 +10,10 @@
 const (
 	// recentWeight is the weight of one measurement in the moving average of the recent speed.
 	recentWeight = 1.0 / 8
-	// riseWeight is its weight in the speed over all slots if it is above the average.
+	// riseWeight is the weight of one measurement in the speed over all slots if it is above the average.
 	riseWeight = 1.0 / 2
-	// baselineWeight is its weight in the baseline, which is the expected speed of an upstream
-	// without a configured rate.
+	// baselineWeight is the weight of one measurement in the baseline, which is the expected speed of an
+	// upstream without a configured rate.
 	baselineWeight = 1.0 / 256
 	minSamples     = 8
 	// slowShare is the fraction of the median speed below which an upstream is slow.
--- a/ferry/ferryroute/slots.go
+++ b/ferry/ferryroute/slots.go
@@ -41,7 +41,7 @@
 	}
 	for layer := range s.layers() {
 		m, _ := s.sumCredits(func(r *row) bool { return r.layers.Len() == 0 || r.layers.Contains(layer) })
-		if m == 0 && !s.covered(layer) {
+		if m == 0 && !s.hasUsable(layer) {
 			return 0
 		}
 		n = min(n, m)
@@ -74,8 +74,8 @@
 	return last
 }
 
-// covered reports whether a usable upstream holds the layer.
-func (s *Snapshot) covered(layer ferryid.Layer) bool {
+// hasUsable reports whether a usable upstream holds the layer.
+func (s *Snapshot) hasUsable(layer ferryid.Layer) bool {
 	_, found := s.sumCredits(func(r *row) bool { return r.layers.Contains(layer) })
 	return found
 }
--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -41,7 +41,7 @@
 type engineCondition struct {
 	_ struct{} `cbor:",toarray"`
 	// Engine identifies the engine among those that all entries know.
-	Engine engineMark
+	Engine engineHash
 	// Pace is in units of paceUnit; Used and Room are in units of roomUnit tokens.
 	Pace    uint32
 	Running uint32
@@ -58,11 +58,11 @@
 	maxRoom  = 1 << 40
 )
 
-// engineMark is a hash of an engine's service and name.
-type engineMark uint32
+// engineHash is a hash of an engine's service and name.
+type engineHash uint32
 
-func markOf(u *ferrydiscovery.Upstream) engineMark {
-	return engineMark(xxhash.Sum64String(string(u.Service) + "/" + u.Name))
+func hashOf(u *ferrydiscovery.Upstream) engineHash {
+	return engineHash(xxhash.Sum64String(string(u.Service) + "/" + u.Name))
 }
 
 // conditions are the conditions of some engines.
@@ -155,7 +155,7 @@
 }
 
 func (e *Edge) readOne(ctx context.Context, engines Engines, u *ferrydiscovery.Upstream) engineCondition {
-	c := engineCondition{Engine: markOf(u)}
+	c := engineCondition{Engine: hashOf(u)}
 	s, err := engines.State(ctx, u)
 	if err != nil {
 		e.cfg.Log.Debug().Err(err).Str("Engine", u.Name).Msg("could not read the engine's condition")
@@ -186,7 +186,7 @@
 // applyConditions passes the known conditions to the path choosers and reports whether some
 // engine is short of memory.
 func (e *Edge) applyConditions(ctx context.Context) (short bool) {
-	known := e.enginesByMark()
+	known := e.enginesByHash()
 	for _, entry := range e.conditions.All() {
 		for _, c := range entry.Value.List {
 			u := known[c.Engine]
@@ -207,12 +207,12 @@
 	return short
 }
 
-// enginesByMark returns the engines by their marks; a mark that two engines share has no engine.
-func (e *Edge) enginesByMark() map[engineMark]*ferrydiscovery.Upstream {
-	out := map[engineMark]*ferrydiscovery.Upstream{}
+// enginesByHash returns the engines by their hashes; a hash that two engines share maps to nil.
+func (e *Edge) enginesByHash() map[engineHash]*ferrydiscovery.Upstream {
+	out := map[engineHash]*ferrydiscovery.Upstream{}
 	for _, name := range e.services.Layered() {
 		for _, u := range e.upstreams.View().Of(name) {
-			m := markOf(u)
+			m := hashOf(u)
 			if _, taken := out[m]; taken {
 				out[m] = nil
 				continue
--- a/ferryd/ferryedge/configuration.go
+++ b/ferryd/ferryedge/configuration.go
@@ -105,7 +105,7 @@
 // proofInterval returns the time until the next proof.
 func (e *Edge) proofInterval() time.Duration {
 	switch age := e.cfg.Promise.KeyAge; {
-	case e.relay.Reads():
+	case e.relay.ReadsDirectly():
 		return proofRead
 	case age > 0:
 		return time.Duration(float64(age) / proofsPerKeyAge)
--- a/ferryd/ferryedge/placement.go
+++ b/ferryd/ferryedge/placement.go
@@ -144,10 +144,10 @@
 		}
 	}
 	p.mu.Lock()
-	moved := !maps.Equal(down, p.down)
+	changed := !maps.Equal(down, p.down)
 	p.down = down
 	p.mu.Unlock()
-	if moved {
+	if changed {
 		p.update()
 	}
 }
@@ -172,7 +172,7 @@
 		pl := p.placers[s.Name]
 		if pl == nil {
 			pl = ferryplacement.New(ferryplacement.Config{
-				Engines: p.cfg.Engines(p.client), Tenure: p.lease, Clock: p.cfg.Clock, Log: p.cfg.Log,
+				Engines: p.cfg.Engines(p.client), Lease: p.lease, Clock: p.cfg.Clock, Log: p.cfg.Log,
 			})
 			p.placers[s.Name] = pl
 			go pl.Run(p.ctx)
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -12,7 +12,7 @@
 
 const (
 	topicStates ferrypeer.TopicName = "states"
-	// scaledShareInterval is the interval at which an entry checks for news to publish, in a fleet of up to
+	// shareInterval is the interval at which an entry checks for news to publish, in a fleet of up to
 	// smallFleet entries. It grows with the fleet.
 	shareInterval = 100 * time.Millisecond
 	smallFleet    = 16
@@ -63,7 +63,7 @@
 	publishedAt := e.cfg.Clock.Now()
 	for e.pause(ctx, e.scaledShareInterval()) {
 		e.services.SetSpent(e.othersSpent())
-		now := entryState{Spent: e.services.Spent(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.Reached()}
+		now := entryState{Spent: e.services.Spent(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.PlatformReachable()}
 		if !published.differs(now) && (now.quiet() || e.cfg.Clock.Since(publishedAt) < stateTTL/2) {
 			continue
 		}
@@ -108,7 +108,7 @@
 // reaches reports whether an entry's direct calls to the platform succeed, as far as known.
 func (e *Edge) reaches(name ferryid.EntryName) bool {
 	if name == e.cfg.Name {
-		return e.relay.Reached()
+		return e.relay.PlatformReachable()
 	}
 	entry, ok := e.states.Get(string(name))
 	return !ok || !entry.Value.PlatformLost
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -90,10 +90,10 @@
 	assert.Equal(t, len(plausible(list(4, 2))), 2)
 }
 
-func TestMarksIncarnationsAndIntervals(t *testing.T) {
+func TestHashesIncarnationsAndIntervals(t *testing.T) {
 	a := &ferrydiscovery.Upstream{Instance: ferryplatform.Instance{Name: "i-1", Service: "s"}}
 	b := &ferrydiscovery.Upstream{Instance: ferryplatform.Instance{Name: "i-1", Service: "other"}}
-	assert.Assert(t, markOf(a) != markOf(b))
+	assert.Assert(t, hashOf(a) != hashOf(b))
 	id := newIncarnation("entry-1")
 	assert.Equal(t, entryOf(id), ferryid.EntryName("entry-1"))
 	assert.Assert(t, id != newIncarnation("entry-1"))
