--- a/ferry/ferrypeer/link.go
+++ b/ferry/ferrypeer/link.go
@@ -307,8 +307,8 @@
 func (o *Overlay) closeUnwantedLinks() {
 	for _, id := range o.linkIDs() {
 		l := o.links[id]
-		_, mine := o.wanted[l.peer.Name]
-		if mine || l.wantedByPeer {
+		_, wanted := o.wanted[l.peer.Name]
+		if wanted || l.wantedByPeer {
 			l.unwantedSince = time.Time{}
 			continue
 		}
@@ -346,13 +346,13 @@
 	if a != nil && (a.inProgress || o.now.Before(a.nextDial)) {
 		return false
 	}
-	busy := 0
+	dialling := 0
 	for _, a := range o.dials {
 		if a.inProgress {
-			busy++
+			dialling++
 		}
 	}
-	return busy < maxConcurrentDials
+	return dialling < maxConcurrentDials
 }
 
 func (o *Overlay) dial(key string, expect ferryid.EntryName, address string) {
@@ -411,11 +411,11 @@
 		return
 	}
 	o.probes++
-	every := max(minProbeInterval, time.Duration(o.table.liveCount())*time.Second/probesPerSecond)
+	interval := max(minProbeInterval, time.Duration(o.table.liveCount())*time.Second/probesPerSecond)
 	if len(o.links) == 0 {
-		every = seedInterval * time.Duration(min(10, o.probes))
+		interval = seedInterval * time.Duration(min(10, o.probes))
 	}
-	o.nextProbe = o.now.Add(every/2 + o.jitter(every, o.probes))
+	o.nextProbe = o.now.Add(interval/2 + o.jitter(interval, o.probes))
 	targets := o.probeTargets()
 	if d, ok := o.verifyTarget(); ok {
 		targets = []Dial{d}
--- a/ferry/ferrypeer/node.go
+++ b/ferry/ferrypeer/node.go
@@ -252,8 +252,8 @@
 	defer n.wg.Done()
 	for reads := uint64(0); ; reads++ {
 		n.readInstances(ctx)
-		every := listInterval(n.liveCount())
-		wait := every/2 + time.Duration(float64(every)*fraction(uint64(n.cfg.Self.Tag())^reads))
+		interval := listInterval(n.liveCount())
+		wait := interval/2 + time.Duration(float64(interval)*fraction(uint64(n.cfg.Self.Tag())^reads))
 		select {
 		case <-ctx.Done():
 			return
--- a/ferry/ferrypeer/overlay.go
+++ b/ferry/ferrypeer/overlay.go
@@ -242,14 +242,14 @@
 		o.note("PeerState", o.cfg.Self.Name, o.desired.State.String())
 		return
 	}
-	moved := absDiff(t.self.Load.Permille, t.rows[o.cfg.Self.Name].Load.Permille) >= loadStepPermille
-	if o.now.Before(o.nextRefresh) && (!moved || o.now.Before(o.nextLoad)) {
+	loadChanged := absDiff(t.self.Load.Permille, t.rows[o.cfg.Self.Name].Load.Permille) >= loadStepPermille
+	if o.now.Before(o.nextRefresh) && (!loadChanged || o.now.Before(o.nextLoad)) {
 		return
 	}
 	t.announce(false)
 	o.nextRefresh = o.now.Add(refreshInterval/2 + o.jitter(refreshInterval/2, t.self.Beat))
-	every := max(minLoadInterval, time.Duration(t.liveCount())*time.Second/loadsPerSecond)
-	o.nextLoad = o.now.Add(every/2 + o.jitter(every, t.self.Beat))
+	interval := max(minLoadInterval, time.Duration(t.liveCount())*time.Second/loadsPerSecond)
+	o.nextLoad = o.now.Add(interval/2 + o.jitter(interval, t.self.Beat))
 }
 
 // refute refutes a suspicion after a random delay that grows with the number of live members,
@@ -257,8 +257,8 @@
 func (o *Overlay) refute() {
 	t := o.table
 	if o.nextRefute.IsZero() {
-		spread := time.Duration(t.liveCount()) * time.Second / refutesPerSecond
-		o.nextRefute = o.now.Add(o.jitter(min(spread, suspectTimeout/2), t.suspectedBeat))
+		maxDelay := time.Duration(t.liveCount()) * time.Second / refutesPerSecond
+		o.nextRefute = o.now.Add(o.jitter(min(maxDelay, suspectTimeout/2), t.suspectedBeat))
 		return
 	}
 	if o.now.Before(o.nextRefute) {
