--- a/ferry/ferryclaim/bench_test.go
+++ b/ferry/ferryclaim/bench_test.go
@@ -17,7 +17,7 @@
 type journalLoad struct {
 	store   *memStore
 	now     time.Time
-	cores   [][]*slot // by entry, by slot
+	slots   [][]*slot // by entry, by slot
 	serials []Serial
 }
 
@@ -28,7 +28,7 @@
 		for s := range slots {
 			cs = append(cs, newSlot(fmt.Sprintf("%04d", s), ferryid.Incarnation(fmt.Sprintf("7c0a9c1e-1f7c-4d6a-9a53-0000000000%02d", e))))
 		}
-		l.cores = append(l.cores, cs)
+		l.slots = append(l.slots, cs)
 	}
 	return l
 }
@@ -39,7 +39,7 @@
 		if a == nil {
 			return
 		}
-		run := slotRunner{core: c, store: l.store, clock: clockwork.NewFakeClock()}
+		run := slotRunner{slot: c, store: l.store, clock: clockwork.NewFakeClock()}
 		c.complete(l.now, a, run.do(context.Background(), a))
 	}
 }
@@ -52,15 +52,15 @@
 	for w := range writes {
 		for i := range rate / writes {
 			key := DigestOf([]byte(fmt.Sprint(l.now, w, i)))
-			s := int(key[0]) % len(l.cores[0])
-			by := r.IntN(len(l.cores))
+			s := int(key[0]) % len(l.slots[0])
+			by := r.IntN(len(l.slots))
 			l.serials[by]++
 			at := by
 			if owners {
-				at = s % len(l.cores)
+				at = s % len(l.slots)
 			}
-			core := l.cores[at][s]
-			rec := Record{Key: key, Body: key, Ref: Ref{l.cores[by][0].self, l.serials[by]}, State: StateClaimed, Until: l.now.Unix() + 86400}
+			core := l.slots[at][s]
+			rec := Record{Key: key, Body: key, Ref: Ref{l.slots[by][0].self, l.serials[by]}, State: StateClaimed, Until: l.now.Unix() + 86400}
 			core.submit(request{op: opClaim, rec: rec})
 			rec.State, rec.Result = StateFinished, Result{Outcome: ferryoutcome.Ran, Status: 200, Complete: true, Body: []byte(`{"Accepted":true}`)}
 			finish = append(finish, func() { core.submit(request{op: opFinish, rec: rec}) })
@@ -71,7 +71,7 @@
 			}
 			finish = finish[rate/writes:]
 		}
-		for _, cs := range l.cores {
+		for _, cs := range l.slots {
 			for _, c := range cs {
 				l.io(c)
 			}
@@ -128,7 +128,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		_ = cl.Dispatching()
+		_ = cl.MarkDispatched()
 		cl.Finish(b.Context(), Result{Outcome: ferryoutcome.Ran, Status: 204})
 	}
 }
@@ -146,7 +146,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		_ = cl.Dispatching()
+		_ = cl.MarkDispatched()
 		cl.Finish(ctx, Result{Outcome: ferryoutcome.Ran, Status: 204})
 	}
 	cancel()
--- a/ferry/ferryclaim/claims_test.go
+++ b/ferry/ferryclaim/claims_test.go
@@ -88,7 +88,7 @@
 					not.Add(1)
 					return
 				}
-				if cl.Dispatching() == nil {
+				if cl.MarkDispatched() == nil {
 					ran.Add(1)
 					cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 200, Complete: true, Body: []byte("fed")})
 				}
@@ -123,7 +123,7 @@
 		byTicket := Call{Customer: "c", Service: "s", Ticket: tk, Digest: DigestOf([]byte("one"))}
 		cl, err := c.Begin(t.Context(), byTicket)
 		assert.NilError(t, err)
-		assert.NilError(t, cl.Dispatching())
+		assert.NilError(t, cl.MarkDispatched())
 		cl.Finish(t.Context(), Result{Outcome: ferryoutcome.Ran, Status: 204, Complete: true})
 		_, err = c.Begin(t.Context(), byTicket)
 		var rep *Replay
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestHandOverNamesOneHeirOnly(t *testing.T) {
+func TestHandOverAcceptsOneHeirOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestCluster(t, 3)
 		sealed, err := f.claims["i1"].HandOver("i2")
@@ -157,7 +157,7 @@
 		f.platform.SetFaults(ferryplatformtest.Faults{})
 		cl, err := f.claims["i2"].Begin(t.Context(), call("a"))
 		if assert.Check(t, err) {
-			assert.Check(t, cl.Dispatching())
+			assert.Check(t, cl.MarkDispatched())
 		}
 	})
 }
--- a/ferry/ferryclaim/faults_test.go
+++ b/ferry/ferryclaim/faults_test.go
@@ -143,8 +143,8 @@
 		age  int
 		want ferryoutcome.Outcome
 	}{
-		{"never used", 1, ferryoutcome.NotRun},
-		{"forgotten", 2, ferryoutcome.Unknown},
+		{"past its lifetime, never used", 1, ferryoutcome.NotRun},
+		{"past its retention", 2, ferryoutcome.Unknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newSimulation(1)
--- a/ferry/ferryclaim/forward.go
+++ b/ferry/ferryclaim/forward.go
@@ -133,15 +133,15 @@
 // forwardWaiting forwards the waiting requests to the slot's owner and reports whether all were decided.
 // If not, this entry writes them itself.
 func (s *slotRunner) forwardWaiting(ctx context.Context) bool {
-	if s.forwarder == nil || s.core.inFlight != nil || len(s.core.waiting) == 0 {
+	if s.forwarder == nil || s.slot.inFlight != nil || len(s.slot.waiting) == 0 {
 		return false
 	}
 	owner := s.owner()
-	if owner == s.core.self || owner == "" {
+	if owner == s.slot.self || owner == "" {
 		return false
 	}
 	var ws []Write
-	for _, r := range s.core.waiting {
+	for _, r := range s.slot.waiting {
 		if r.forwarded {
 			return false
 		}
@@ -153,10 +153,10 @@
 	defer cancel()
 	ds, err := s.forwarder.Forward(ctx, owner, ws)
 	if err != nil || len(ds) != len(ws) {
-		s.core.markForwarded()
+		s.slot.markForwarded()
 		return false
 	}
-	for _, r := range s.core.takeAll() {
+	for _, r := range s.slot.takeWaiting() {
 		v := verdict(granted{})
 		if r.op != opBarrier {
 			v, ds = ds[0].verdict(), ds[1:]
@@ -174,7 +174,7 @@
 	}
 }
 
-func (s *slot) takeAll() []request {
+func (s *slot) takeWaiting() []request {
 	out := s.waiting
 	s.waiting = nil
 	return out
--- a/ferry/ferryclaim/held.go
+++ b/ferry/ferryclaim/held.go
@@ -17,9 +17,9 @@
 	return cl.ref
 }
 
-// Dispatching must be called just before the first byte is sent.
+// MarkDispatched must be called just before the first byte is sent.
 // It returns a NotRun *ferryoutcome.Problem if the claim is no longer valid.
-func (cl *Claim) Dispatching() error {
+func (cl *Claim) MarkDispatched() error {
 	if cl.c.table.dispatch(cl.ref, cl.c.cfg.Clock.Now()) {
 		return nil
 	}
--- a/ferry/ferryclaim/hour_test.go
+++ b/ferry/ferryclaim/hour_test.go
@@ -90,7 +90,7 @@
 			h.w.finish(c.try)
 		}
 	case c.try.done:
-		return h.answered(c)
+		return h.onAnswered(c)
 	}
 	return false
 }
@@ -102,7 +102,7 @@
 	return h.w.entries[h.r.IntN(len(h.w.entries))]
 }
 
-func (h *hourRun) answered(c *retryingCaller) bool {
+func (h *hourRun) onAnswered(c *retryingCaller) bool {
 	o := outcomeOf(c.try.err)
 	var rep *Replay
 	if !errors.As(c.try.err, &rep) && c.tries < maxCallerTries {
--- a/ferry/ferryclaim/journal.go
+++ b/ferry/ferryclaim/journal.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxObjectBytes   = 1 << 20
-	maxRecords       = 1 << 16
-	maxNameListBytes = 128
+	maxObjectBytes      = 1 << 20
+	maxRecords          = 1 << 16
+	maxSegmentNameBytes = 128
 )
 
 var (
@@ -114,7 +114,7 @@
 		j.records = append(j.records, r)
 	}
 	for _, s := range w.Segments {
-		if s.Name == "" || len(s.Name) > maxNameListBytes {
+		if s.Name == "" || len(s.Name) > maxSegmentNameBytes {
 			return journal{}, fmt.Errorf("decode journal: segment name of %d bytes", len(s.Name))
 		}
 	}
--- a/ferry/ferryclaim/lookup_test.go
+++ b/ferry/ferryclaim/lookup_test.go
@@ -31,7 +31,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].State, "Claimed")
-	assert.NilError(t, claim.Dispatching())
+	assert.NilError(t, claim.MarkDispatched())
 	claim.Finish(ctx, Result{Outcome: ferryoutcome.Ran, Status: 200})
 	flush, done := context.WithTimeout(ctx, 10*time.Second)
 	defer done()
--- a/ferry/ferryclaim/refusal_test.go
+++ b/ferry/ferryclaim/refusal_test.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// A refusal must tell an unavailable platform from an exhausted request budget,
+// A refusal must distinguish an unavailable platform from an exhausted request budget,
 // also when the slot's owner made the platform call and the decision was forwarded.
 func TestRefusalNamesItsCause(t *testing.T) {
 	tests := []struct {
--- a/ferry/ferryclaim/runner.go
+++ b/ferry/ferryclaim/runner.go
@@ -20,7 +20,7 @@
 
 // slotRunner is the only user of one slot's state machine and makes its platform calls one at a time.
 type slotRunner struct {
-	core      *slot
+	slot      *slot
 	index     int
 	owner     func() ferryid.Incarnation
 	forwarder Forwarder
@@ -45,7 +45,7 @@
 		return ownerOf(name, cfg.Live())
 	}
 	return &slotRunner{
-		core: newSlot(name, cfg.Self), index: index, owner: owner, forwarder: cfg.Forwarder, store: cfg.Store, clock: cfg.Clock, window: cfg.Window,
+		slot: newSlot(name, cfg.Self), index: index, owner: owner, forwarder: cfg.Forwarder, store: cfg.Store, clock: cfg.Clock, window: cfg.Window,
 		claims: make(chan request, claimQueueLength), ready: make(chan struct{}, 1),
 	}
 }
@@ -88,13 +88,13 @@
 				continue
 			}
 			now := s.clock.Now()
-			a, out := s.core.next(now)
+			a, out := s.slot.next(now)
 			deliver(out)
 			if a == nil {
 				break
 			}
 			ans := s.do(ctx, a)
-			deliver(s.core.complete(s.clock.Now(), a, ans))
+			deliver(s.slot.complete(s.clock.Now(), a, ans))
 		}
 	}
 }
@@ -110,10 +110,10 @@
 // waitForWork blocks until there is a request or a retry is due; it returns false once the context is done.
 func (s *slotRunner) waitForWork(ctx context.Context) bool {
 	var retry <-chan time.Time
-	if s.core.idle() {
+	if s.slot.idle() {
 		retry = nil
 	} else {
-		retry = s.clock.After(max(0, s.core.notBefore.Sub(s.clock.Now())))
+		retry = s.clock.After(max(0, s.slot.notBefore.Sub(s.clock.Now())))
 	}
 	select {
 	case <-ctx.Done():
@@ -122,7 +122,7 @@
 		return true
 	case <-s.ready:
 	case r := <-s.claims:
-		s.core.submit(r)
+		s.slot.submit(r)
 	}
 	if s.window > 0 {
 		select {
@@ -141,10 +141,10 @@
 	s.unbounded = nil
 	s.mu.Unlock()
 	for _, r := range unbounded {
-		s.core.submit(r)
+		s.slot.submit(r)
 	}
-	for len(s.claims) > 0 && len(s.core.waiting) < maxWaiting {
-		s.core.submit(<-s.claims)
+	for len(s.claims) > 0 && len(s.slot.waiting) < maxWaiting {
+		s.slot.submit(<-s.claims)
 	}
 }
 
@@ -154,11 +154,11 @@
 	defer cancel()
 	switch a := a.(type) {
 	case getTail:
-		ans.object, ans.err = s.store.Get(ctx, ObjectKindSlot, s.core.name)
+		ans.object, ans.err = s.store.Get(ctx, ObjectKindSlot, s.slot.name)
 	case getSegment:
 		ans.object, ans.err = s.store.Get(ctx, ObjectKindSegment, a.ref.Name)
 	case putTail:
-		ans.version, ans.err = s.store.Put(ctx, ObjectKindSlot, s.core.name, a.expected, a.value)
+		ans.version, ans.err = s.store.Put(ctx, ObjectKindSlot, s.slot.name, a.expected, a.value)
 	case putSegment:
 		ans.version, ans.err = s.store.Put(ctx, ObjectKindSegment, a.name, ferryplatform.NoVersion, a.value)
 	case deleteSegment:
--- a/ferry/ferryclaim/table.go
+++ b/ferry/ferryclaim/table.go
@@ -175,6 +175,7 @@
 }
 
 // purge drops finished, revoked and inherited operations after their expiry.
+// A ticket dropped here is refused for its age.
 func (t *table) purge(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/world_test.go
+++ b/ferry/ferryclaim/world_test.go
@@ -285,7 +285,7 @@
 			return len(out) > 0
 		}
 		n.action = a
-		r := slotRunner{core: n.slot, store: w.store, clock: clockwork.NewFakeClock()}
+		r := slotRunner{slot: n.slot, store: w.store, clock: clockwork.NewFakeClock()}
 		n.result = r.do(context.Background(), a)
 		return true
 	}
--- a/ferry/ferrylimit/counter.go
+++ b/ferry/ferrylimit/counter.go
@@ -14,7 +14,7 @@
 type Units float64
 
 const (
-	// burstTime is the time whose allowance may be granted at once.
+	// burstTime sets the burst size of a bucket: the units that its rate yields in this time.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 1
 	// idleRetention is how long an idle customer's bucket is kept; the bucket fills up much sooner.
--- a/ferry/ferrylimit/idle_test.go
+++ b/ferry/ferrylimit/idle_test.go
@@ -26,13 +26,13 @@
 	s, c := newSharesAndCounter(100)
 	now := t0
 	for range 40 {
-		s.Allow(herd, 1, now)
+		s.Allow(testKey, 1, now)
 		now = now.Add(Tick / 2)
 		exchangeAsks(s, c, now)
 	}
-	held := s.shares[herd].balance
+	held := s.shares[testKey].balance
 	assert.Assert(t, held > 0, "balance %v", held)
-	left := c.buckets[herd].tokens
+	left := c.buckets[testKey].tokens
 	back := Units(0)
 	for range 4 {
 		now = now.Add(Tick)
@@ -41,7 +41,7 @@
 		}
 	}
 	assert.Equal(t, back, held)
-	assert.Assert(t, c.buckets[herd].tokens >= min(10, left+back))
+	assert.Assert(t, c.buckets[testKey].tokens >= min(10, left+back))
 	assert.Assert(t, s.Quiet())
 }
 
@@ -62,7 +62,7 @@
 			next := t0
 			for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(Tick) {
 				if !now.Before(next) {
-					ok, _ := s.Allow(herd, 1, now)
+					ok, _ := s.Allow(testKey, 1, now)
 					assert.Assert(t, ok)
 					next = now.Add(tc.every)
 					calls++
@@ -90,7 +90,7 @@
 
 func TestIdleCustomersArePurged(t *testing.T) {
 	s, c := newSharesAndCounter(10)
-	s.Allow(herd, 1, t0)
+	s.Allow(testKey, 1, t0)
 	s.Sweep(t0.Add(idleRetention))
 	assert.Equal(t, len(s.shares), 1, "a share with an overdraft was deleted")
 	exchangeAsks(s, c, t0.Add(Tick))
@@ -107,7 +107,7 @@
 func TestRemovedLimitClearsOverdraft(t *testing.T) {
 	limit := Units(10)
 	s := NewShares(func(Key) Units { return limit })
-	s.Allow(herd, 1, t0)
+	s.Allow(testKey, 1, t0)
 	limit = 0
 	assert.Equal(t, len(s.Asks(t0.Add(Tick))), 0)
 	assert.Assert(t, s.Quiet())
--- a/ferry/ferrylimit/limit_test.go
+++ b/ferry/ferrylimit/limit_test.go
@@ -15,8 +15,8 @@
 const entries = 9
 
 var (
-	herd = Key{"herd-llm", "dobrich"}
-	t0   = time.Unix(1_800_000_000, 0)
+	testKey = Key{"herd-llm", "dobrich"}
+	t0      = time.Unix(1_800_000_000, 0)
 )
 
 // admittedPerSecond offers load that moves to other entries every second and returns what was admitted
@@ -42,7 +42,7 @@
 		}
 		now = now.Add(time.Millisecond)
 		for carry += offered / 1000; carry >= 1; carry-- {
-			if ok, _ := ss[pick(r, weight)].Allow(herd, 1, now); ok {
+			if ok, _ := ss[pick(r, weight)].Allow(testKey, 1, now); ok {
 				out[ms/1000]++
 			}
 		}
@@ -144,6 +144,6 @@
 func BenchmarkAllow(b *testing.B) {
 	s := NewShares(func(Key) Units { return 1000 })
 	for b.Loop() {
-		s.Allow(herd, 1, t0)
+		s.Allow(testKey, 1, t0)
 	}
 }
--- a/ferry/ferrylimit/share.go
+++ b/ferry/ferrylimit/share.go
@@ -8,7 +8,7 @@
 const (
 	// Tick is the interval between an entry's asks.
 	Tick = 50 * time.Millisecond
-	// overdraftTime is the time whose allowance an entry may admit before it is granted.
+	// overdraftTime sets the overdraft of an entry: the units that the rate yields in this time.
 	overdraftTime = 30 * time.Millisecond
 	// maxAskDelay is how long an ask for an overdraft may be delayed while more can be admitted.
 	maxAskDelay = 500 * time.Millisecond
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -15,7 +15,7 @@
 	DefaultMaxWait = 500 * time.Millisecond
 	// maxWaitShare is the same limit for the other classes, as a share of their deadline.
 	maxWaitShare = 0.25
-	// minBacklog is how many items of a class may wait at any predicted wait, so that few slots are kept busy.
+	// minBacklog is how many items of a class may wait at any predicted wait, so that a few slots don't run idle.
 	minBacklog = 2
 	// agingAfter is how long an item of a lower class waits before it takes precedence over higher classes.
 	agingAfter = 2 * time.Second
--- a/ferryd/ferrycaller/claim.go
+++ b/ferryd/ferrycaller/claim.go
@@ -37,7 +37,7 @@
 		if dispatched {
 			return nil
 		}
-		if err := claim.Dispatching(); err != nil {
+		if err := claim.MarkDispatched(); err != nil {
 			return asProblem(err)
 		}
 		dispatched = true
--- a/ferryd/ferrycaller/server_test.go
+++ b/ferryd/ferrycaller/server_test.go
@@ -181,7 +181,7 @@
 		{"two objects", "/v1/completions", keyA, good + good, nil, 400, ferryoutcome.KindBadRequest},
 		{"no prompt", "/v1/completions", keyA, `{"model":"herd-llm"}`, nil, 400, ferryoutcome.KindBadRequest},
 		{"no tokens", "/v1/completions", keyA, `{"model":"herd-llm","prompt":"x","max_tokens":0}`, nil, 400, ferryoutcome.KindBadRequest},
-		{"an image", "/v1/chat/completions", keyA, `{"model":"herd-llm","messages":[{"role":"user","content":[{"type":"image"}]}]}`, nil, 400, ferryoutcome.KindBadRequest},
+		{"image content", "/v1/chat/completions", keyA, `{"model":"herd-llm","messages":[{"role":"user","content":[{"type":"image"}]}]}`, nil, 400, ferryoutcome.KindBadRequest},
 		{"over the service's limit", "/v1/completions", keyA, `{"model":"herd-llm","prompt":"` + strings.Repeat("x", 2100) + `"}`, nil, 413, ferryoutcome.KindTooLarge},
 		{"over any limit", "/v1/completions", keyA, strings.Repeat("x", 5000), nil, 413, ferryoutcome.KindTooLarge},
 		{"over any limit and no key", "/v1/completions", "", strings.Repeat("x", 5000), nil, 401, ferryoutcome.KindUnauthorized},
