--- a/ferry/ferryservice/accepted.go
+++ b/ferry/ferryservice/accepted.go
@@ -12,10 +12,10 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// ObjectKind is the kind under which accepted documents are kept in the object API, one object a service.
+// ObjectKind is the kind of accepted documents in the object API, with one object per service.
 const ObjectKind = "services"
 
-// maxAncestors bounds how many earlier versions an accepted version names.
+// maxAncestors bounds the ancestors listed in an accepted version.
 const maxAncestors = 16
 
 // Ancestor identifies an earlier accepted version of a service document.
@@ -26,7 +26,7 @@
 	Supersedes []string           `json:"Supersedes,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Accepted is one accepted version of a service document, as it is kept and spread.
+// Accepted is an accepted version of a service document, as stored and sent to peers.
 type Accepted struct {
 	Service      ferryid.ServiceName `json:"Service" cbor:"1,keyasint"`
 	Generation   ferryid.Generation  `json:"Generation" cbor:"2,keyasint"`
@@ -35,13 +35,14 @@
 	Operator     string              `json:"Operator" cbor:"5,keyasint"`
 	At           time.Time           `json:"At" cbor:"6,keyasint"`
 	Source       string              `json:"Source" cbor:"7,keyasint"`
-	// Ancestors are the versions before this one, the latest first; the oldest are left out.
+	// Ancestors lists the latest versions before this one, newest first, at most maxAncestors.
 	Ancestors []Ancestor `json:"Ancestors,omitempty" cbor:"8,keyasint,omitempty"`
-	// Supersedes are the hashes of versions of another branch that this one deliberately replaces.
+	// Supersedes lists the hashes of versions on another branch that this one replaces.
 	Supersedes []string `json:"Supersedes,omitempty" cbor:"9,keyasint,omitempty"`
 }
 
-// Hash identifies this accepted version, over its generation, its predecessors and its text.
+// Hash returns the SHA-256 digest that identifies this version. It covers the service, the generation, the
+// hash of the predecessor, the apply id, the text and the superseded hashes.
 func (a Accepted) Hash() string {
 	h := sha256.New()
 	add := func(s string) { fmt.Fprintf(h, "%d:%s", len(s), s) }
@@ -54,12 +55,12 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Ancestor returns how a successor names this version.
+// Ancestor returns the reference to this version for the Ancestors of its successors.
 func (a Accepted) Ancestor() Ancestor {
 	return Ancestor{Generation: a.Generation, Hash: a.Hash(), ApplyID: a.ApplyID, Supersedes: a.Supersedes}
 }
 
-// Successor returns an empty version that follows this one; on the zero value it is the first version.
+// Successor returns the next version without a text; for the zero value it returns the first version.
 func (a Accepted) Successor() Accepted {
 	if a.Generation == 0 {
 		return Accepted{Service: a.Service, Generation: 1}
@@ -74,20 +75,20 @@
 	}
 }
 
-// Descent says how an accepted version relates to an earlier one.
+// Descent is the relation of an accepted version to an earlier one.
 type Descent string
 
-// The results of DescendsFrom.
+// Results of DescendsFrom.
 const (
-	// Descends means that the earlier version is an ancestor, or is superseded on purpose.
+	// Descends means that the earlier version is an ancestor or was superseded.
 	Descends Descent = "Descends"
-	// Diverges means that the version comes from another branch.
+	// Diverges means that the versions are on different branches.
 	Diverges Descent = "Diverges"
-	// Untraced means that the earlier version is too old to be named.
+	// Untraced means that the earlier version is older than the listed ancestors.
 	Untraced Descent = "Untraced"
 )
 
-// DescendsFrom relates this version to one with a lower generation.
+// DescendsFrom returns the relation of this version to one with a lower generation.
 func (a Accepted) DescendsFrom(g ferryid.Generation, hash string) Descent {
 	if a.PreviousHash == hash || slices.Contains(a.Supersedes, hash) {
 		return Descends
@@ -105,7 +106,7 @@
 	return Diverges
 }
 
-// ByApplyID returns the ancestor that was accepted under the apply id.
+// ByApplyID returns the ancestor with the apply id.
 func (a Accepted) ByApplyID(id string) (Ancestor, bool) {
 	i := slices.IndexFunc(a.Ancestors, func(b Ancestor) bool { return b.ApplyID == id })
 	if i < 0 {
@@ -114,12 +115,12 @@
 	return a.Ancestors[i], true
 }
 
-// Document decodes the text.
+// Document returns the decoded text.
 func (a Accepted) Document() (Document, error) {
 	return Decode(string(a.Service), []byte(a.Source))
 }
 
-// DecodeAccepted reads an accepted version and checks it.
+// DecodeAccepted decodes and validates an accepted version.
 func DecodeAccepted(b []byte) (Accepted, error) {
 	a, err := DecodeEnvelope(b)
 	if err != nil {
@@ -128,7 +129,8 @@
 	return a, a.Check()
 }
 
-// DecodeEnvelope reads an accepted version and checks all but its text, which a later release may judge otherwise.
+// DecodeEnvelope decodes an accepted version and validates everything but its text, which may have been
+// accepted by another release with other checks.
 func DecodeEnvelope(b []byte) (Accepted, error) {
 	var a Accepted
 	if err := json.Unmarshal(b, &a); err != nil {
@@ -137,13 +139,13 @@
 	return a, a.checkEnvelope()
 }
 
-// Check returns an error unless the envelope and the document in it are sound.
+// Check returns an error unless the envelope and its document are valid.
 func (a Accepted) Check() error {
 	_, err := a.Checked()
 	return err
 }
 
-// Checked checks the envelope and the text, and returns the decoded document.
+// Checked validates the envelope and the text and returns the decoded document.
 func (a Accepted) Checked() (Document, error) {
 	if err := a.checkEnvelope(); err != nil {
 		return Document{}, err
@@ -165,12 +167,12 @@
 	if len(a.Ancestors) > maxAncestors {
 		return fmt.Errorf("accepted document %q: names %d ancestors, more than %d", a.Service, len(a.Ancestors), maxAncestors)
 	}
-	later := a.Generation
+	next := a.Generation
 	for _, b := range a.Ancestors {
-		if b.Generation == 0 || b.Generation >= later {
-			return fmt.Errorf("accepted document %q: generation %d can't come before %d", a.Service, b.Generation, later)
+		if b.Generation == 0 || b.Generation >= next {
+			return fmt.Errorf("accepted document %q: generation %d can't come before %d", a.Service, b.Generation, next)
 		}
-		later = b.Generation
+		next = b.Generation
 	}
 	if len(a.Ancestors) > 0 && a.Ancestors[0].Hash != a.PreviousHash {
 		return fmt.Errorf("accepted document %q: its first ancestor is not its predecessor", a.Service)
--- a/ferry/ferryservice/class.go
+++ b/ferry/ferryservice/class.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// Class is a range of predicted work with its own deadline and reserved share of the engines' slots.
+// Class is a range of predicted work with its own deadline, priority and reserved share of the engines' slots.
 type Class struct {
 	Name          ferryid.ClassName `toml:"Name" json:"Name"`
 	MaxTokens     ferryid.Tokens    `toml:"MaxTokens" json:"MaxTokens"`
@@ -17,7 +17,7 @@
 	Priority      int               `toml:"Priority" json:"Priority"`
 }
 
-// Classes are the classes of a service, shortest work first; the last has no bound.
+// Classes are the classes of a service by ascending MaxTokens; the last may be unbounded.
 type Classes []Class
 
 func defaultClasses() Classes {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Of returns the class for work of the predicted length.
+// Of returns the class for work of n predicted tokens.
 func (cs Classes) Of(n ferryid.Tokens) Class {
 	for _, cl := range cs {
 		if cl.MaxTokens == 0 || n <= cl.MaxTokens {
--- a/ferry/ferryservice/customer.go
+++ b/ferry/ferryservice/customer.go
@@ -17,7 +17,7 @@
 	maxKeys       = 16
 )
 
-// Customer is one customer of a service, known by the SHA-256 digests of its keys.
+// Customer is a customer of a service, identified by the SHA-256 digests of its API keys.
 type Customer struct {
 	Name              ferryid.CustomerName `toml:"Name" json:"Name"`
 	KeySHA256         []string             `toml:"KeySHA256" json:"KeySHA256"`
@@ -73,13 +73,14 @@
 	}
 }
 
-// isDigest reports whether a key is written the way that a caller's key is hashed.
+// isDigest reports whether k is a SHA-256 digest in lower-case hexadecimal, the form that caller keys are
+// hashed to.
 func isDigest(k string) bool {
 	b, err := hex.DecodeString(k)
 	return err == nil && len(b) == sha256.Size && hex.EncodeToString(b) == k
 }
 
-// CustomerIndex finds customers by the digests of their keys.
+// CustomerIndex maps the digests of keys to customers.
 type CustomerIndex map[[sha256.Size]byte]Customer
 
 // Index returns an index of the customers.
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Customer returns the customer whose key has been given.
+// Customer returns the customer with the given key.
 func (x CustomerIndex) Customer(key string) (Customer, bool) {
 	cu, ok := x[sha256.Sum256([]byte(key))]
 	return cu, ok
--- a/ferry/ferryservice/doc.go
+++ b/ferry/ferryservice/doc.go
@@ -1,2 +1,3 @@
-// Package ferryservice holds the service document: the one description of a service that its owners change.
+// Package ferryservice defines the service document, which describes one service, with its defaults and
+// validation.
 package ferryservice
--- a/ferry/ferryservice/document.go
+++ b/ferry/ferryservice/document.go
@@ -9,10 +9,10 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// Kind says what stands behind a service.
+// Kind is the kind of back end of a service.
 type Kind string
 
-// The kinds of services.
+// Kinds of services.
 const (
 	// KindModel is a model served by pipelines of engines.
 	KindModel Kind = "Model"
@@ -25,7 +25,7 @@
 	Service ferryid.ServiceName `toml:"Service" json:"Service"`
 	Team    string              `toml:"Team" json:"Team"`
 	Kind    Kind                `toml:"Kind" json:"Kind"`
-	// Retired ends the service: new work is refused, and what runs goes on to its end.
+	// Retired ends the service: new work is refused, running work is finished.
 	Retired   bool      `toml:"Retired" json:"Retired,omitempty"`
 	Model     Model     `toml:"Model" json:"Model"`
 	Limits    Limits    `toml:"Limits" json:"Limits"`
@@ -37,18 +37,19 @@
 	Routes    Routes    `toml:"Routes" json:"Routes"`
 }
 
-// Model describes the model of a service of KindModel and the state its engines are wanted in.
+// Model describes the model of a service of KindModel and the desired state of its engines.
 type Model struct {
 	Name           string        `toml:"Name" json:"Name"`
 	Version        string        `toml:"Version" json:"Version"`
 	Adapter        string        `toml:"Adapter" json:"Adapter"`
 	Layers         ferryid.Layer `toml:"Layers" json:"Layers"`
 	EnginesFencing bool          `toml:"EnginesFencing" json:"EnginesFencing"`
-	// LoadLayersPerSecond is how many layers a second all engines together may be ordered to load, 0 for no bound.
+	// LoadLayersPerSecond limits the layers per second that all engines together are ordered to load; 0 means
+	// no limit.
 	LoadLayersPerSecond float64 `toml:"LoadLayersPerSecond" json:"LoadLayersPerSecond,omitempty"`
 }
 
-// Decode reads a service document and returns a *ferrytoml.FaultsError with all its faults.
+// Decode decodes and validates a service document and sets its defaults; an error is a *ferrytoml.FaultsError.
 func Decode(name string, data []byte) (Document, error) {
 	var d Document
 	if err := ferrytoml.Decode(name, data, &d); err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Check records every fault of the document.
+// Check records the faults of the document in c.
 func (d *Document) Check(c *ferrytoml.Check) {
 	checkName(c, "Service", string(d.Service))
 	if d.Team == "" {
@@ -112,7 +113,7 @@
 	}
 }
 
-// Customer returns the customer whose key has been given.
+// Customer returns the customer with the given key, by a linear search that compares digests in constant time.
 func (d *Document) Customer(key string) (Customer, bool) {
 	sum := sha256.Sum256([]byte(key))
 	digest := []byte(hex.EncodeToString(sum[:]))
--- a/ferry/ferryservice/document_test.go
+++ b/ferry/ferryservice/document_test.go
@@ -33,7 +33,7 @@
 
 const head = "Service = \"s\"\nTeam = \"t\"\nKind = \"Plain\"\n"
 
-func TestFaultsOfOneField(t *testing.T) {
+func TestFieldFaults(t *testing.T) {
 	upstream := func(address string) string {
 		return fmt.Sprintf("[[Upstreams]]\nName = \"u\"\nAddress = %q\nFailureDomain = \"d\"\n", address)
 	}
@@ -41,22 +41,22 @@
 		return fmt.Sprintf("[[Customers]]\nName = \"c\"\nKeySHA256 = [%q]\n", key)
 	}
 	tests := []struct{ name, text, want string }{
-		{"sound", upstream("10.0.0.1:80"), ""},
-		{"address by IPv6", upstream("[::1]:80"), ""},
+		{"valid", upstream("10.0.0.1:80"), ""},
+		{"IPv6 address", upstream("[::1]:80"), ""},
 		{"address with port 0", upstream("10.0.0.1:0"), "line 6: Upstreams[0].Address"},
-		{"address of nobody", upstream("0.0.0.0:80"), "line 6: Upstreams[0].Address"},
-		{"address by name", upstream("runner:80"), "line 6: Upstreams[0].Address"},
+		{"unspecified address", upstream("0.0.0.0:80"), "line 6: Upstreams[0].Address"},
+		{"host name as address", upstream("runner:80"), "line 6: Upstreams[0].Address"},
 		{"digest", customer(strings.Repeat("0a", 32)), ""},
-		{"digest in capitals never matches", customer(strings.Repeat("0A", 32)), "line 6: Customers[0].KeySHA256"},
+		{"upper-case digest", customer(strings.Repeat("0A", 32)), "line 6: Customers[0].KeySHA256"},
 		{"short digest", customer("0a"), "line 6: Customers[0].KeySHA256"},
 		{"deadline without a unit", "[Limits]\nDeadline = 60\n", "line 5: Limits.Deadline: must be a string with a unit"},
 		{"deadline too long", "[Limits]\nDeadline = \"25h\"\n", "line 5: Limits.Deadline"},
 		{"negative deadline", "[Limits]\nDeadline = \"-1s\"\n", "line 5: Limits.Deadline"},
 		{"share not a number", "[Limits]\nRetryShare = nan\n", "line 5: Limits.RetryShare"},
-		{"endless share", "[Limits]\nRetryShare = inf\n", "line 5: Limits.RetryShare"},
+		{"infinite share", "[Limits]\nRetryShare = inf\n", "line 5: Limits.RetryShare"},
 		{"class shares not a number", "[[Classes]]\nName = \"c\"\nReservedShare = nan\n", "line 6: Classes[0].ReservedShare"},
 		{"class shares over 1", "[[Classes]]\nName = \"c\"\nMaxTokens = 1\nReservedShare = 0.6\n[[Classes]]\nName = \"e\"\nReservedShare = 0.6\n", "add up to 1.2"},
-		{"pattern that is none", "[[Routes]]\nMethod = \"GET\"\nPath = \"/[\"\n", "line 6: Routes[0].Path"},
+		{"malformed path pattern", "[[Routes]]\nMethod = \"GET\"\nPath = \"/[\"\n", "line 6: Routes[0].Path"},
 		{"too many classes", strings.Repeat("[[Classes]]\n", 17), "Classes: must be at most 16, are 17"},
 		{"too many routes", strings.Repeat("[[Routes]]\n", 1001), "Routes: must be at most 1000"},
 		{"too many upstreams", strings.Repeat("[[Upstreams]]\n", 4001), "Upstreams: must be at most 4000"},
@@ -74,8 +74,8 @@
 	}
 }
 
-func TestIndexFindsEachKey(t *testing.T) {
-	// The digests of "barn" and "parlour".
+func TestCustomerIndex(t *testing.T) {
+	// A customer with two keys, "barn" and "parlour".
 	text := head + `[[Customers]]
 Name = "kravets"
 KeySHA256 = ["` + digest("barn") + `", "` + digest("parlour") + `"]
@@ -106,7 +106,7 @@
 			return
 		}
 		if d.Service == "" || d.Limits.Deadline <= 0 || !(d.Limits.RetryShare >= 0 && d.Limits.RetryShare <= 1) {
-			t.Fatalf("faulty document taken: %+v", d)
+			t.Fatalf("invalid document accepted: %+v", d)
 		}
 	})
 }
@@ -126,7 +126,7 @@
 			return
 		}
 		if a.Generation == 0 || a.Successor().Generation != a.Generation+1 || a.Successor().DescendsFrom(a.Generation, a.Hash()) != ferryservice.Descends {
-			t.Fatalf("faulty version taken: %+v", a)
+			t.Fatalf("invalid version accepted: %+v", a)
 		}
 	})
 }
--- a/ferry/ferryservice/limits.go
+++ b/ferry/ferryservice/limits.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// The defaults and bounds of Limits.
+// Defaults and bounds of Limits.
 const (
 	defaultBodyBytes      = 1 << 20
 	maxBodyBytes          = 64 << 20
@@ -22,19 +22,19 @@
 // Duration is a time.Duration written in TOML and JSON as text such as "1m30s".
 type Duration time.Duration
 
-// MarshalText writes the duration as text.
+// MarshalText returns the duration as text such as "1m30s".
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration such as "1m30s".
+// UnmarshalText parses a duration such as "1m30s".
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// Limits bounds what one call to the service may ask for.
+// Limits holds the limits of calls to a service.
 type Limits struct {
 	BodyBytes      int64    `toml:"BodyBytes" json:"BodyBytes"`
 	Deadline       Duration `toml:"Deadline" json:"Deadline"`
@@ -79,7 +79,8 @@
 	}
 }
 
-// Retention is how long a claimed key is kept: ClaimRetention, but at least twice the deadline, so that no call outlives its claim.
+// Retention returns how long a claimed key is kept: ClaimRetention, but at least twice the deadline, so that
+// no call outlives its claim.
 func (l Limits) Retention() time.Duration {
 	return max(time.Duration(l.ClaimRetention), 2*time.Duration(l.Deadline))
 }
--- a/ferry/ferryservice/limits_test.go
+++ b/ferry/ferryservice/limits_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNoCallOutlivesItsClaim(t *testing.T) {
+func TestRetentionExceedsDeadline(t *testing.T) {
 	tests := []struct {
 		name                      string
 		retention, deadline, want time.Duration
 	}{
-		{"the defaults", defaultClaimRetention, defaultDeadline, defaultClaimRetention},
-		{"as stated", time.Hour, time.Minute, time.Hour},
+		{"defaults", defaultClaimRetention, defaultDeadline, defaultClaimRetention},
+		{"above twice the deadline", time.Hour, time.Minute, time.Hour},
 		{"less than the deadline", 4 * time.Second, time.Minute, 2 * time.Minute},
 		{"less than twice the deadline", 90 * time.Second, time.Minute, 2 * time.Minute},
 	}
--- a/ferry/ferryservice/policy.go
+++ b/ferry/ferryservice/policy.go
@@ -2,13 +2,13 @@
 
 import "cactusferry.dev/ferry/ferrytoml"
 
-// QueuePolicy names the order in which waiting work is served.
+// QueuePolicy is the order in which waiting work is served.
 type QueuePolicy string
 
-// RoutePolicy names the way an upstream or pipeline is chosen.
+// RoutePolicy is the way in which an upstream or pipeline is chosen.
 type RoutePolicy string
 
-// The policies; Fifo and Random are the baselines that the others are measured against.
+// Policies; Fifo and Random are baselines for measurements.
 const (
 	QueueFair   QueuePolicy = "Fair"
 	QueueFifo   QueuePolicy = "Fifo"
@@ -20,7 +20,8 @@
 type Policy struct {
 	Queue QueuePolicy `toml:"Queue" json:"Queue"`
 	Route RoutePolicy `toml:"Route" json:"Route"`
-	// ExcessShare is the part of the slots that work beyond customers' shares may hold, more than 0 to 1.
+	// ExcessShare is the fraction of the slots that work beyond customers' shares may occupy, above 0 and up
+	// to 1.
 	ExcessShare float64 `toml:"ExcessShare" json:"ExcessShare"`
 }
 
--- a/ferry/ferryservice/route.go
+++ b/ferry/ferryservice/route.go
@@ -15,14 +15,14 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// Route says whether calls of one method to the paths that match a pattern may be repeated.
+// Route sets whether calls of one method to paths that match a pattern may be retried.
 type Route struct {
 	Method     string `toml:"Method" json:"Method"`
 	Path       string `toml:"Path" json:"Path"`
 	Idempotent bool   `toml:"Idempotent" json:"Idempotent"`
 }
 
-// Routes are the routes of a plain service; the first that matches decides.
+// Routes are the routes of a plain service; the first match applies.
 type Routes []Route
 
 const maxRoutes = 1000
@@ -46,7 +46,7 @@
 	}
 }
 
-// Idempotent reports whether a call may be repeated; without a matching route GET, HEAD and OPTIONS may.
+// Idempotent reports whether a call may be retried; without a matching route GET, HEAD and OPTIONS may.
 func (rs Routes) Idempotent(method, p string) bool {
 	for _, r := range rs {
 		if ok, _ := path.Match(r.Path, p); ok && r.Method == method {
--- a/ferry/ferryservice/upstream.go
+++ b/ferry/ferryservice/upstream.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// The bounds of the lists of upstreams and pipelines.
+// Bounds of upstreams and pipelines.
 const (
 	maxUpstreams = 4000
 	maxPipelines = 1000
@@ -17,10 +17,10 @@
 	maxRate      = 1e9
 )
 
-// DefaultSlots is how many calls an upstream is taken to run at once whose document states no slots.
+// DefaultSlots is the number of concurrent calls assumed for an upstream without Slots in its document.
 const DefaultSlots = 64
 
-// Upstream is one engine or plain back end of a service.
+// Upstream is an engine or plain back end of a service.
 type Upstream struct {
 	Name            ferryid.UpstreamName    `toml:"Name" json:"Name"`
 	Address         string                  `toml:"Address" json:"Address"`
@@ -69,13 +69,13 @@
 	}
 }
 
-// isAddress reports whether a connection can be opened to the address as it is written.
+// isAddress reports whether s is an IP address and port that a connection can be opened to.
 func isAddress(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified() && !a.Addr().IsMulticast()
 }
 
-// ByName returns the upstream of that name.
+// ByName returns the upstream with the name.
 func (us Upstreams) ByName(name ferryid.UpstreamName) (Upstream, bool) {
 	for _, u := range us {
 		if u.Name == name {
@@ -85,7 +85,7 @@
 	return Upstream{}, false
 }
 
-// Pipeline is a fixed sequence of upstreams; a document without any leaves the choice to the router.
+// Pipeline is a fixed sequence of upstreams; without any in the document, the planner chooses the sequence.
 type Pipeline struct {
 	Name   string                 `toml:"Name" json:"Name"`
 	Stages []ferryid.UpstreamName `toml:"Stages" json:"Stages"`
