--- a/ferry/ferrytoml/doc.go
+++ b/ferry/ferrytoml/doc.go
@@ -1,2 +1,3 @@
-// Package ferrytoml decodes TOML strictly and reports every fault of a file at once, with its line and field.
+// Package ferrytoml decodes TOML strictly and reports all faults of a file at once, with their lines and
+// fields.
 package ferrytoml
--- a/ferry/ferrytoml/layout.go
+++ b/ferry/ferrytoml/layout.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxKeyParts and maxKeyBytes bound dotted keys, whose paths would otherwise take quadratic memory.
+	// maxKeyParts and maxKeyBytes bound dotted keys; the memory for their paths is quadratic in the number of
+	// parts.
 	maxKeyParts = 16
 	maxKeyBytes = 256
 )
 
-// layout says where the fields of a file stand.
+// layout maps the fields of a file to lines and back.
 type layout struct {
 	lines  map[string]int
 	fields map[int]string
-	// starts are the first lines of the expressions in order, and values says which of them are key and value.
-	starts []int
-	values map[int]bool
-	// order has the fields as they stand in the file.
+	// exprLines holds the first lines of all expressions in order, valueLines those of key-value pairs.
+	exprLines  []int
+	valueLines map[int]bool
+	// order lists the fields in file order.
 	order []field
 }
 
@@ -33,7 +34,7 @@
 	number bool
 }
 
-// line finds the line of the field, or of the nearest parent that is in the file.
+// line returns the line of the field or of its nearest parent in the file, and 1 if there is none.
 func (l layout) line(field string) int {
 	for field != "" {
 		if n, ok := l.lines[field]; ok {
@@ -56,7 +57,7 @@
 	return ok
 }
 
-// field names what stands on a line, with the indexes that the key alone lacks.
+// field returns the path of the field on a line, which unlike the key includes array indexes.
 func (l layout) field(line int, key []string) string {
 	f, ok := l.fields[line]
 	if ok && (len(key) == 0 || strings.HasSuffix(f, key[len(key)-1])) {
@@ -66,19 +67,19 @@
 	return name[:min(len(name), maxKeyBytes)]
 }
 
-// value returns the lines [from, to) of the key and value that cover a line.
+// value returns the lines [from, to) of the key-value pair that covers a line.
 func (l layout) value(line, last int) (from, to int, ok bool) {
-	i, found := slices.BinarySearch(l.starts, line)
+	i, found := slices.BinarySearch(l.exprLines, line)
 	if !found {
 		i--
 	}
-	if i < 0 || !l.values[l.starts[i]] {
+	if i < 0 || !l.valueLines[l.exprLines[i]] {
 		return 0, 0, false
 	}
-	if i+1 < len(l.starts) {
-		return l.starts[i], l.starts[i+1], true
+	if i+1 < len(l.exprLines) {
+		return l.exprLines[i], l.exprLines[i+1], true
 	}
-	return l.starts[i], last + 1, true
+	return l.exprLines[i], last + 1, true
 }
 
 // scanner builds a layout in one pass.
@@ -87,20 +88,20 @@
 	data   []byte
 	prefix string
 	counts map[string]int
-	// offset and at are the last position whose line was counted.
-	offset int
-	at     int
-	report func(Fault)
+	// lastOffset is the last byte offset whose line was computed, lastLine that line.
+	lastOffset int
+	lastLine   int
+	report     func(Fault)
 }
 
-// scan finds where each field stands, and reports false after a key that is too long to go on.
+// scan returns the layout of a file; it returns false if it stopped at a key or value that exceeds a limit.
 func scan(data []byte, report func(Fault)) (layout, bool) {
 	s := &scanner{
-		layout: layout{lines: map[string]int{}, fields: map[int]string{}, values: map[int]bool{}},
-		data:   data,
-		counts: map[string]int{},
-		at:     1,
-		report: report,
+		layout:   layout{lines: map[string]int{}, fields: map[int]string{}, valueLines: map[int]bool{}},
+		data:     data,
+		counts:   map[string]int{},
+		lastLine: 1,
+		report:   report,
 	}
 	var p unstable.Parser
 	p.Reset(data)
@@ -121,7 +122,7 @@
 	if len(key) == 0 {
 		return true
 	}
-	s.starts = append(s.starts, line)
+	s.exprLines = append(s.exprLines, line)
 	switch e.Kind {
 	case unstable.Table:
 		s.prefix = s.resolve(key)
@@ -129,7 +130,7 @@
 	case unstable.ArrayTable:
 		s.arrayTable(key, line)
 	case unstable.KeyValue:
-		s.values[line] = true
+		s.valueLines[line] = true
 		return s.keyValue(s.join(s.prefix, strings.Join(key, ".")), line, e.Value(), 0)
 	}
 	return true
@@ -145,7 +146,7 @@
 	s.set(s.prefix, line, false)
 }
 
-// keyValue records a key, and those in inline tables under it.
+// keyValue records a key and the keys of inline tables in its value.
 func (s *scanner) keyValue(path string, line int, value *unstable.Node, depth int) bool {
 	s.set(path, line, value.Kind == unstable.Integer || value.Kind == unstable.Float)
 	if depth > maxKeyParts {
@@ -162,7 +163,7 @@
 			if n.Kind != unstable.InlineTable && n.Kind != unstable.Array {
 				continue
 			}
-			if !s.keyValue(fmt.Sprintf("%s[%d]", path, i), s.first(n, line), n, depth+1) {
+			if !s.keyValue(fmt.Sprintf("%s[%d]", path, i), s.firstKeyLine(n, line), n, depth+1) {
 				return false
 			}
 		}
@@ -184,8 +185,8 @@
 	return true
 }
 
-// first returns the line of an inline table's first key, and otherwise that of its parent.
-func (s *scanner) first(n *unstable.Node, line int) int {
+// firstKeyLine returns the line of an inline table's first key, or the given line if there is none.
+func (s *scanner) firstKeyLine(n *unstable.Node, line int) int {
 	if n.Kind != unstable.InlineTable {
 		return line
 	}
@@ -214,7 +215,7 @@
 	return prefix + "." + path
 }
 
-// resolve writes a table's path with the index of the latest element of each array on the way.
+// resolve returns the path of a table, with the index of the latest element of each array in it.
 func (s *scanner) resolve(key []string) string {
 	path := ""
 	for _, k := range key {
@@ -226,10 +227,10 @@
 	return path
 }
 
-// key returns the parts of a key and its line, and false if it is too long.
+// key returns the parts of a key and its line, and false if the key is too long.
 func (s *scanner) key(e *unstable.Node) ([]string, int, bool) {
 	var key []string
-	line, size := s.at, 0
+	line, size := s.lastLine, 0
 	for it := e.Key(); it.Next(); {
 		n := it.Node()
 		if len(key) == 0 {
@@ -244,7 +245,8 @@
 	return key, line, true
 }
 
-// pathPart writes a part of a key so that it can't be taken for a path; no field has a question mark in its name.
+// pathPart returns a part of a key with the separators of paths replaced by question marks, so that a quoted
+// key is not taken for a path. No field has a question mark in its name.
 func pathPart(b []byte) string {
 	return strings.Map(func(r rune) rune {
 		if r == '.' || r == '[' || r == ']' {
@@ -254,12 +256,12 @@
 	}, string(b))
 }
 
-// lineAt counts lines on from the last position.
+// lineAt returns the line of an offset, counted from the last computed one.
 func (s *scanner) lineAt(offset int) int {
-	if offset > s.offset {
-		s.at += bytes.Count(s.data[s.offset:offset], []byte("\n"))
-		s.offset = offset
-		return s.at
+	if offset > s.lastOffset {
+		s.lastLine += bytes.Count(s.data[s.lastOffset:offset], []byte("\n"))
+		s.lastOffset = offset
+		return s.lastLine
 	}
-	return s.at - bytes.Count(s.data[offset:s.offset], []byte("\n"))
+	return s.lastLine - bytes.Count(s.data[offset:s.lastOffset], []byte("\n"))
 }
--- a/ferry/ferrytoml/strict.go
+++ b/ferry/ferrytoml/strict.go
@@ -10,13 +10,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxAttempts bounds how often one file is decoded to find all values of a wrong type.
+// maxAttempts bounds the decoding attempts for one file; each attempt finds one value of a wrong type.
 const maxAttempts = 32
 
 var wrongTypeRE = regexp.MustCompile(`^cannot decode TOML (\S+) into .* of type (\S+)$`)
 
-// decodeStrict decodes again and again, blanking each value of a wrong type, so that one call finds them all.
-// It reports whether v holds all the rest, so that v can check itself.
+// decodeStrict decodes repeatedly and blanks each value of a wrong type, so that one call finds all of them.
+// It returns true if v holds all other values, so that v can be validated.
 func (c *Check) decodeStrict(lines [][]byte, v any) bool {
 	target := reflect.ValueOf(v).Elem()
 	defaults := reflect.New(target.Type()).Elem()
@@ -27,27 +27,27 @@
 		if err == nil {
 			return true
 		}
-		if !c.wrong(err, lines) {
+		if !c.recordError(err, lines) {
 			return false
 		}
 	}
 	return false
 }
 
-// wrong records a fault and blanks the value that has it; it reports false if the file can't be read on.
-func (c *Check) wrong(err error, lines [][]byte) bool {
-	var bad *toml.DecodeError
-	if !errors.As(err, &bad) {
+// recordError records a decoding error and blanks the value at fault; it returns false if that is not possible.
+func (c *Check) recordError(err error, lines [][]byte) bool {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		c.add(Fault{Line: 1, Text: err.Error()})
 		return false
 	}
-	row, _ := bad.Position()
-	field := c.layout.field(row, bad.Key())
-	c.add(Fault{Line: row, Field: field, Text: c.plain(bad.Error(), field)})
-	return len(bad.Key()) > 0 && c.blank(row, lines)
+	row, _ := decodeErr.Position()
+	field := c.layout.field(row, decodeErr.Key())
+	c.add(Fault{Line: row, Field: field, Text: c.plainMessage(decodeErr.Error(), field)})
+	return len(decodeErr.Key()) > 0 && c.blank(row, lines)
 }
 
-// blank blanks the key and value that cover a line, and reports false if there are none.
+// blank blanks the lines of the key-value pair that covers a line; it returns false if there is none.
 func (c *Check) blank(row int, lines [][]byte) bool {
 	from, to, ok := c.layout.value(row, len(lines))
 	if !ok {
@@ -55,13 +55,13 @@
 	}
 	for i := from; i < to; i++ {
 		lines[i-1] = nil
-		c.blanked[i] = true
+		c.blankedLines[i] = true
 	}
 	return true
 }
 
-// plain rewrites the library's messages without the names of our types.
-func (c *Check) plain(text, field string) string {
+// plainMessage returns a message of the library without the names of Go types.
+func (c *Check) plainMessage(text, field string) string {
 	text = strings.TrimPrefix(text, "toml: ")
 	m := wrongTypeRE.FindStringSubmatch(text)
 	if m == nil {
@@ -70,13 +70,13 @@
 	return "must be " + c.kindName(m[2], field) + ", is of TOML type " + m[1]
 }
 
-// kindName names the type of a field the way a reader of the file knows it.
+// kindName returns a description of a field's type for fault texts.
 func (c *Check) kindName(goType, field string) string {
 	t, ok := c.types.typeAt(c.root, field)
 	if strings.HasPrefix(goType, "[]") || !ok || t == nil {
 		return "an array"
 	}
-	switch kind := element(t).Kind(); kind {
+	switch kind := elementType(t).Kind(); kind {
 	case reflect.String:
 		return "a string"
 	case reflect.Bool:
--- a/ferry/ferrytoml/toml.go
+++ b/ferry/ferrytoml/toml.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxFaults bounds how many faults one decoding reports.
+	// maxFaults bounds the faults reported for one file.
 	maxFaults = 100
-	// maxBytes bounds the size of a file.
+	// maxBytes is the maximum size of a file.
 	maxBytes = 1 << 20
 )
 
-// Fault is one thing wrong with a file.
+// Fault is a fault of a file, with the line and field where it is.
 type Fault struct {
 	Line  int    `json:"Line"`
 	Field string `json:"Field"`
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Field, f.Text)
 }
 
-// FaultsError lists everything that is wrong with one file.
+// FaultsError lists the faults of one file.
 type FaultsError struct {
 	Name   string
 	Faults []Fault
@@ -45,25 +45,25 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is implemented by types that check themselves after decoding.
+// Checker is implemented by types that validate themselves after decoding.
 type Checker interface {
 	Check(c *Check)
 }
 
-// Check collects the faults that a type finds in itself.
+// Check collects the faults of one file.
 type Check struct {
 	root   reflect.Type
 	types  fieldTypes
 	layout layout
 	faults []Fault
-	// blanked are the lines that could not be decoded, where a type's own check would only repeat that.
-	blanked map[int]bool
+	// blankedLines holds the lines that could not be decoded; further faults of their fields are not recorded.
+	blankedLines map[int]bool
 }
 
-// Fault records a fault of the field, such as "Upstreams[1].Address".
+// Fault records a fault of a field, given by its path such as "Upstreams[1].Address".
 func (c *Check) Fault(field, format string, args ...any) {
 	line := c.layout.line(field)
-	if c.blanked[line] && c.layout.has(field) {
+	if c.blankedLines[line] && c.layout.has(field) {
 		return
 	}
 	c.add(Fault{Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
@@ -75,7 +75,8 @@
 	}
 }
 
-// Decode reads TOML into v and returns a *FaultsError with every fault found, at most 100; a file has at most 1 MiB.
+// Decode decodes TOML into v and validates v. An error is a *FaultsError with up to 100 faults; a file has at
+// most 1 MiB.
 func Decode(name string, data []byte, v Checker) error {
 	c := newCheck(v)
 	if c.decode(data, v) {
@@ -84,14 +85,15 @@
 	return c.err(name)
 }
 
-// Read reads TOML into v without its own check and returns a *FaultsError with every fault found.
+// Read decodes TOML into v without validating v. An error is a *FaultsError.
 func Read(name string, data []byte, v any) error {
 	c := newCheck(v)
 	c.decode(data, v)
 	return c.err(name)
 }
 
-// Validate checks a value that was read from the data before and may have been changed since; faults lie at the data's lines.
+// Validate validates a value that was read from the data before and may have been changed since. Faults have
+// the lines of the data.
 func Validate(name string, data []byte, v Checker) error {
 	c := newCheck(v)
 	c.layout, _ = scan(data, func(Fault) {})
@@ -99,7 +101,7 @@
 	return c.err(name)
 }
 
-// Join returns one *FaultsError with the faults of both errors, of a line the first one's only.
+// Join merges two *FaultsError; for a line with faults in both, those of the first are kept.
 func Join(first, second error) error {
 	var a, b *FaultsError
 	if !errors.As(first, &a) || !errors.As(second, &b) {
@@ -116,7 +118,7 @@
 }
 
 func newCheck(v any) *Check {
-	return &Check{root: reflect.TypeOf(v).Elem(), types: fieldTypes{}, blanked: map[int]bool{}}
+	return &Check{root: reflect.TypeOf(v).Elem(), types: fieldTypes{}, blankedLines: map[int]bool{}}
 }
 
 func (c *Check) err(name string) error {
@@ -127,7 +129,7 @@
 	return &FaultsError{Name: name, Faults: c.faults}
 }
 
-// decode reports whether a check of the value itself makes sense.
+// decode decodes data into v; it returns true if v is complete enough to be validated.
 func (c *Check) decode(data []byte, v any) bool {
 	if len(data) > maxBytes {
 		c.add(Fault{Line: 1, Text: fmt.Sprintf("has %d bytes, more than %d", len(data), maxBytes)})
@@ -142,6 +144,6 @@
 	for _, line := range c.checkTypes() {
 		c.blank(line, lines)
 	}
-	// With that many unknown fields the decoder takes quadratic time for what would not be shown.
+	// Decoding takes quadratic time with many unknown fields, and its faults would not be reported any more.
 	return len(c.faults) < maxFaults && c.decodeStrict(lines, v)
 }
--- a/ferry/ferrytoml/toml_test.go
+++ b/ferry/ferrytoml/toml_test.go
@@ -55,7 +55,7 @@
 
 func TestFaults(t *testing.T) {
 	tests := []struct{ name, text string }{
-		{"sound", "Name = \"a\"\nShare = 0.5\nWait = \"1m\"\n[[Rows]]\nName = \"r\"\n"},
+		{"valid", "Name = \"a\"\nShare = 0.5\nWait = \"1m\"\n[[Rows]]\nName = \"r\"\n"},
 		{"wrong types on several lines", "Name = 3\nCount = \"x\"\nTags = [\n 1,\n 2,\n]\nOn = 1\nShare = 2\n[[Rows]]\nSlots = -1\n[[Rows]]\nSlots = \"q\"\nName = 4\n"},
 		{"unknown fields beside wrong values", "Nam = \"a\"\nShare = nan\n[[Rows]]\nSlot = 1\nSlots = -1\n[Tabel]\nx = 1\n"},
 		{"numbers not in range", "Name = \"a\"\nCount = 70000\nShare = inf\n"},
@@ -65,7 +65,7 @@
 		{"inline tables", "Name = \"a\"\nRows = [\n {Name = \"r\"},\n {Name = \"s\",\n  Slots = -1},\n]\n"},
 		{"same key twice", "Name = \"a\"\nName = \"b\"\n"},
 		{"same table twice", "Name = \"a\"\n[Table]\n[Table]\n"},
-		{"no value", "Name = \n"},
+		{"missing value", "Name = \n"},
 		{"array without end", "Name = \"a\"\nTags = [\n"},
 		{"string without end", "Name = \"\"\"a\n"},
 		{"not UTF-8", "Name = \"\xff\"\n"},
@@ -83,21 +83,21 @@
 	golden.Assert(t, out.String(), "faults.golden")
 }
 
-func TestDefaultsSurviveAWrongValue(t *testing.T) {
+func TestDefaultsKeptAfterWrongType(t *testing.T) {
 	f := file{Count: 7, Rows: []row{{Name: "kept"}}}
 	assert.ErrorContains(t, ferrytoml.Decode("f.toml", []byte("Name = 3\nOn = 4\nShare = 0.5\n"), &f), "line 2: On")
 	assert.Equal(t, f.Count, uint16(7))
 	assert.Equal(t, len(f.Rows), 1)
 }
 
-func TestFaultsAreBounded(t *testing.T) {
+func TestFaultsAreLimited(t *testing.T) {
 	var f file
 	err := ferrytoml.Decode("f.toml", []byte("Name = \"a\"\n"+strings.Repeat("[[Rows]]\nSlots = -1\n", 5000)), &f)
 	assert.Equal(t, strings.Count(err.Error(), "\n"), 99)
 }
 
-// hostile are files that are small and ask for much.
-func hostile() map[string]string {
+// hostileFiles returns small files that would take much memory or time without limits.
+func hostileFiles() map[string]string {
 	keys := strings.Builder{}
 	for i := range 20000 {
 		fmt.Fprintf(&keys, "k%d = 1\n", i)
@@ -120,7 +120,7 @@
 
 func TestHostileFilesTakeBoundedMemory(t *testing.T) {
 	const maxAlloc = 1 << 30
-	for name, data := range hostile() {
+	for name, data := range hostileFiles() {
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -141,7 +141,7 @@
 		var v file
 		err := ferrytoml.Decode("f.toml", b, &v)
 		if err == nil && (v.Name == "" || math.IsNaN(v.Share)) {
-			t.Fatal("faulty file taken")
+			t.Fatal("invalid file accepted")
 		}
 	})
 }
--- a/ferry/ferrytoml/types.go
+++ b/ferry/ferrytoml/types.go
@@ -8,8 +8,9 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// checkTypes faults fields that the type does not have, and numbers given to types that read text, which the decoder
-// would take in the type's smallest unit. It returns the lines of the latter.
+// checkTypes records faults for unknown fields, and for bare numbers in fields of types that unmarshal text.
+// The decoder would take such a number in the smallest unit of the type, such as nanoseconds. It returns the
+// lines of the numbers.
 func (c *Check) checkTypes() []int {
 	var blank []int
 	unknown := ""
@@ -30,11 +31,12 @@
 	return blank
 }
 
-// typeAt finds the type of a field by its path; the type is nil where the file may have anything.
+// typeAt returns the type of the field at a path, nil if any type is valid there, and false for an unknown
+// field.
 func (m fieldTypes) typeAt(t reflect.Type, path string) (reflect.Type, bool) {
 	for part := range strings.SplitSeq(path, ".") {
 		name, _, _ := strings.Cut(part, "[")
-		t = element(t)
+		t = elementType(t)
 		switch t.Kind() {
 		case reflect.Interface:
 			return nil, true
@@ -43,7 +45,7 @@
 			continue
 		case reflect.Struct:
 		default:
-			// A value of a wrong type, which the decoder reports.
+			// The decoder reports the wrong type.
 			return nil, true
 		}
 		next, ok := m.of(t)[name]
@@ -55,15 +57,15 @@
 	return t, true
 }
 
-// element is the type of the elements of arrays and behind pointers.
-func element(t reflect.Type) reflect.Type {
+// elementType returns the type of the elements of slices and arrays and the target of pointers.
+func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Slice || t.Kind() == reflect.Pointer || t.Kind() == reflect.Array {
 		t = t.Elem()
 	}
 	return t
 }
 
-// fieldTypes are the fields of struct types by their names in files.
+// fieldTypes caches the types of struct fields by their TOML names.
 type fieldTypes map[reflect.Type]map[string]reflect.Type
 
 func (m fieldTypes) of(t reflect.Type) map[string]reflect.Type {
