--- a/ferry/ferryengine/client.go
+++ b/ferry/ferryengine/client.go
@@ -21,50 +21,52 @@
 )
 
 const (
-	defaultIdleTimeout = 1500 * time.Millisecond
-	stageAllowance     = 500 * time.Millisecond
-	maxProblemBytes    = 64 << 10
-	maxReportBytes     = 4 << 20
+	defaultIdleTimeout  = 1500 * time.Millisecond
+	idleTimeoutPerStage = 500 * time.Millisecond
+	maxProblemBytes     = 64 << 10
+	maxReportBytes      = 4 << 20
 )
 
-// ClientConfig sets up a Client; zero values choose the defaults.
+// ClientConfig configures a Client; zero values select the defaults.
 type ClientConfig struct {
-	// HTTP sends the calls; without a transport of NewTransport a failed call counts as written from the moment it has a connection.
+	// HTTP sends the calls. Without a transport from NewTransport, a failed call counts as written once it has
+	// a connection.
 	HTTP *http.Client
-	// Clock measures the progress deadlines.
+	// Clock is the clock for the idle timeout.
 	Clock clockwork.Clock
-	// IdleTimeout is how long a connection may make no progress before it is closed.
+	// IdleTimeout is the time without progress after which a connection is closed.
 	IdleTimeout time.Duration
 }
 
-// Client calls engines.
+// Client calls the HTTP interface of engines.
 type Client struct {
-	http  *http.Client
-	clock clockwork.Clock
-	idle  time.Duration
+	http        *http.Client
+	clock       clockwork.Clock
+	idleTimeout time.Duration
 }
 
-// New returns a client.
+// New returns a Client.
 func New(cfg ClientConfig) *Client {
-	c := &Client{http: cfg.HTTP, clock: cfg.Clock, idle: cfg.IdleTimeout}
+	c := &Client{http: cfg.HTTP, clock: cfg.Clock, idleTimeout: cfg.IdleTimeout}
 	if c.http == nil {
 		c.http = &http.Client{Transport: NewTransport(nil)}
 	}
 	if c.clock == nil {
 		c.clock = clockwork.NewRealClock()
 	}
-	if c.idle <= 0 {
-		c.idle = defaultIdleTimeout
+	if c.idleTimeout <= 0 {
+		c.idleTimeout = defaultIdleTimeout
 	}
 	return c
 }
 
-// Run starts an epoch of a stream on its first stage; an error is a *RefusedError or a *DispatchError.
+// Run starts an epoch of a stream on its first stage. The error is a *RefusedError or a *DispatchError.
 func (c *Client) Run(ctx context.Context, req RunRequest) (Stream, error) {
 	return c.Forward(ctx, req, nil)
 }
 
-// Forward is Run from one stage to the next: the body goes on after the request's line with activations, which are closed when the connection ends.
+// Forward is Run for a stage that forwards to the next one. The request body continues with activations after
+// the request's line; activations is closed when the connection ends.
 func (c *Client) Forward(ctx context.Context, req RunRequest, activations io.ReadCloser) (Stream, error) {
 	if err := req.Check(); err != nil {
 		return nil, &DispatchError{Upstream: "", Phase: ferryoutcome.PhaseNotConnected, Err: err}
@@ -77,43 +79,43 @@
 	if activations != nil {
 		body = io.MultiReader(body, activations)
 	}
-	idle := c.idle + time.Duration(len(req.Stages)-1)*stageAllowance
-	cl := c.begin(ctx, req.Stages[0].Address, idle)
+	idle := c.idleTimeout + time.Duration(len(req.Stages)-1)*idleTimeoutPerStage
+	cl := c.newCall(ctx, req.Stages[0].Address, idle)
 	if activations != nil {
-		// The transport waits for its write of the request even when the connection is gone.
+		// The transport waits for the write of the request body to end, even after the connection is closed.
 		cl.onClose = func() { _ = activations.Close() }
 		context.AfterFunc(cl.ctx, cl.onClose)
 	}
 	resp, err := cl.send(http.MethodPost, "/v1/stages/run", body)
 	if err != nil {
-		cl.end()
+		cl.finish()
 		return nil, err
 	}
 	return &runStream{call: cl, body: resp.Body, lines: NewItemReader(resp.Body)}, nil
 }
 
-// Cancel stops a stream's work of the epoch and older ones and reports whether any of it ran there.
+// Cancel cancels a stream's work in the epoch and earlier ones, and returns whether the engine ran any of it.
 func (c *Client) Cancel(ctx context.Context, address string, stream ferryid.StreamID, epoch ferryid.Epoch) (CancelResult, error) {
 	var out CancelResult
 	err := c.call(ctx, address, http.MethodPost, "/v1/streams/"+url.PathEscape(string(stream))+"/cancel", CancelRequest{Epoch: epoch}, &out, maxReportBytes)
 	return out, err
 }
 
-// Load reads an engine's load report.
+// Load returns the load report of an engine.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var out Load
 	err := c.call(ctx, address, http.MethodGet, "/v1/load", nil, &out, maxReportBytes)
 	return out, err
 }
 
-// ExportKV reads the KV cache of a stream or returns a *NotFoundError.
+// ExportKV returns the KV cache of a stream, or a *NotFoundError.
 func (c *Client) ExportKV(ctx context.Context, address string, stream ferryid.StreamID) (KV, error) {
 	var out KV
 	err := c.call(ctx, address, http.MethodGet, "/v1/kv/"+url.PathEscape(string(stream)), nil, &out, maxKVBytes)
 	return out, err
 }
 
-// ImportKV gives an engine the KV cache of a stream.
+// ImportKV sends the KV cache of a stream to an engine.
 func (c *Client) ImportKV(ctx context.Context, address string, kv KV) error {
 	if err := kv.Check(); err != nil {
 		return err
@@ -121,7 +123,8 @@
 	return c.call(ctx, address, http.MethodPut, "/v1/kv/"+url.PathEscape(string(kv.Stream)), kv, nil, maxReportBytes)
 }
 
-// Order sets an engine's target state; a *FenceError says that a newer holder has ordered since.
+// Order sets the target state of an engine. It returns a *FenceError if the engine has seen an order with a
+// higher fencing number.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	if err := o.Check(); err != nil {
 		return err
@@ -129,16 +132,16 @@
 	return c.call(ctx, address, http.MethodPost, "/v1/orders", o, nil, maxReportBytes)
 }
 
-// CacheEvents reads the cache events after a sequence number.
+// CacheEvents returns the cache events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (CacheEvents, error) {
 	var out CacheEvents
 	err := c.call(ctx, address, http.MethodGet, "/v1/cache-events?after="+strconv.FormatUint(after, 10), nil, &out, maxReportBytes)
 	return out, err
 }
 
-type checked interface{ Check() error }
+type checker interface{ Check() error }
 
-func (c *Client) call(ctx context.Context, address, method, path string, in any, out checked, maxBytes int64) error {
+func (c *Client) call(ctx context.Context, address, method, path string, in any, out checker, maxBytes int64) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -147,8 +150,8 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	cl := c.begin(ctx, address, c.idle)
-	defer cl.end()
+	cl := c.newCall(ctx, address, c.idleTimeout)
+	defer cl.finish()
 	resp, err := cl.send(method, path, body)
 	if err != nil {
 		return err
@@ -156,42 +159,42 @@
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(&progressReader{call: cl, r: resp.Body}, maxBytes+1))
 	if err != nil {
-		return cl.answered(err)
+		return cl.answerError(err)
 	}
 	if int64(len(b)) > maxBytes {
-		return cl.answered(&LineTooLongError{Max: int(maxBytes)})
+		return cl.answerError(&LineTooLongError{Max: int(maxBytes)})
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return cl.answered(err)
+		return cl.answerError(err)
 	}
 	if err := out.Check(); err != nil {
-		return cl.answered(err)
+		return cl.answerError(err)
 	}
 	return nil
 }
 
-// call is one request with its progress deadline and what is known of its phase.
+// call is one request with its idle timeout, and the state from which its phase is derived.
 type call struct {
-	client  *Client
-	address string
-	idle    time.Duration
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	timer   clockwork.Timer
+	client      *Client
+	address     string
+	idleTimeout time.Duration
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	timer       clockwork.Timer
 
-	mu       sync.Mutex
-	conn     *meteredConn
-	before   int64
-	gotConn  bool
-	answerOK bool
-	onClose  func()
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	gotConn       bool
+	answerStarted bool
+	onClose       func()
 }
 
-func (c *Client) begin(ctx context.Context, address string, idle time.Duration) *call {
-	cl := &call{client: c, address: address, idle: idle}
+func (c *Client) newCall(ctx context.Context, address string, idle time.Duration) *call {
+	cl := &call{client: c, address: address, idleTimeout: idle}
 	cl.ctx, cl.cancel = context.WithCancelCause(ctx)
 	cl.timer = c.clock.AfterFunc(idle, func() {
 		cl.cancel(&SilentError{Upstream: address, Idle: idle})
@@ -199,11 +202,11 @@
 	return cl
 }
 
-func (cl *call) progress() {
-	cl.timer.Reset(cl.idle)
+func (cl *call) resetTimeout() {
+	cl.timer.Reset(cl.idleTimeout)
 }
 
-func (cl *call) end() {
+func (cl *call) finish() {
 	cl.timer.Stop()
 	cl.cancel(context.Canceled)
 }
@@ -214,30 +217,31 @@
 			cl.mu.Lock()
 			defer cl.mu.Unlock()
 			cl.gotConn = true
-			cl.conn, _ = info.Conn.(*meteredConn)
+			cl.conn, _ = info.Conn.(*countingConn)
 			if cl.conn != nil {
-				cl.before = cl.conn.count()
+				cl.writtenBefore = cl.conn.bytesWritten()
 				cl.conn.notify(cl.onClose)
 			}
 		},
 		GotFirstResponseByte: func() {
 			cl.mu.Lock()
 			defer cl.mu.Unlock()
-			cl.answerOK = true
+			cl.answerStarted = true
 		},
 	}
 }
 
-// phase judges a failed send and makes sure that what it says stays true.
+// phase returns the phase of a failed send. It seals the connection, so that a call reported as not written
+// can't be written later.
 func (cl *call) phase() ferryoutcome.Phase {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	switch {
-	case cl.answerOK:
+	case cl.answerStarted:
 		return ferryoutcome.PhaseAnswered
 	case !cl.gotConn:
 		return ferryoutcome.PhaseNotConnected
-	case cl.conn != nil && cl.conn.seal() == cl.before:
+	case cl.conn != nil && cl.conn.seal() == cl.writtenBefore:
 		return ferryoutcome.PhaseNotConnected
 	}
 	return ferryoutcome.PhaseWriting
@@ -256,7 +260,7 @@
 	if err != nil {
 		return nil, &DispatchError{Upstream: cl.address, Phase: cl.phase(), Err: cl.cause(err)}
 	}
-	cl.progress()
+	cl.resetTimeout()
 	if resp.StatusCode/100 == 2 {
 		return resp, nil
 	}
@@ -280,10 +284,10 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return &NotFoundError{Upstream: cl.address, Path: path}
 	}
-	return cl.answered(&StatusError{Status: resp.StatusCode, Detail: p.Detail})
+	return cl.answerError(&StatusError{Status: resp.StatusCode, Detail: p.Detail})
 }
 
-func (cl *call) answered(err error) error {
+func (cl *call) answerError(err error) error {
 	return &DispatchError{Upstream: cl.address, Phase: ferryoutcome.PhaseAnswered, Err: cl.cause(err)}
 }
 
@@ -300,11 +304,11 @@
 	r    io.Reader
 }
 
-// Read reads and counts what came as progress.
+// Read reads from the answer and resets the idle timeout.
 func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.r.Read(b)
 	if n > 0 {
-		p.call.progress()
+		p.call.resetTimeout()
 	}
 	return n, err
 }
--- a/ferry/ferryengine/client_test.go
+++ b/ferry/ferryengine/client_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// scripted accepts connections and gives each to the script.
-func scripted(tb testing.TB, script func(c net.Conn)) string {
+// startServer starts a server that runs the script on each connection, and returns its address.
+func startServer(tb testing.TB, script func(c net.Conn)) string {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
@@ -56,7 +56,7 @@
 
 const okHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func TestPhases(t *testing.T) {
+func TestOutcomeByPhase(t *testing.T) {
 	chunk := func(s string) string { return okHeader + string(hex(len(s))) + "\r\n" + s + "\r\n" }
 	for _, tt := range []struct {
 		name   string
@@ -64,28 +64,28 @@
 		want   ferryoutcome.Outcome
 	}{
 		{"closed before the answer", readRequest, ferryoutcome.Unknown},
-		{"broken answer header", func(c net.Conn) {
+		{"truncated answer header", func(c net.Conn) {
 			readRequest(c)
 			_, _ = io.WriteString(c, "HTTP/1.1 2")
 		}, ferryoutcome.Ran},
-		{"broken in the body", func(c net.Conn) {
+		{"truncated body", func(c net.Conn) {
 			readRequest(c)
 			_, _ = io.WriteString(c, chunk(`{"Epoch":1,"Rea`))
 		}, ferryoutcome.Ran},
-		{"an item that can't be", func(c net.Conn) {
+		{"invalid item", func(c net.Conn) {
 			readRequest(c)
 			_, _ = io.WriteString(c, chunk(`{"Epoch":0,"Ready":true}`+"\n"))
 		}, ferryoutcome.Ran},
-		{"a line without an end", func(c net.Conn) {
+		{"line too long", func(c net.Conn) {
 			readRequest(c)
 			_, _ = io.WriteString(c, chunk(strings.Repeat("x", 1<<17)))
 		}, ferryoutcome.Ran},
-		{"an error of the engine's own", func(c net.Conn) {
+		{"status 500", func(c net.Conn) {
 			readRequest(c)
 			_, _ = io.WriteString(c, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")
 		}, ferryoutcome.Ran},
 	} {
-		s, err := ferryengine.New(ferryengine.ClientConfig{Clock: clockwork.NewFakeClock()}).Run(context.Background(), runRequest(scripted(t, tt.script)))
+		s, err := ferryengine.New(ferryengine.ClientConfig{Clock: clockwork.NewFakeClock()}).Run(context.Background(), runRequest(startServer(t, tt.script)))
 		if err == nil {
 			_, err = s.Next()
 			assert.NilError(t, s.Close())
@@ -108,16 +108,16 @@
 func TestCancelledBeforeConnectIsNotRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := ferryengine.New(ferryengine.ClientConfig{Clock: clockwork.NewFakeClock()}).Run(ctx, runRequest(scripted(t, readRequest)))
+	_, err := ferryengine.New(ferryengine.ClientConfig{Clock: clockwork.NewFakeClock()}).Run(ctx, runRequest(startServer(t, readRequest)))
 	var dispatch *ferryengine.DispatchError
 	assert.Assert(t, errors.As(err, &dispatch))
 	assert.Equal(t, dispatch.Outcome(), ferryoutcome.NotRun)
 }
 
-func TestSilentHop(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	read := make(chan struct{})
-	address := scripted(t, func(c net.Conn) {
+	address := startServer(t, func(c net.Conn) {
 		readRequest(c)
 		close(read)
 		_, _ = io.Copy(io.Discard, c)
@@ -134,7 +134,7 @@
 	assert.Equal(t, dispatch.Outcome(), ferryoutcome.Unknown)
 }
 
-func TestReports(t *testing.T) {
+func TestCallResults(t *testing.T) {
 	body, status, header := "", http.StatusOK, ""
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if header != "" {
@@ -173,8 +173,8 @@
 		{"order", order, 204, "", "", nil},
 		{"no cache", kv, 404, "", `{}`, new(*ferryengine.NotFoundError)},
 		{"events", events, 200, "", `{"Events":[{"Seq":1,"Prefix":"a","Stored":true},{"Seq":3,"Prefix":"b"}]}`, nil},
-		{"events going back", events, 200, "", `{"Events":[{"Seq":3},{"Seq":1}]}`, new(*ferryengine.FieldError)},
-		{"too much", events, 200, "", strings.Repeat(" ", 5<<20), new(*ferryengine.LineTooLongError)},
+		{"decreasing sequence", events, 200, "", `{"Events":[{"Seq":3},{"Seq":1}]}`, new(*ferryengine.FieldError)},
+		{"body too long", events, 200, "", strings.Repeat(" ", 5<<20), new(*ferryengine.LineTooLongError)},
 	} {
 		status, header, body = tt.status, tt.header, tt.body
 		err := tt.call()
--- a/ferry/ferryengine/decoder.go
+++ b/ferry/ferryengine/decoder.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	beforeEpoch    = `{"Epoch":`
-	beforePosition = `,"Position":`
-	beforeText     = `,"Text":"`
-	beforeReceipts = `","Receipts":`
+	epochPrefix    = `{"Epoch":`
+	positionPrefix = `,"Position":`
+	textPrefix     = `,"Text":"`
+	receiptsPrefix = `","Receipts":`
 	maxDigits      = 9
 )
 
-// ItemDecoder decodes the items of one stream, whose tokens nearly always carry the receipts of the token before.
+// ItemDecoder decodes the items of one stream. It caches the receipts, which are nearly always equal to those
+// of the token before.
 type ItemDecoder struct {
 	raw      []byte
 	receipts []Receipt
 }
 
-// Decode reads one line as DecodeItem does; items with equal receipts share them, so they must not be changed.
+// Decode is like DecodeItem. Items with equal receipts share one slice of receipts, which must not be modified.
 func (d *ItemDecoder) Decode(line []byte) (Item, error) {
 	it, raw, ok := scanToken(line)
 	if !ok {
@@ -42,9 +43,10 @@
 	return it, nil
 }
 
-// scanToken reads a token written as AppendItem writes it, with its receipts left raw; anything else is not ok and left to the library.
+// scanToken parses a token in the exact form that AppendItem writes, and returns its receipts undecoded. It
+// returns false for any other line, which is left to package json.
 func scanToken(line []byte) (it Item, raw []byte, ok bool) {
-	rest, ok := bytes.CutPrefix(line, []byte(beforeEpoch))
+	rest, ok := bytes.CutPrefix(line, []byte(epochPrefix))
 	if !ok {
 		return it, nil, false
 	}
@@ -52,19 +54,19 @@
 	if !ok {
 		return it, nil, false
 	}
-	if rest, ok = bytes.CutPrefix(rest, []byte(beforePosition)); !ok {
+	if rest, ok = bytes.CutPrefix(rest, []byte(positionPrefix)); !ok {
 		return it, nil, false
 	}
 	position, rest, ok := scanNumber(rest)
 	if !ok {
 		return it, nil, false
 	}
-	if rest, ok = bytes.CutPrefix(rest, []byte(beforeText)); !ok {
+	if rest, ok = bytes.CutPrefix(rest, []byte(textPrefix)); !ok {
 		return it, nil, false
 	}
 	n := plainLen(rest)
 	text := rest[:n]
-	if rest, ok = bytes.CutPrefix(rest[n:], []byte(beforeReceipts)); !ok {
+	if rest, ok = bytes.CutPrefix(rest[n:], []byte(receiptsPrefix)); !ok {
 		return it, nil, false
 	}
 	raw, ok = bytes.CutSuffix(rest, []byte{'}'})
@@ -72,7 +74,7 @@
 	return it, raw, ok
 }
 
-// scanNumber reads a number without a sign, a leading zero or more digits than certainly fit.
+// scanNumber parses a number of up to maxDigits digits without a sign or leading zeros.
 func scanNumber(b []byte) (n uint32, rest []byte, ok bool) {
 	i := 0
 	for i < len(b) && i < maxDigits && '0' <= b[i] && b[i] <= '9' {
@@ -82,7 +84,7 @@
 	return n, b[i:], i > 0 && (i == 1 || b[0] != '0')
 }
 
-// plainLen is the length of the part that stands for itself in a JSON string.
+// plainLen returns the length of the prefix that a JSON string represents without escapes.
 func plainLen(b []byte) int {
 	for i, c := range b {
 		if c < ' ' || c > '~' || c == '"' || c == '\\' {
--- a/ferry/ferryengine/doc.go
+++ b/ferry/ferryengine/doc.go
@@ -1,2 +1,3 @@
-// Package ferryengine is the adapter to model engines: the wire types of their interface, each checked when decoded, and a client that says how far a failed call came.
+// Package ferryengine contains the wire types of the HTTP interface of model engines, which are validated when
+// decoded, and a client for it. The errors of the client tell how far a failed call had come.
 package ferryengine
--- a/ferry/ferryengine/errors.go
+++ b/ferry/ferryengine/errors.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// DispatchError says how far a call to an upstream had come when it failed.
+// DispatchError reports a failed call to an upstream with the phase that it had reached.
 type DispatchError struct {
 	Upstream string
 	Phase    ferryoutcome.Phase
@@ -22,10 +22,10 @@
 // Unwrap returns the underlying error.
 func (e *DispatchError) Unwrap() error { return e.Err }
 
-// Outcome is what the failure leaves known about the call.
+// Outcome returns the outcome of the call as far as the phase tells it.
 func (e *DispatchError) Outcome() ferryoutcome.Outcome { return ferryoutcome.OfFailure(e.Phase) }
 
-// RefusedError says that the upstream itself said that it did not run the call.
+// RefusedError reports that the upstream refused the call and stated that it did not run it.
 type RefusedError struct {
 	Upstream string
 	Kind     ferryoutcome.Kind
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("upstream %s refused (%s): %s", e.Upstream, e.Kind, e.Detail)
 }
 
-// StatusError says that the upstream answered with an unexpected status.
+// StatusError reports an answer with an unexpected HTTP status.
 type StatusError struct {
 	Status int
 	Detail string
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("status %d: %s", e.Status, e.Detail)
 }
 
-// NotFoundError says that the upstream does not hold what was asked for.
+// NotFoundError reports that the upstream does not have the requested resource.
 type NotFoundError struct {
 	Upstream string
 	Path     string
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("upstream %s has no %s", e.Upstream, e.Path)
 }
 
-// FenceError says that the upstream has seen a higher fencing number than the order's.
+// FenceError reports that the upstream has seen a higher fencing number than that of the order.
 type FenceError struct {
 	Upstream string
 	Highest  ferryid.Fence
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("upstream %s refused an order: it has seen fencing number %d", e.Upstream, e.Highest)
 }
 
-// SilentError says that a connection made no progress for too long and was closed.
+// SilentError reports that a connection was closed after the idle timeout.
 type SilentError struct {
 	Upstream string
 	Idle     time.Duration
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("upstream %s made no progress for %s", e.Upstream, e.Idle)
 }
 
-// FieldError says which field of a wire type is at fault.
+// FieldError reports an invalid field of a wire type.
 type FieldError struct {
 	Field  string
 	Detail string
@@ -90,7 +90,7 @@
 	return &FieldError{Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// LineTooLongError says that a line is longer than its bound in bytes.
+// LineTooLongError reports a line or body longer than Max bytes.
 type LineTooLongError struct {
 	Max int
 }
--- a/ferry/ferryengine/ferryenginetest/doc.go
+++ b/ferry/ferryengine/ferryenginetest/doc.go
@@ -1,2 +1,3 @@
-// Package ferryenginetest is the stand-in model: a hash that tells whether every layer ran once and in order.
+// Package ferryenginetest implements a simulated model. Its text is a hash that is right only if every layer
+// ran once and in order.
 package ferryenginetest
--- a/ferry/ferryengine/ferryenginetest/model.go
+++ b/ferry/ferryengine/ferryenginetest/model.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	mixOdd     = 0x9e3779b97f4a7c15
-	mixOdd2    = 0xbf58476d1ce4e5b9
+	mixFactor  = 0x9e3779b97f4a7c15
+	mixFactor2 = 0xbf58476d1ce4e5b9
 	prefixSize = 64
 )
 
@@ -21,24 +21,25 @@
 	vowels     = "aeiou"
 )
 
-// PromptElement is the stand-in model's input for the prompt, which yields the token at position 0.
+// PromptElement returns the simulated model's input for the prompt, which yields the token at position 0.
 func PromptElement(seed uint64, prompt string) uint64 {
 	return mix(seed ^ xxhash.Sum64String(prompt))
 }
 
-// TokenElement is the stand-in model's input for the token before a position, which yields the token at that position.
+// TokenElement returns the simulated model's input for the token before position p, which yields the token at
+// p.
 func TokenElement(seed uint64, p ferryid.Position, before string) uint64 {
-	return mix(seed ^ xxhash.Sum64String(before) ^ uint64(p)*mixOdd)
+	return mix(seed ^ xxhash.Sum64String(before) ^ uint64(p)*mixFactor)
 }
 
-// ApplyLayer runs one layer of the stand-in model on a state, with the layer's KV cache, and returns both as they are afterwards.
+// ApplyLayer runs one layer of the simulated model and returns the new state and the new KV cache of the layer.
 func ApplyLayer(l ferryid.Layer, state, kv uint64) (nextState, nextKV uint64) {
-	nextState = mix(state ^ bits.RotateLeft64(kv, int(l)%64) ^ (uint64(l)+1)*mixOdd)
-	nextKV = mix(kv + state*mixOdd2 + uint64(l))
+	nextState = mix(state ^ bits.RotateLeft64(kv, int(l)%64) ^ (uint64(l)+1)*mixFactor)
+	nextKV = mix(kv + state*mixFactor2 + uint64(l))
 	return nextState, nextKV
 }
 
-// Word is the token text for the state after the last layer.
+// Word returns the token text for the state after the last layer.
 func Word(state uint64) string {
 	var b [6]byte
 	b[0] = ' '
@@ -53,7 +54,7 @@
 	return string(b[:])
 }
 
-// Reference is the text that the stand-in model gives, computed without any engine.
+// Reference returns the tokens that the simulated model generates, computed without an engine.
 func Reference(seed uint64, prompt string, maxTokens int, layers ferryid.Layer) []string {
 	kv := make([]uint64, layers)
 	out := make([]string, 0, maxTokens)
@@ -68,7 +69,7 @@
 	return out
 }
 
-// Prefixes names the prefixes of a prompt that engines cache, shortest first, as cache events name them.
+// Prefixes returns the ids, as in cache events, of the prefixes of a prompt that engines cache, shortest first.
 func Prefixes(prompt string) []string {
 	var out []string
 	h := xxhash.New()
--- a/ferry/ferryengine/fuzz_test.go
+++ b/ferry/ferryengine/fuzz_test.go
@@ -27,16 +27,16 @@
 		it, err := ferryengine.DecodeItem(b)
 		var d ferryengine.ItemDecoder
 		_, _ = d.Decode([]byte(fuzzItem))
-		// The second time the receipts are those kept from the first.
+		// The second decoding uses the cached receipts of the first.
 		for range 2 {
-			quick, quickErr := d.Decode(b)
-			assert.Equal(t, err == nil, quickErr == nil)
-			assert.DeepEqual(t, quick, it)
+			cached, cachedErr := d.Decode(b)
+			assert.Equal(t, err == nil, cachedErr == nil)
+			assert.DeepEqual(t, cached, it)
 		}
 		if err != nil {
 			return
 		}
-		// What is accepted is what the library reads, and survives a round trip.
+		// An accepted item equals what package json decodes, and survives a round trip.
 		var want ferryengine.Item
 		assert.NilError(t, json.Unmarshal(b, &want))
 		assert.DeepEqual(t, it, want)
@@ -54,7 +54,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ferryengine.DecodeRunRequest(b)
 		if err == nil && (len(r.Stages) == 0 || len(r.Generated) > r.MaxTokens) {
-			t.Fatalf("accepted %+v", r)
+			t.Fatalf("invalid request accepted: %+v", r)
 		}
 	})
 }
--- a/ferry/ferryengine/item.go
+++ b/ferry/ferryengine/item.go
@@ -9,16 +9,16 @@
 	"cactusferry.dev/ferry/ferryjson"
 )
 
-// Receipt says that a stage applied its layers to a token.
+// Receipt confirms that a stage applied its layers to a token.
 type Receipt struct {
 	Stage  string             `json:"Stage"`
 	Layers ferryid.LayerRange `json:"Layers"`
 }
 
-// FailureKind says why a stage failed.
+// FailureKind is the reason for the failure of a stage.
 type FailureKind string
 
-// The kinds of failures.
+// Kinds of failures.
 const (
 	FailureDied     FailureKind = "Died"
 	FailureRefused  FailureKind = "Refused"
@@ -26,7 +26,7 @@
 	FailureDraining FailureKind = "Draining"
 )
 
-// Failure names the stage that ended an epoch early.
+// Failure reports the stage whose failure ended an epoch.
 type Failure struct {
 	Stage  string      `json:"Stage"`
 	Kind   FailureKind `json:"Kind"`
@@ -35,15 +35,16 @@
 
 const maxStageMicros = 1 << 50
 
-// StageTime is what one stage of an epoch measured over all its tokens.
+// StageTime holds the times measured by one stage of an epoch over all its tokens.
 type StageTime struct {
 	Stage string `json:"Stage"`
-	// Steps counts the tokens generated, and Prefill the history elements rebuilt.
+	// Steps counts the generated tokens, Prefill the history elements rebuilt.
 	Steps   int `json:"Steps"`
 	Prefill int `json:"Prefill,omitempty"`
-	// BusyMicros is the accelerator's time for the steps that generated, without waiting.
+	// BusyMicros is the accelerator's time for generated tokens, without waiting.
 	BusyMicros int64 `json:"BusyMicros"`
-	// HeldMicros is the time from an activation's arrival to the token's return, and HopMicros the part of it spent on the next stage and the link to it.
+	// HeldMicros is the time from an activation's arrival to the token's return. HopMicros is the part of it
+	// spent on the next stage and the link to it.
 	HeldMicros int64 `json:"HeldMicros"`
 	HopMicros  int64 `json:"HopMicros"`
 }
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// Item is one line of a run's answer: the start, a token, the end, or a failure; before the start no stage has run a layer of the epoch.
+// Item is one line of a run's answer: the start, a token, the end or a failure. Before the start no stage has
+// run a layer of the epoch.
 type Item struct {
 	Epoch    ferryid.Epoch    `json:"Epoch"`
 	Position ferryid.Position `json:"Position"`
@@ -71,7 +73,7 @@
 	Failed   *Failure         `json:"Failed,omitempty"`
 }
 
-// Check returns a *FieldError unless the item is exactly one of a start, a token, an end and a failure.
+// Check returns a *FieldError unless the item is exactly one of start, token, end or failure.
 func (it *Item) Check() error {
 	if it.Epoch == 0 {
 		return fieldError("Epoch", "must be at least 1")
@@ -115,7 +117,7 @@
 	return fieldError("Failed", "has an unknown kind %q", f.Kind)
 }
 
-// DecodeItem reads one line of a run's answer and checks it.
+// DecodeItem decodes and validates one line of a run's answer.
 func DecodeItem(line []byte) (Item, error) {
 	var it Item
 	if err := json.Unmarshal(line, &it); err != nil {
@@ -127,7 +129,7 @@
 	return it, nil
 }
 
-// AppendItem appends the item as one line.
+// AppendItem appends the item to b as one line of JSON.
 func AppendItem(b []byte, it *Item) []byte {
 	if it.Ready || it.Done || it.Failed != nil {
 		line, _ := json.Marshal(it)
--- a/ferry/ferryengine/line.go
+++ b/ferry/ferryengine/line.go
@@ -8,19 +8,20 @@
 
 const readBufferBytes = 1 << 10
 
-// LineReader reads lines of a bounded length; an empty line is a heartbeat.
+// LineReader reads lines of limited length; an empty line is a heartbeat.
 type LineReader struct {
 	r   *bufio.Reader
 	max int
 	buf []byte
 }
 
-// NewLineReader returns a reader that refuses lines of more than max bytes.
+// NewLineReader returns a reader for lines of up to maxBytes bytes, line end included.
 func NewLineReader(r io.Reader, maxBytes int) *LineReader {
 	return &LineReader{r: bufio.NewReaderSize(r, readBufferBytes), max: maxBytes}
 }
 
-// Next returns the next line without its end, valid until the following call, or a *LineTooLongError.
+// Next returns the next line without its line end; the slice is valid until the next call. The error is a
+// *LineTooLongError for a line that is too long.
 func (l *LineReader) Next() ([]byte, error) {
 	part, err := l.r.ReadSlice('\n')
 	if err == nil && len(part) <= l.max {
@@ -42,17 +43,17 @@
 	return nil, err
 }
 
-// Buffered is the number of bytes that the next line can use without waiting.
+// Buffered returns the number of bytes that can be read without blocking.
 func (l *LineReader) Buffered() int {
 	return l.r.Buffered()
 }
 
-// NewRequestReader returns a line reader with the bound for requests between stages.
+// NewRequestReader returns a line reader with the maximum length for requests between stages.
 func NewRequestReader(r io.Reader) *LineReader {
 	return NewLineReader(r, maxRequestBytes)
 }
 
-// NewItemReader returns a line reader with the bound for items.
+// NewItemReader returns a line reader with the maximum length for items.
 func NewItemReader(r io.Reader) *LineReader {
 	return NewLineReader(r, maxItemLineBytes)
 }
--- a/ferry/ferryengine/load.go
+++ b/ferry/ferryengine/load.go
@@ -7,10 +7,10 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// State says whether an engine takes new work.
+// State tells whether an engine accepts new work.
 type State string
 
-// The states of an engine.
+// States of an engine.
 const (
 	StateLive    State = "Live"
 	StateLeaving State = "Leaving"
@@ -30,7 +30,7 @@
 	maxKVBytes     = 256 << 20
 )
 
-// Load is an engine's lagging report.
+// Load is the load report of an engine, which lags behind.
 type Load struct {
 	Name              ferryid.UpstreamName    `json:"Name"`
 	Incarnation       ferryid.Incarnation     `json:"Incarnation"`
@@ -40,13 +40,13 @@
 	OutstandingTokens ferryid.Tokens          `json:"OutstandingTokens"`
 	TokensPerSecond   ferryid.TokensPerSecond `json:"TokensPerSecond"`
 	At                time.Time               `json:"At"`
-	// Model, Version and Adapter are what the engine has loaded by order; empty before the first.
+	// Model, Version and Adapter are what the engine has loaded by orders, empty before the first order.
 	Model   string `json:"Model,omitempty"`
 	Version string `json:"Version,omitempty"`
 	Adapter string `json:"Adapter,omitempty"`
 }
 
-// Check returns a *FieldError for a value that no engine can have.
+// Check returns a *FieldError for the first invalid field.
 func (l *Load) Check() error {
 	if err := ferryid.CheckName(string(l.Name)); err != nil {
 		return fieldError("Name", "%v", err)
@@ -63,7 +63,7 @@
 	return l.State.check()
 }
 
-// KV is the exported KV cache of one stream on one engine.
+// KV is the exported KV cache of a stream on one engine.
 type KV struct {
 	Stream    ferryid.StreamID   `json:"Stream"`
 	Layers    ferryid.LayerRange `json:"Layers"`
@@ -71,7 +71,7 @@
 	Data      []byte             `json:"Data"`
 }
 
-// Check returns a *FieldError for the first fault.
+// Check returns a *FieldError for the first invalid field.
 func (k *KV) Check() error {
 	if k.Stream == "" || len(k.Stream) > maxStreamBytes {
 		return fieldError("Stream", "must have 1 to %d bytes", maxStreamBytes)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Order is the target state of one engine.
+// Order is the target state of an engine.
 type Order struct {
 	Fence   ferryid.Fence       `json:"Fence"`
 	Service ferryid.ServiceName `json:"Service"`
@@ -96,7 +96,7 @@
 	State   State               `json:"State"`
 }
 
-// Check returns a *FieldError for the first fault.
+// Check returns a *FieldError for the first invalid field.
 func (o *Order) Check() error {
 	if o.Fence == 0 {
 		return fieldError("Fence", "must be at least 1")
@@ -110,19 +110,19 @@
 	return o.State.check()
 }
 
-// CacheEvent says that an engine stored or dropped the KV cache of a prompt prefix.
+// CacheEvent reports that an engine stored or evicted the KV cache of a prompt prefix.
 type CacheEvent struct {
 	Seq    uint64 `json:"Seq"`
 	Prefix string `json:"Prefix"`
 	Stored bool   `json:"Stored"`
 }
 
-// CacheEvents are cache events, late and with gaps.
+// CacheEvents is a list of cache events; it lags behind and may have gaps.
 type CacheEvents struct {
 	Events []CacheEvent `json:"Events"`
 }
 
-// Check returns a *FieldError unless the events are in order.
+// Check returns a *FieldError unless the sequence numbers increase.
 func (c *CacheEvents) Check() error {
 	for i := 1; i < len(c.Events); i++ {
 		if c.Events[i].Seq <= c.Events[i-1].Seq {
@@ -132,12 +132,13 @@
 	return nil
 }
 
-// CancelRequest stops a stream's work of an epoch and older ones.
+// CancelRequest cancels the work of a stream in an epoch and all earlier ones.
 type CancelRequest struct {
 	Epoch ferryid.Epoch `json:"Epoch"`
 }
 
-// CancelResult says whether this incarnation of the engine ever ran a layer of the stream at the cancelled epochs.
+// CancelResult tells whether this incarnation of the engine ran any layer of the stream in the cancelled
+// epochs.
 type CancelResult struct {
 	Incarnation ferryid.Incarnation `json:"Incarnation"`
 	Ran         bool                `json:"Ran"`
--- a/ferry/ferryengine/run.go
+++ b/ferry/ferryengine/run.go
@@ -7,7 +7,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// The bounds of one run.
+// Bounds of a run.
 const (
 	maxStages        = 64
 	maxStreamBytes   = 128
@@ -25,7 +25,7 @@
 	Layers  ferryid.LayerRange `json:"Layers"`
 }
 
-// Stages is a pipeline: contiguous layer ranges in order.
+// Stages is a pipeline of contiguous layer ranges in order.
 type Stages []Stage
 
 // Check returns a *FieldError unless the stages are contiguous.
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// RunRequest asks the first of its stages to run a stream through all of them.
+// RunRequest is the request to the first stage to run a stream through all stages.
 type RunRequest struct {
 	Stream       ferryid.StreamID               `json:"Stream"`
 	Epoch        ferryid.Epoch                  `json:"Epoch"`
@@ -61,7 +61,7 @@
 	Import       bool                           `json:"Import,omitempty"`
 }
 
-// Check returns a *FieldError for the first fault.
+// Check returns a *FieldError for the first invalid field.
 func (r *RunRequest) Check() error {
 	if r.Stream == "" || len(r.Stream) > maxStreamBytes {
 		return fieldError("Stream", "must have 1 to %d bytes, has %d", maxStreamBytes, len(r.Stream))
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// DecodeRunRequest reads one line of a run's request and checks it.
+// DecodeRunRequest decodes and validates the first line of a run's request body.
 func DecodeRunRequest(line []byte) (RunRequest, error) {
 	var r RunRequest
 	if err := json.Unmarshal(line, &r); err != nil {
@@ -98,13 +98,13 @@
 	return r, r.Check()
 }
 
-// Activations carry the model's state for consecutive history elements from one stage to the next.
+// Activations holds the model's states for consecutive history elements, sent from one stage to the next.
 type Activations struct {
 	From   ferryid.Position `json:"From"`
 	States []uint64         `json:"States"`
 }
 
-// DecodeActivations reads one line of a chain's request body and checks it.
+// DecodeActivations decodes and validates one line of activations in a request body.
 func DecodeActivations(line []byte) (Activations, error) {
 	var a Activations
 	if err := json.Unmarshal(line, &a); err != nil {
--- a/ferry/ferryengine/stream.go
+++ b/ferry/ferryengine/stream.go
@@ -6,11 +6,12 @@
 	"sync/atomic"
 )
 
-// Stream gives the items of one epoch.
+// Stream receives the items of one epoch.
 type Stream interface {
-	// Next waits for the next item; after an end or a failure it returns io.EOF, and a *DispatchError if the answer broke off.
+	// Next waits for the next item. It returns io.EOF after an end or a failure, and a *DispatchError if the
+	// answer is cut short or invalid.
 	Next() (Item, error)
-	// Close gives the connection up; the engine's work is stopped by Cancel.
+	// Close closes the stream; it does not stop the engine's work, which Client.Cancel does.
 	Close() error
 }
 
@@ -33,28 +34,28 @@
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return Item{}, s.call.answered(err)
+			return Item{}, s.call.answerError(err)
 		}
-		s.call.progress()
+		s.call.resetTimeout()
 		if len(line) == 0 {
 			continue
 		}
 		it, err := s.decoder.Decode(line)
 		if err != nil {
-			return Item{}, s.call.answered(err)
+			return Item{}, s.call.answerError(err)
 		}
 		s.ended.Store(it.Done || it.Failed != nil)
 		return it, nil
 	}
 }
 
-// Close gives the connection up.
+// Close closes the stream.
 func (s *runStream) Close() error {
 	if s.ended.Load() {
-		// The rest of a finished answer is a few bytes; reading them lets the connection be used again.
+		// Reading the few remaining bytes of a finished answer lets the transport reuse the connection.
 		_, _ = io.CopyN(io.Discard, s.body, readBufferBytes)
 	}
 	err := s.body.Close()
-	s.call.end()
+	s.call.finish()
 	return err
 }
--- a/ferry/ferryengine/transport.go
+++ b/ferry/ferryengine/transport.go
@@ -13,12 +13,13 @@
 	idleConnTimeout    = 90 * time.Second
 	maxIdleConns       = 4096
 	maxIdleConnsByHost = 512
-	// writeBufferBytes is small because a connection writes one request and then only reads.
+	// writeBufferBytes is small, as a connection writes one request and then only reads.
 	writeBufferBytes = 1 << 10
 )
 
-// meteredConn counts the bytes handed to a connection and can be sealed against more, so that a count of nothing stays true.
-type meteredConn struct {
+// countingConn counts the bytes written to a connection. It can be sealed against further writes, so that a
+// count read at that time is final.
+type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
 	written int64
@@ -27,8 +28,8 @@
 	onClose func()
 }
 
-// Close closes the connection and tells the call that uses it.
-func (c *meteredConn) Close() error {
+// Close closes the connection and calls the function set by notify.
+func (c *countingConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
 	f := c.onClose
@@ -40,8 +41,9 @@
 	return c.Conn.Close()
 }
 
-// notify sets what to call once when the connection is closed, at once if it is already.
-func (c *meteredConn) notify(f func()) {
+// notify sets a function to be called once when the connection is closed, or immediately if it is closed
+// already.
+func (c *countingConn) notify(f func()) {
 	c.mu.Lock()
 	if !c.closed {
 		c.onClose = f
@@ -53,8 +55,8 @@
 	}
 }
 
-// Write hands bytes to the connection unless it is sealed.
-func (c *meteredConn) Write(b []byte) (int, error) {
+// Write writes to the connection, or returns net.ErrClosed if it is sealed.
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -65,23 +67,24 @@
 	return c.Conn.Write(b)
 }
 
-func (c *meteredConn) count() int64 {
+func (c *countingConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-func (c *meteredConn) seal() int64 {
+func (c *countingConn) seal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 	return c.written
 }
 
-// Dial opens a connection, as net.Dialer's DialContext does.
+// Dial opens a connection, like DialContext of net.Dialer.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns an HTTP/1.1 transport whose connections count what is written, so that a failed call's phase is exact; a nil dial stands for TCP.
+// NewTransport returns an HTTP/1.1 transport whose connections count written bytes, which makes the phase of a
+// failed call exact. A nil dial selects TCP.
 func NewTransport(dial Dial) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -92,7 +95,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &meteredConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		DisableCompression:  true,
 		MaxIdleConns:        maxIdleConns,
