--- a/ferry/example/main.go
+++ b/ferry/example/main.go
@@ -1,4 +1,5 @@
-// Command example shows the coordination parts without ferryd: it joins the overlay, takes part in a lease and follows a document.
+// Command example uses the coordination packages without ferryd: it joins the overlay, competes for a lease
+// and watches documents.
 package main
 
 import (
@@ -39,17 +40,17 @@
 	events := ferryevent.NewLog(clock, string(name), 1000)
 	store := ferryplatform.New(ferryplatform.ClientConfig{URL: platform, Clock: clock})
 
-	// The overlay: who else is there.
+	// The overlay finds the other members.
 	node := ferrypeer.New(ferrypeer.Config{
 		Self:   ferrypeer.Member{Name: name, Incarnation: self, FailureDomain: "here", PeerAddress: address},
 		Lister: store, Clock: clock, Secret: []byte("shared by all members"), Log: zerolog.Nop(), Events: events,
 	})
 
-	// A lease: at most one member acts at a time, and its number rises with each holder.
+	// At most one member holds the lease at a time; the fencing number increases with each holder.
 	lease := ferrylease.New(ferrylease.Config{Name: "example", Self: self, Store: store, Clock: clock})
 	lease.Want(true)
 
-	// Documents: what is accepted comes into force here and never steps back.
+	// Accepted documents come into force here and never go back to an earlier generation.
 	documents := ferrydocument.NewHolder(clock, events)
 	watcher := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: store, Holder: documents, Clock: clock, Seed: 1})
 	watcher.Watching(true)
@@ -80,7 +81,7 @@
 	}
 }
 
-// report prints every second who is there, and acts only while the lease is held.
+// report prints the number of live members every second, and acts only while the lease is held.
 func report(ctx context.Context, clock clockwork.Clock, node *ferrypeer.Node, lease *ferrylease.Lease) error {
 	for {
 		select {
--- a/ferry/example/serve.go
+++ b/ferry/example/serve.go
@@ -8,7 +8,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// serve answers peers until the context ends.
+// serve serves the peer handler until the context ends.
 func serve(ctx context.Context, address string, peers http.Handler) error {
 	mux := http.NewServeMux()
 	mux.Handle("GET /peer", peers)
