--- a/ferryctl/apply.go
+++ b/ferryctl/apply.go
@@ -12,9 +12,9 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-const applyHelp = `Makes FILE the next version of its service document, if nobody else has changed it since it was fetched.
+const applyHelp = `Applies FILE as the next version of its service document, unless another change was accepted since it was fetched.
 
-If another change came first, nothing is applied; the winner and a three-way diff are shown. If the answer of the platform is lost, the entry repeats the same conditional write until the outcome is known; if it can't find out in time, the command that settles it is shown, and running that can never apply the change twice.
+If another change was accepted first, nothing is applied, and that change and a three-way diff are shown. If the answer of the platform is lost, the entry repeats the same conditional write until the outcome is known. If that takes too long, the command that resolves the outcome is shown; running it never applies the change twice.
 
 Example:
   ferryctl get parlour-api > parlour-api.toml
@@ -26,9 +26,9 @@
 type applyCommand struct {
 	app        *app
 	Base       *uint64  `long:"base" value-name:"GENERATION" description:"generation that was edited, 0 for a new service (default: the one in FILE's first line)"`
-	Operator   string   `long:"operator" value-name:"NAME" env:"FERRYCTL_OPERATOR" required:"true" description:"who applies"`
-	ApplyID    string   `long:"apply-id" value-name:"ID" description:"id of an earlier apply of the same file that is to be settled"`
-	Supersedes []string `long:"supersedes" value-name:"HASH" description:"version of another branch that this one replaces on purpose"`
+	Operator   string   `long:"operator" value-name:"NAME" env:"FERRYCTL_OPERATOR" required:"true" description:"name of the operator"`
+	ApplyID    string   `long:"apply-id" value-name:"ID" description:"id of an earlier apply of the same file whose outcome is to be resolved"`
+	Supersedes []string `long:"supersedes" value-name:"HASH" description:"hash of a version on another branch that this one replaces; may be repeated"`
 	Args       struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
@@ -36,7 +36,7 @@
 
 func init() {
 	subcommands = append(subcommands, func(a *app, p *flags.Parser) error {
-		_, err := p.AddCommand("apply", "accept a changed service document", applyHelp, &applyCommand{app: a})
+		_, err := p.AddCommand("apply", "apply a changed service document", applyHelp, &applyCommand{app: a})
 		return err
 	})
 }
@@ -47,12 +47,12 @@
 	if err != nil {
 		return err
 	}
-	taken := false
-	// Trying another entry is safe, as the apply id stays the same.
-	a, err := first(c.app, func(cl *ferryadmin.Client) (ferryservice.Accepted, error) {
+	sent := false
+	// Retrying with another entry is safe, as the apply id stays the same.
+	a, err := firstAnswer(c.app, func(cl *ferryadmin.Client) (ferryservice.Accepted, error) {
 		a, err := cl.Apply(c.app.ctx, req)
-		var silent *ferryadmin.UnreachableError
-		taken = taken || errors.As(err, &silent) && silent.Sent
+		var unreachable *ferryadmin.UnreachableError
+		sent = sent || errors.As(err, &unreachable) && unreachable.Sent
 		return a, err
 	})
 	var lost *ferrydocument.LostRaceError
@@ -60,7 +60,7 @@
 		fmt.Fprint(c.app.out, lost.Diff)
 		return err
 	}
-	if err != nil && taken {
+	if err != nil && sent {
 		return c.unresolved(req, err)
 	}
 	if err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// unresolved is the error after an entry may have taken the request and did not answer.
+// unresolved returns the error for a request that was sent to an entry and got no answer.
 func (c *applyCommand) unresolved(req ferrydocument.ApplyRequest, err error) error {
 	if errors.As(err, new(*ferrydocument.UnresolvedError)) {
 		return err
@@ -88,7 +88,7 @@
 	case c.Base != nil:
 		base = ferryid.Generation(*c.Base)
 	case !f.hasBase:
-		return ferrydocument.ApplyRequest{}, fmt.Errorf("%s does not say which version was edited; fetch it with ferryctl get, or give --base (0 for a new service)", c.Args.File)
+		return ferrydocument.ApplyRequest{}, fmt.Errorf("%s has no header line with the edited version; fetch it with ferryctl get, or give --base (0 for a new service)", c.Args.File)
 	}
 	id := c.ApplyID
 	if id == "" {
--- a/ferryctl/claims.go
+++ b/ferryctl/claims.go
@@ -9,14 +9,14 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-const claimsHelp = `Shows what is known of the calls that must run at most once, as JSON.
+const claimsHelp = `Shows the claims of calls that run at most once, as JSON.
 
 Example:
   ferryctl claims parlour-api --key feed-7-2026-12-04`
 
 type claimsCommand struct {
 	app  *app
-	Key  string `long:"key" value-name:"KEY" description:"show this idempotency key only"`
+	Key  string `long:"key" value-name:"KEY" description:"show only this idempotency key"`
 	Args struct {
 		Service string `positional-arg-name:"SERVICE"`
 	} `positional-args:"yes" required:"yes"`
@@ -31,7 +31,7 @@
 
 // Execute runs the subcommand.
 func (c *claimsCommand) Execute([]string) error {
-	claims, err := first(c.app, func(cl *ferryadmin.Client) (json.RawMessage, error) {
+	claims, err := firstAnswer(c.app, func(cl *ferryadmin.Client) (json.RawMessage, error) {
 		return cl.Claims(c.app.ctx, ferryid.ServiceName(c.Args.Service), c.Key)
 	})
 	if err != nil {
--- a/ferryctl/diff.go
+++ b/ferryctl/diff.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrydocument"
 )
 
-const diffHelp = `Shows how FILE differs from the document in force; exits with 1 if it does.
+const diffHelp = `Shows the differences between the document in force and FILE; exits with 1 if there are any.
 
 Example:
   ferryctl diff parlour-api.toml`
--- a/ferryctl/doc.go
+++ b/ferryctl/doc.go
@@ -1,2 +1,3 @@
-// Command ferryctl is the operators' command: it changes service documents and shows what the entries do.
+// Command ferryctl is the command-line client of the operator API: it applies service documents and shows the
+// state of the entries.
 package main
--- a/ferryctl/drain.go
+++ b/ferryctl/drain.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-const drainHelp = `Marks an upstream as leaving: within a few seconds no entry gives it new work, and what it has goes on to its end.
+const drainHelp = `Marks an upstream as leaving: within a few seconds the entries send it no new work; its running work is finished.
 
 Example:
   ferryctl drain herd-llm runner-17 --operator ivana`
@@ -17,7 +17,7 @@
 type drainCommand struct {
 	app      *app
 	leaving  bool
-	Operator string `long:"operator" value-name:"NAME" env:"FERRYCTL_OPERATOR" required:"true" description:"who asks"`
+	Operator string `long:"operator" value-name:"NAME" env:"FERRYCTL_OPERATOR" required:"true" description:"name of the operator"`
 	Args     struct {
 		Service  string `positional-arg-name:"SERVICE"`
 		Upstream string `positional-arg-name:"UPSTREAM"`
@@ -26,7 +26,7 @@
 
 func init() {
 	subcommands = append(subcommands, func(a *app, p *flags.Parser) error {
-		_, err := p.AddCommand("drain", "give an upstream no new work", drainHelp, &drainCommand{app: a, leaving: true})
+		_, err := p.AddCommand("drain", "send no new work to an upstream", drainHelp, &drainCommand{app: a, leaving: true})
 		return err
 	})
 }
@@ -39,14 +39,14 @@
 		Operator: c.Operator,
 		Leaving:  c.leaving,
 	}
-	_, err := first(c.app, func(cl *ferryadmin.Client) (struct{}, error) { return struct{}{}, cl.Drain(c.app.ctx, req) })
+	_, err := firstAnswer(c.app, func(cl *ferryadmin.Client) (struct{}, error) { return struct{}{}, cl.Drain(c.app.ctx, req) })
 	if err != nil {
 		return err
 	}
-	done := "gets new work again"
+	state := "gets new work again"
 	if c.leaving {
-		done = "is leaving"
+		state = "is leaving"
 	}
-	fmt.Fprintf(c.app.out, "%s of %s %s\n", req.Upstream, req.Service, done)
+	fmt.Fprintf(c.app.out, "%s of %s %s\n", req.Upstream, req.Service, state)
 	return nil
 }
--- a/ferryctl/entry.go
+++ b/ferryctl/entry.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryadmin"
 )
 
-// urls are the entries' URLs from the flags.
+// urls returns the entries' URLs from the flags.
 func (a *app) urls() []string {
 	var out []string
 	for _, e := range a.Entries {
@@ -25,39 +25,39 @@
 	return out
 }
 
-// first calls the entries in turn until one answers.
-func first[T any](a *app, call func(*ferryadmin.Client) (T, error)) (T, error) {
-	v, _, err := firstOf(a, call)
+// firstAnswer calls the entries in order until one answers.
+func firstAnswer[T any](a *app, call func(*ferryadmin.Client) (T, error)) (T, error) {
+	v, _, err := firstAnswerWithURL(a, call)
 	return v, err
 }
 
-// firstOf is first, and also returns the URL of the entry that answered.
-func firstOf[T any](a *app, call func(*ferryadmin.Client) (T, error)) (T, string, error) {
+// firstAnswerWithURL is like firstAnswer and also returns the URL of the entry that answered.
+func firstAnswerWithURL[T any](a *app, call func(*ferryadmin.Client) (T, error)) (T, string, error) {
 	var zero T
 	var errs []error
 	for _, u := range a.urls() {
-		v, err := call(ferryadmin.NewClient(u, a.Token, a.keys))
+		v, err := call(ferryadmin.NewClient(u, a.Token, a.tlsConfig))
 		if !errors.As(err, new(*ferryadmin.UnreachableError)) {
 			return v, u, err
 		}
 		errs = append(errs, err)
 	}
 	if len(errs) == 0 {
-		return zero, "", errors.New("no --entry given")
+		return zero, "", errors.New("no entry URL: --entry is empty")
 	}
 	return zero, "", errors.Join(errs...)
 }
 
-// reply is one entry's answer.
+// reply is the answer of one entry.
 type reply[T any] struct {
 	name  string
 	value T
 	err   error
 }
 
-// all asks one entry for the list of entries, and then calls each of them.
-func all[T any](a *app, call func(*ferryadmin.Client) (T, error)) ([]reply[T], error) {
-	st, from, err := firstOf(a, func(c *ferryadmin.Client) (ferryadmin.Status, error) { return c.Status(a.ctx) })
+// callAll gets the list of entries from the first entry that answers, and calls each of them concurrently.
+func callAll[T any](a *app, call func(*ferryadmin.Client) (T, error)) ([]reply[T], error) {
+	st, from, err := firstAnswerWithURL(a, func(c *ferryadmin.Client) (ferryadmin.Status, error) { return c.Status(a.ctx) })
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	var wg sync.WaitGroup
 	for i, name := range names {
 		wg.Go(func() {
-			v, err := call(ferryadmin.NewClient(urls[name], a.Token, a.keys))
+			v, err := call(ferryadmin.NewClient(urls[name], a.Token, a.tlsConfig))
 			replies[i] = reply[T]{name, v, err}
 		})
 	}
@@ -79,7 +79,7 @@
 	return replies, nil
 }
 
-// scheme is the part of a URL before the host.
+// scheme returns the scheme of a URL with its separator, http:// if there is none.
 func scheme(u string) string {
 	p, err := url.Parse(u)
 	if err != nil || p.Scheme == "" {
@@ -88,17 +88,18 @@
 	return p.Scheme + "://"
 }
 
-// partial says which entries did not answer, and is nil if all did.
-func partial[T any](a *app, replies []reply[T]) error {
-	var silent []string
+// reportUnanswered prints the errors of entries that did not answer and returns an error that lists them, nil
+// if all did.
+func reportUnanswered[T any](a *app, replies []reply[T]) error {
+	var unanswered []string
 	for _, r := range replies {
 		if r.err != nil {
 			fmt.Fprintf(a.err, "%s: %v\n", r.name, r.err)
-			silent = append(silent, r.name)
+			unanswered = append(unanswered, r.name)
 		}
 	}
-	if len(silent) == 0 {
+	if len(unanswered) == 0 {
 		return nil
 	}
-	return &exitError{exitPartial, fmt.Errorf("no answer from %s; what they have in force is not known", strings.Join(silent, ", "))}
+	return &exitError{exitPartial, fmt.Errorf("no answer from %s; the versions in force there are not known", strings.Join(unanswered, ", "))}
 }
--- a/ferryctl/file.go
+++ b/ferryctl/file.go
@@ -11,18 +11,18 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// maxFileBytes bounds what is read of a file.
+// maxFileBytes is the maximum size of a file.
 const maxFileBytes = 1 << 20
 
-// headerRE matches the comment that get writes before a document.
+// headerRE matches the header line that the subcommand get writes before a document.
 var headerRE = regexp.MustCompile(`^# ferryctl: service (\S+) generation (\d+) hash (\S+)\n`)
 
-// header is the comment that get writes before a document.
+// header returns the header line that the subcommand get writes before a document.
 func header(a ferryservice.Accepted) string {
 	return fmt.Sprintf("# ferryctl: service %s generation %d hash %s\n", a.Service, a.Generation, a.Hash())
 }
 
-// documentFile is a document as it was read from a file.
+// documentFile is a document read from a file.
 type documentFile struct {
 	source   string
 	document ferryservice.Document
@@ -30,7 +30,8 @@
 	hasBase  bool
 }
 
-// readDocument reads a file, - being the standard input, takes the header off and checks the rest.
+// readDocument reads a file, or standard input if name is "-", parses the header line and validates the
+// document.
 func (a *app) readDocument(name string) (documentFile, error) {
 	b, err := a.readFile(name)
 	if err != nil {
@@ -43,7 +44,7 @@
 			return documentFile{}, fmt.Errorf("%s: line 1: generation: %w", name, err)
 		}
 		f.base, f.hasBase = ferryid.Generation(n), true
-		// The line stays as a blank one while checking, so that faults name the lines of the file.
+		// A blank line replaces the header for validation, so that faults have the line numbers of the file.
 		f.source = string(b[len(m[0]):])
 		b = append([]byte("\n"), f.source...)
 	} else {
@@ -68,7 +69,7 @@
 		return nil, err
 	}
 	if len(b) > maxFileBytes {
-		return nil, fmt.Errorf("%s: more than %d bytes", name, maxFileBytes)
+		return nil, fmt.Errorf("%s: file larger than %d bytes", name, maxFileBytes)
 	}
 	return b, nil
 }
--- a/ferryctl/get.go
+++ b/ferryctl/get.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-const getHelp = `Prints the document in force of a service, with a first line that names its version for apply; without SERVICE, lists the documents.
+const getHelp = `Prints the document in force of a service, with a header line that records its version for apply. Without SERVICE, lists the documents.
 
 Example:
   ferryctl get parlour-api > parlour-api.toml`
@@ -44,7 +44,7 @@
 }
 
 func (c *getCommand) list() error {
-	docs, err := first(c.app, func(cl *ferryadmin.Client) ([]ferryservice.Accepted, error) { return cl.Documents(c.app.ctx) })
+	docs, err := firstAnswer(c.app, func(cl *ferryadmin.Client) ([]ferryservice.Accepted, error) { return cl.Documents(c.app.ctx) })
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	return w.Flush()
 }
 
-// document fetches the document in force of a service.
+// document returns the document in force of a service.
 func (a *app) document(service ferryid.ServiceName) (ferryservice.Accepted, error) {
-	return first(a, func(cl *ferryadmin.Client) (ferryservice.Accepted, error) { return cl.Document(a.ctx, service) })
+	return firstAnswer(a, func(cl *ferryadmin.Client) (ferryservice.Accepted, error) { return cl.Document(a.ctx, service) })
 }
--- a/ferryctl/lint.go
+++ b/ferryctl/lint.go
@@ -6,7 +6,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const lintHelp = `Checks FILE without an entry and prints every fault with its line and field.
+const lintHelp = `Checks FILE without calling an entry and prints all faults with their lines and fields.
 
 Example:
   ferryctl lint parlour-api.toml`
--- a/ferryctl/main.go
+++ b/ferryctl/main.go
@@ -17,9 +17,9 @@
 	"cactusferry.dev/ferry/ferrydocument"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitDone       = 0
+	exitSuccess    = 0
 	exitDiffers    = 1
 	exitUsage      = 2
 	exitLostRace   = 3
@@ -28,33 +28,33 @@
 	exitPartial    = 6
 )
 
-const longHelp = `ferryctl changes service documents and shows what the entries do.
+const longHelp = `ferryctl applies service documents and shows the state of the entries.
 
-Exit codes: 0 done, 1 the texts differ (diff), 2 wrong usage or a faulty document, 3 lost a race, 4 not known whether accepted, 5 refused or no entry answered, 6 some entries did not answer.`
+Exit codes: 0 success, 1 the texts differ (diff), 2 usage error or invalid document, 3 lost race, 4 outcome not known, 5 refused or no entry answered, 6 some entries did not answer.`
 
 // globalOptions are the flags of every subcommand.
 type globalOptions struct {
-	Entries     []string `long:"entry" value-name:"URL" env:"FERRYCTL_ENTRY" env-delim:"," default:"http://127.0.0.1:9101" description:"operators' address of an entry; may be given more than once, or as a list with commas, and the first that answers is used"`
-	Token       string   `long:"token" value-name:"TOKEN" env:"FERRYCTL_TOKEN" description:"operators' token"`
-	Certificate string   `long:"tls-certificate" value-name:"FILE" env:"FERRYCTL_TLS_CERTIFICATE" description:"certificate to show to entries with https addresses, in PEM; needs the next two"`
-	Key         string   `long:"tls-key" value-name:"FILE" env:"FERRYCTL_TLS_KEY" description:"its private key"`
-	Authorities string   `long:"tls-ca" value-name:"FILE" env:"FERRYCTL_TLS_CA" description:"certificates of the authorities that sign the entries'"`
+	Entries     []string `long:"entry" value-name:"URL" env:"FERRYCTL_ENTRY" env-delim:"," default:"http://127.0.0.1:9101" description:"URL of an entry's operator API; may be repeated or separated by commas, the first entry that answers is used"`
+	Token       string   `long:"token" value-name:"TOKEN" env:"FERRYCTL_TOKEN" description:"operator token"`
+	Certificate string   `long:"tls-certificate" value-name:"FILE" env:"FERRYCTL_TLS_CERTIFICATE" description:"client certificate for entries with https URLs, in PEM; requires --tls-key and --tls-ca"`
+	Key         string   `long:"tls-key" value-name:"FILE" env:"FERRYCTL_TLS_KEY" description:"private key of the client certificate, in PEM"`
+	Authorities string   `long:"tls-ca" value-name:"FILE" env:"FERRYCTL_TLS_CA" description:"CA certificates for the certificates of entries, in PEM"`
 }
 
-// app is what each subcommand works with.
+// app holds the state shared by the subcommands.
 type app struct {
 	globalOptions
-	keys *tls.Config
-	ctx  context.Context
-	in   io.Reader
-	out  io.Writer
-	err  io.Writer
+	tlsConfig *tls.Config
+	ctx       context.Context
+	in        io.Reader
+	out       io.Writer
+	err       io.Writer
 }
 
-// subcommands are added by the file of each one.
+// subcommands holds the functions that register the subcommands; each file adds its own in init.
 var subcommands []func(*app, *flags.Parser) error
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -75,7 +75,7 @@
 func run(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer) int {
 	a := &app{ctx: ctx, in: in, out: out, err: errOut}
 	p := flags.NewNamedParser("ferryctl", flags.HelpFlag|flags.PassDoubleDash)
-	p.ShortDescription = "operators' command of cactusferry"
+	p.ShortDescription = "command-line client of cactusferry's operator API"
 	p.LongDescription = longHelp
 	if _, err := p.AddGroup("Global Options", "", &a.globalOptions); err != nil {
 		return a.fail(err)
@@ -86,7 +86,7 @@
 		}
 	}
 	p.CommandHandler = func(cmd flags.Commander, rest []string) error {
-		if err := a.loadKeys(); err != nil {
+		if err := a.loadTLSConfig(); err != nil {
 			return err
 		}
 		return cmd.Execute(rest)
@@ -95,28 +95,28 @@
 	return a.fail(err)
 }
 
-// loadKeys reads the files of the flags, if any are given.
-func (a *app) loadKeys() error {
+// loadTLSConfig loads the certificate, key and authorities of the TLS flags, if given.
+func (a *app) loadTLSConfig() error {
 	if a.Certificate == "" && a.Key == "" && a.Authorities == "" {
 		return nil
 	}
 	if a.Certificate == "" || a.Key == "" || a.Authorities == "" {
 		return errors.New("--tls-certificate, --tls-key and --tls-ca must be given together")
 	}
-	keys, err := ferrycert.Client(a.Certificate, a.Key, a.Authorities)
-	a.keys = keys
+	tlsConfig, err := ferrycert.Client(a.Certificate, a.Key, a.Authorities)
+	a.tlsConfig = tlsConfig
 	return err
 }
 
-// fail prints an error and returns its exit code.
+// fail prints an error, if any, and returns the exit code.
 func (a *app) fail(err error) int {
-	var bad *flags.Error
+	var flagsErr *flags.Error
 	switch {
 	case err == nil:
-		return exitDone
-	case errors.As(err, &bad) && bad.Type == flags.ErrHelp:
+		return exitSuccess
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
 		fmt.Fprintln(a.out, err)
-		return exitDone
+		return exitSuccess
 	}
 	fmt.Fprintln(a.err, "ferryctl:", err)
 	return exitCode(err)
@@ -124,20 +124,20 @@
 
 func exitCode(err error) int {
 	var (
-		own        *exitError
-		lost       *ferrydocument.LostRaceError
-		unresolved *ferrydocument.UnresolvedError
-		refused    *ferryadmin.RefusedError
-		silent     *ferryadmin.UnreachableError
+		exit        *exitError
+		lost        *ferrydocument.LostRaceError
+		unresolved  *ferrydocument.UnresolvedError
+		refused     *ferryadmin.RefusedError
+		unreachable *ferryadmin.UnreachableError
 	)
 	switch {
-	case errors.As(err, &own):
-		return own.code
+	case errors.As(err, &exit):
+		return exit.code
 	case errors.As(err, &lost):
 		return exitLostRace
 	case errors.As(err, &unresolved):
 		return exitUnresolved
-	case errors.As(err, &refused), errors.As(err, &silent):
+	case errors.As(err, &refused), errors.As(err, &unreachable):
 		return exitRefused
 	}
 	return exitUsage
--- a/ferryctl/main_test.go
+++ b/ferryctl/main_test.go
@@ -25,7 +25,7 @@
 
 var addressRE = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 
-// deadAddress has a port on which nothing listens, and that the system never gives away.
+// deadAddress has a port on which nothing listens and that is outside the range of ephemeral ports.
 const deadAddress = "127.0.0.1:1"
 
 const plainText = "Service = \"parlour-api\"\nTeam = \"stoyanovi\"\nKind = \"Plain\"\n"
@@ -35,8 +35,8 @@
 	At: time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC), Source: plainText,
 }
 
-// entry is a stand-in for one entry's operators' API.
-type entry struct {
+// fakeEntry is a fake of an entry's operator API.
+type fakeEntry struct {
 	name    string
 	status  ferryadmin.Status
 	events  ferryevent.Events
@@ -45,7 +45,7 @@
 	token   string
 }
 
-func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.token = r.Header.Get("Authorization")
 	var body map[string]any
 	if r.Method == http.MethodPost {
@@ -53,39 +53,40 @@
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /admin/status":
-		send(w, http.StatusOK, e.status)
+		sendJSON(w, http.StatusOK, e.status)
 	case "GET /admin/events":
-		send(w, http.StatusOK, e.events)
+		sendJSON(w, http.StatusOK, e.events)
 	case "GET /admin/documents":
-		send(w, http.StatusOK, []ferryservice.Accepted{accepted})
+		sendJSON(w, http.StatusOK, []ferryservice.Accepted{accepted})
 	case "GET /admin/documents/parlour-api":
-		send(w, http.StatusOK, accepted)
+		sendJSON(w, http.StatusOK, accepted)
 	case "GET /admin/claims":
-		send(w, http.StatusOK, []map[string]string{{"Key": r.URL.Query().Get("key"), "State": "Ran"}})
+		sendJSON(w, http.StatusOK, []map[string]string{{"Key": r.URL.Query().Get("key"), "State": "Ran"}})
 	case "POST /admin/drain":
 		w.WriteHeader(http.StatusNoContent)
 	case "POST /admin/documents/parlour-api":
 		e.applied = append(e.applied, body)
 		e.answer(w, body)
 	default:
-		send(w, http.StatusNotFound, map[string]any{"status": 404, "detail": "no such service"})
+		sendJSON(w, http.StatusNotFound, map[string]any{"status": 404, "detail": "no such service"})
 	}
 }
 
-func send(w http.ResponseWriter, status int, v any) {
+func sendJSON(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func accept(w http.ResponseWriter, _ map[string]any) { send(w, http.StatusOK, accepted) }
+func sendAccepted(w http.ResponseWriter, _ map[string]any) { sendJSON(w, http.StatusOK, accepted) }
 
-// fleet starts two entries that answer, and names a third that does not.
-func fleet(t *testing.T) (*entry, string, func(string) string) {
-	var entries []*entry
+// startEntries starts two fake entries that list a third one, which does not answer. It returns the first
+// entry, its URL and a function that replaces addresses by constant names.
+func startEntries(t *testing.T) (*fakeEntry, string, func(string) string) {
+	var entries []*fakeEntry
 	var urls []string
 	var rows []ferryadmin.EntryStatus
 	for i := range 2 {
-		e := &entry{name: fmt.Sprintf("entry-%d", i+1), answer: accept}
+		e := &fakeEntry{name: fmt.Sprintf("entry-%d", i+1), answer: sendAccepted}
 		srv := httptest.NewServer(e)
 		t.Cleanup(srv.Close)
 		entries, urls = append(entries, e), append(urls, srv.URL)
@@ -109,14 +110,14 @@
 	return entries[0], urls[0], clean
 }
 
-// call runs a command line and returns all that it printed, with its exit code.
-func call(t *testing.T, clean func(string) string, args ...string) string {
+// runCommand runs a command line and returns its output, errors and exit code.
+func runCommand(t *testing.T, clean func(string) string, args ...string) string {
 	var out, errOut bytes.Buffer
 	code := run(t.Context(), args, strings.NewReader(""), &out, &errOut)
 	return clean(fmt.Sprintf("%s--- errors\n%s--- exit %d\n", out.String(), errOut.String(), code))
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	name := filepath.Join(t.TempDir(), "parlour-api.toml")
 	assert.NilError(t, os.WriteFile(name, []byte(text), 0o600))
 	return name
@@ -125,13 +126,13 @@
 func TestOutputs(t *testing.T) {
 	fetched := header(accepted) + plainText
 	lostRace := func(w http.ResponseWriter, _ map[string]any) {
-		send(w, http.StatusConflict, ferryadmin.LostRace{Winner: accepted, Diff: "--- base\n+++ theirs\n"})
+		sendJSON(w, http.StatusConflict, ferryadmin.LostRace{Winner: accepted, Diff: "--- base\n+++ theirs\n"})
 	}
 	unresolved := func(w http.ResponseWriter, _ map[string]any) {
-		send(w, http.StatusAccepted, ferryadmin.Unresolved{ApplyID: "x", Command: "ferryctl apply FILE --base 7 --apply-id x"})
+		sendJSON(w, http.StatusAccepted, ferryadmin.Unresolved{ApplyID: "x", Command: "ferryctl apply FILE --base 7 --apply-id x"})
 	}
 	refuse := func(w http.ResponseWriter, _ map[string]any) {
-		send(w, http.StatusServiceUnavailable, map[string]any{"status": 503, "detail": "the platform is down; nothing was applied"})
+		sendJSON(w, http.StatusServiceUnavailable, map[string]any{"status": 503, "detail": "the platform is down; nothing was applied"})
 	}
 	hangUp := func(http.ResponseWriter, map[string]any) { panic(http.ErrAbortHandler) }
 	tests := []struct {
@@ -140,13 +141,13 @@
 		answer func(http.ResponseWriter, map[string]any)
 		args   []string
 	}{
-		{"apply", fetched, accept, []string{"apply", "FILE", "--operator", "ivana"}},
+		{"apply", fetched, sendAccepted, []string{"apply", "FILE", "--operator", "ivana"}},
 		{"apply-lost-race", fetched, lostRace, []string{"apply", "FILE", "--operator", "petar"}},
 		{"apply-unresolved", fetched, unresolved, []string{"apply", "FILE", "--operator", "petar"}},
 		{"apply-refused", fetched, refuse, []string{"apply", "FILE", "--operator", "petar"}},
 		{"apply-hung-up", fetched, hangUp, []string{"apply", "FILE", "--operator", "petar", "--apply-id", "x"}},
-		{"apply-without-base", plainText, accept, []string{"apply", "FILE", "--operator", "petar"}},
-		{"apply-faulty", strings.Replace(fetched, `"Plain"`, `"Odd"`, 1) + "Colour = 3\n", accept, []string{"apply", "FILE", "--operator", "petar"}},
+		{"apply-without-base", plainText, sendAccepted, []string{"apply", "FILE", "--operator", "petar"}},
+		{"apply-faulty", strings.Replace(fetched, `"Plain"`, `"Odd"`, 1) + "Colour = 3\n", sendAccepted, []string{"apply", "FILE", "--operator", "petar"}},
 		{"get", "", nil, []string{"get", "parlour-api"}},
 		{"get-list", "", nil, []string{"get"}},
 		{"get-unknown", "", nil, []string{"get", "other"}},
@@ -165,9 +166,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e, url, clean := fleet(t)
+			e, url, clean := startEntries(t)
 			e.answer = tt.answer
-			file := write(t, tt.text)
+			file := writeFile(t, tt.text)
 			args := []string{"--entry", url}
 			if tt.name == "apply-hung-up" {
 				args = append(args, "--entry", "http://"+deadAddress)
@@ -175,7 +176,7 @@
 			for _, a := range tt.args {
 				args = append(args, strings.Replace(a, "FILE", file, 1))
 			}
-			got := call(t, clean, args...)
+			got := runCommand(t, clean, args...)
 			got = strings.ReplaceAll(got, file, "FILE")
 			got = addressRE.ReplaceAllString(got, "ADDRESS")
 			golden.Assert(t, got, tt.name+".golden")
@@ -183,23 +184,23 @@
 	}
 }
 
-func TestApplySendsTheEditedVersion(t *testing.T) {
-	e, url, clean := fleet(t)
-	file := write(t, header(accepted)+plainText)
-	call(t, clean, "--entry", url, "--token", "secret", "apply", file, "--operator", "ivana", "--apply-id", "x")
+func TestApplyRequest(t *testing.T) {
+	e, url, clean := startEntries(t)
+	file := writeFile(t, header(accepted)+plainText)
+	runCommand(t, clean, "--entry", url, "--token", "secret", "apply", file, "--operator", "ivana", "--apply-id", "x")
 	assert.DeepEqual(t, e.applied, []map[string]any{{"Source": plainText, "BaseGeneration": 7.0, "Operator": "ivana", "ApplyID": "x"}})
 	assert.Equal(t, e.token, "Bearer secret")
 }
 
-func TestSecondEntryIsAskedWhenTheFirstIsGone(t *testing.T) {
-	_, url, clean := fleet(t)
+func TestSecondEntryIsUsedIfFirstIsUnreachable(t *testing.T) {
+	_, url, clean := startEntries(t)
 	t.Setenv("FERRYCTL_ENTRY", "http://"+deadAddress+","+url)
-	assert.Equal(t, call(t, clean, "get", "parlour-api"), header(accepted)+plainText+"--- errors\n--- exit 0\n")
+	assert.Equal(t, runCommand(t, clean, "get", "parlour-api"), header(accepted)+plainText+"--- errors\n--- exit 0\n")
 }
 
-// TestExamplesWork runs each command that a help text shows.
-func TestExamplesWork(t *testing.T) {
-	_, url, _ := fleet(t)
+// TestHelpExamples runs each example in the help texts.
+func TestHelpExamples(t *testing.T) {
+	_, url, _ := startEntries(t)
 	t.Setenv("FERRYCTL_ENTRY", url)
 	t.Chdir(t.TempDir())
 	ran := 0
@@ -214,7 +215,7 @@
 			ran++
 			runExample(t, line)
 		}
-		assert.Assert(t, strings.Contains(help.String(), "ferryctl "+name), "%s shows no example", name)
+		assert.Assert(t, strings.Contains(help.String(), "ferryctl "+name), "help of %s has no example", name)
 	}
 	assert.Assert(t, ran >= len(commandNames(t)), "%d examples", ran)
 }
@@ -238,8 +239,8 @@
 	}
 	var out, errOut bytes.Buffer
 	code := run(t.Context(), strings.Fields(command)[1:], nil, &out, &errOut)
-	// One entry of the fleet never answers.
-	assert.Assert(t, code == exitDone || code == exitPartial, "%s: exit %d: %s", line, code, errOut.String())
+	// One of the entries never answers.
+	assert.Assert(t, code == exitSuccess || code == exitPartial, "%s: exit %d: %s", line, code, errOut.String())
 	if redirected {
 		assert.NilError(t, os.WriteFile(file, out.Bytes(), 0o600))
 	}
--- a/ferryctl/status.go
+++ b/ferryctl/status.go
@@ -13,7 +13,7 @@
 	"cactusferry.dev/ferry/ferryadmin"
 )
 
-const statusHelp = `Asks every entry what it is doing and which version of each document is in force there.
+const statusHelp = `Shows the state of every entry and the versions of the documents in force there.
 
 Example:
   ferryctl status`
@@ -24,14 +24,14 @@
 
 func init() {
 	subcommands = append(subcommands, func(a *app, p *flags.Parser) error {
-		_, err := p.AddCommand("status", "show what is in force where", statusHelp, &statusCommand{app: a})
+		_, err := p.AddCommand("status", "show the entries and the documents in force", statusHelp, &statusCommand{app: a})
 		return err
 	})
 }
 
 // Execute runs the subcommand.
 func (c *statusCommand) Execute([]string) error {
-	replies, err := all(c.app, func(cl *ferryadmin.Client) (ferryadmin.Status, error) { return cl.Status(c.app.ctx) })
+	replies, err := callAll(c.app, func(cl *ferryadmin.Client) (ferryadmin.Status, error) { return cl.Status(c.app.ctx) })
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	if err := writeDocuments(c.app.out, replies); err != nil {
 		return err
 	}
-	return partial(c.app, replies)
+	return reportUnanswered(c.app, replies)
 }
 
 func writeEntries(out io.Writer, replies []reply[ferryadmin.Status]) error {
@@ -74,7 +74,7 @@
 	return n
 }
 
-// writeDocuments shows each version of each document and the entries where it is in force.
+// writeDocuments prints each version of each document with the entries where it is in force.
 func writeDocuments(out io.Writer, replies []reply[ferryadmin.Status]) error {
 	where := map[ferryadmin.DocumentStatus][]string{}
 	for _, r := range replies {
--- a/ferryctl/timeline.go
+++ b/ferryctl/timeline.go
@@ -11,15 +11,15 @@
 	"cactusferry.dev/ferry/ferryevent"
 )
 
-const timelineHelp = `Merges the events of all entries in causal order. The trace format opens in a browser's trace viewer, such as chrome://tracing or ui.perfetto.dev.
+const timelineHelp = `Shows the events of all entries, merged in causal order. The trace format can be opened in a trace viewer such as chrome://tracing or ui.perfetto.dev.
 
 Example:
   ferryctl timeline --format trace > timeline.json`
 
 type timelineCommand struct {
 	app     *app
-	Format  string `long:"format" choice:"text" choice:"json" choice:"trace" default:"text" description:"form of the output"`
-	Subject string `long:"subject" value-name:"TEXT" description:"show only events of this subject, such as a service, a stream or a request"`
+	Format  string `long:"format" choice:"text" choice:"json" choice:"trace" default:"text" description:"output format"`
+	Subject string `long:"subject" value-name:"TEXT" description:"show only the events of this subject, such as a service, a stream or a request"`
 }
 
 func init() {
@@ -31,7 +31,7 @@
 
 // Execute runs the subcommand.
 func (c *timelineCommand) Execute([]string) error {
-	replies, err := all(c.app, func(cl *ferryadmin.Client) (ferryevent.Events, error) { return cl.Events(c.app.ctx) })
+	replies, err := callAll(c.app, func(cl *ferryadmin.Client) (ferryevent.Events, error) { return cl.Events(c.app.ctx) })
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	if err := c.write(ferryevent.Merge(lists...)); err != nil {
 		return err
 	}
-	return partial(c.app, replies)
+	return reportUnanswered(c.app, replies)
 }
 
 func (c *timelineCommand) write(events ferryevent.Events) error {
