--- a/ferry/ferrydocument/model_test.go
+++ b/ferry/ferrydocument/model_test.go
@@ -201,7 +201,7 @@
 	e.action = e.watch.next(msg, m.clock.Now())
 }
 
-// gossip lets one entry learn from another's answer to its digest.
+// gossip delivers one entry's answer to the digest of another, unless the link is partitioned.
 func (m *model) gossip(t *rapid.T) {
 	i := rapid.IntRange(0, modelEntries-1).Draw(t, "from")
 	j := rapid.IntRange(0, modelEntries-1).Draw(t, "to")
--- a/ferry/ferrydocument/watchcore.go
+++ b/ferry/ferrydocument/watchcore.go
@@ -77,7 +77,7 @@
 	relist      time.Duration
 	failures    int
 	repairs     []repairStore
-	// seen is the generation last read from the store, per service.
+	// storeGenerations is the generation last read from the store, per service.
 	storeGenerations map[ferryid.ServiceName]ferryid.Generation
 }
 
--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -76,8 +76,8 @@
 	generated      []string
 	ready          bool
 	epochTokens    int
-	// drained is set if a draining engine refused the current epoch; the next epoch is then not charged as a
-	// retry.
+	// refusedByDraining is set if a draining engine refused the current epoch; the next epoch is then not
+	// charged as a retry.
 	refusedByDraining bool
 	failures          int
 	waits             int
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -63,7 +63,7 @@
 	worst float64
 	sum   float64
 	link  float64
-	// candidate is the last stage of the chain, or onNoPlan.
+	// candidate is the last stage of the chain, or noCandidate.
 	candidate int
 	prev      int
 }
@@ -80,7 +80,7 @@
 	link        [maxDomains][maxDomains]float64
 	fixed       [][]int
 	labels      []label
-	// chain holds the chosen candidates, cuts the layer at which each one ends.
+	// chain holds the chosen candidates, stageEnds the layer at which each one ends.
 	chain     []int
 	stageEnds []ferryid.Layer
 }
--- a/ferry/ferrypipeline/pool.go
+++ b/ferry/ferrypipeline/pool.go
@@ -37,7 +37,7 @@
 	planner *Planner
 	index   map[ferryid.UpstreamName]int
 	loads   []Load
-	// others is the work of other entries on each candidate, according to its load reports.
+	// otherWork is the work of other entries on each candidate, according to its load reports.
 	otherWork      []ferryid.Tokens
 	reported       []time.Time
 	excluded       []bool
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -92,7 +92,7 @@
 	done       chan struct{}
 	callerDone <-chan struct{}
 	deadline   <-chan struct{}
-	// reading is cancelled by the caller's end or the deadline, so that neither waits for a silent engine.
+	// readCtx is cancelled by the caller's end or the deadline, so that neither waits for a silent engine.
 	readCtx     context.Context
 	stopReading context.CancelFunc
 	toStart     *ferryengine.RunRequest
