--- a/ferry/ferrypipeline/planner_test.go
+++ b/ferry/ferrypipeline/planner_test.go
@@ -256,7 +256,7 @@
 		tt.change(&bad)
 		assert.Assert(t, pool.Report(bad) != nil, tt.name)
 	}
-	assert.Equal(t, pool.Refused(), 5)
+	assert.Equal(t, pool.RefusedReports(), 5)
 	first := pick()
 	assert.Equal(t, first.Stages[0].Name, ferryid.UpstreamName("quick"), "a refused report changed the choice")
 	assert.NilError(t, pool.Report(good))
--- a/ferry/ferrypipeline/pool.go
+++ b/ferry/ferrypipeline/pool.go
@@ -38,12 +38,12 @@
 	index   map[ferryid.UpstreamName]int
 	loads   []Load
 	// otherWork is the work of other entries on each candidate, according to its load reports.
-	otherWork      []ferryid.Tokens
-	reported       []time.Time
-	excluded       []bool
-	refusedReports int
-	suspects       map[ferryid.UpstreamName]suspicion
-	scratch        Plan
+	otherWork    []ferryid.Tokens
+	reported     []time.Time
+	excluded     []bool
+	refusedCount int
+	suspects     map[ferryid.UpstreamName]suspicion
+	scratch      Plan
 }
 
 // NewPool returns a pool of the planner's candidates; loads is parallel to them.
@@ -249,7 +249,7 @@
 		err = &ReportError{Name: l.Name, Detail: "a newer report was received before"}
 	}
 	if err != nil {
-		p.refusedReports++
+		p.refusedCount++
 		return err
 	}
 	p.reported[i] = l.At
@@ -263,9 +263,9 @@
 	return nil
 }
 
-// Refused returns the number of refused reports.
-func (p *Pool) Refused() int {
+// RefusedReports returns the number of refused reports.
+func (p *Pool) RefusedReports() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refusedReports
+	return p.refusedCount
 }
