--- a/ferry/ferrybudget/budget_test.go
+++ b/ferry/ferrybudget/budget_test.go
@@ -53,24 +53,24 @@
 				reported = usage[at-lag]
 			}
 			for i, b := range entries {
-				var told []Spent
+				var reports []Spent
 				for j, s := range reported {
 					if j != i && s.Repeats > b.UnreportedLimit() {
-						told = append(told, s)
+						reports = append(reports, s)
 					}
 				}
-				b.SetReported(told)
+				b.SetReported(reports)
 			}
-			now, told := 0, make([]Spent, n)
+			now, used := 0, make([]Spent, n)
 			for i, b := range entries {
 				for range rapid.IntRange(0, 60).Draw(t, "wanted") {
 					if b.TakeRetry() {
 						now++
 					}
 				}
-				told[i] = b.Own()
+				used[i] = b.Own()
 			}
-			spent, usage = append(spent, now), append(usage, told)
+			spent, usage = append(spent, now), append(usage, used)
 			clock.Advance(step)
 		}
 		for from := range spent {
