--- a/ferry/ferryduty/duty_test.go
+++ b/ferry/ferryduty/duty_test.go
@@ -100,11 +100,11 @@
 	for slot := range 3500 {
 		held[ferryduty.Holders(ms, ferryduty.Slot("limits", slot), 1)[0]]++
 	}
-	most := 0
+	maxHeld := 0
 	for _, n := range held {
-		most = max(most, n)
+		maxHeld = max(maxHeld, n)
 	}
-	assert.Assert(t, most < 30, "one entry holds %d duties, mean 10", most)
+	assert.Assert(t, maxHeld < 30, "one entry holds %d duties, mean 10", maxHeld)
 }
 
 // TestBackoffStaysWithinTotalRate has all entries lose the platform at the same time and counts their calls in each
--- a/ferry/ferryforward/oracle_test.go
+++ b/ferry/ferryforward/oracle_test.go
@@ -122,20 +122,20 @@
 // its route permits, no incomplete answer may look complete, and no request that ran may be reported as NotRun.
 func checkAnswer(target, id string, a callerAnswer, runs int) string {
 	streaming := strings.HasPrefix(target, "/events/") || strings.HasPrefix(target, "/live/")
-	most := 2
+	maxRuns := 2
 	if target == "/once/x" || target == "/live/x" {
-		most = 1
+		maxRuns = 1
 	}
-	full := "answer to " + id
+	complete := "answer to " + id
 	if streaming {
-		full = completeStream(id, streamLength)
+		complete = completeStream(id, streamLength)
 	}
 	switch {
-	case runs > most:
+	case runs > maxRuns:
 		return fmt.Sprintf("ran %d times", runs)
-	case a.err != nil && (!streaming || !strings.HasPrefix(full, a.body)):
+	case a.err != nil && (!streaming || !strings.HasPrefix(complete, a.body)):
 		return fmt.Sprintf("answer aborted after %q: %v", a.body, a.err)
-	case a.err == nil && a.status == http.StatusOK && a.body != full:
+	case a.err == nil && a.status == http.StatusOK && a.body != complete:
 		return fmt.Sprintf("answer was %q", a.body)
 	case a.err == nil && a.header.Get("Outcome") == string(ferryoutcome.NotRun) && runs > 0:
 		return fmt.Sprintf("outcome NotRun, but ran %d times", runs)
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -112,7 +112,7 @@
 	return w, nil
 }
 
-// errUnsigned reports a success status without an upstream's signature, which comes from some other server.
+// errUnsigned reports a success status without an upstream's signature, which another server may have sent.
 var errUnsigned = errors.New("upstream answer not accepted: success without the upstream's signature, or with a content encoding")
 
 // countAndMayRetry reports whether a request that an upstream answered with a server error may be retried at
@@ -215,7 +215,7 @@
 	w.pick.Done(w.load)
 }
 
-// deliverRest streams a long answer to the caller, and aborts the caller's answer if the upstream's breaks off.
+// deliverRest streams a long answer to the caller, and aborts the caller's answer if the upstream's fails.
 func (f *Forwarder) deliverRest(r *request, w *bufferedAnswer) {
 	defer w.rest.Close()
 	s, err := r.call.Stream(w.status, w.header)
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -189,7 +189,7 @@
 
 var (
 	// errStalled ends a run that exceeded its idle timeout or could not be rerouted.
-	errStalled = errors.New("run ended: no progress within its idle timeout")
+	errStalled = errors.New("run ended: no progress")
 	// errCallerWrite reports that writing to the caller failed.
 	errCallerWrite = errors.New("answer to the caller could not be written")
 )
