--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -73,7 +73,7 @@
 	stopped bool
 	// lastSlowReroute is the time of the last move off slow engines. Only check uses it, and its calls never overlap.
 	lastSlowReroute time.Time
-	// seenVersion is the engines' version that the path was last checked against. Only the forwarding goroutine uses it.
+	// seenVersion is the version of the engines at the last drain check; only the forwarding goroutine uses it.
 	seenVersion int64
 }
 
