--- a/ferry/example/main.go
+++ b/ferry/example/main.go
@@ -53,7 +53,7 @@
 	// Accepted documents come into force here and never go back to an earlier generation.
 	documents := ferrydocument.NewHolder(clock, events)
 	watcher := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: store, Holder: documents, Clock: clock, Seed: 1})
-	watcher.Watching(true)
+	watcher.SetWatching(true)
 
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(ctx, address, node.Handler()) })
--- a/ferry/ferrybalance/balancer.go
+++ b/ferry/ferrybalance/balancer.go
@@ -62,7 +62,7 @@
 	b.states = b.states[:0]
 	for _, u := range list {
 		r := old[ferryid.UpstreamName(u.Name)]
-		if r == nil || !r.up.SameRun(u) {
+		if r == nil || !r.up.SameProcess(u) {
 			r = &upstreamState{}
 		}
 		r.up = u
--- a/ferry/ferrybudget/budget.go
+++ b/ferry/ferrybudget/budget.go
@@ -40,7 +40,7 @@
 	began       time.Time
 	entries     int
 	reportDelay time.Duration
-	others      Spent
+	others      Usage
 	reportedAt  time.Time
 	// recent holds the times of the retries that may not have reached the other entries yet.
 	recent    []time.Time
@@ -65,18 +65,18 @@
 	b.entries, b.reportDelay = max(minEntries, n), max(minReportDelay, reportDelay)
 }
 
-// Spent is the usage of one or more entries in the last window; Repeats counts retries.
-type Spent struct {
+// Usage is the usage of one or more entries in the last window; Repeats counts retries.
+type Usage struct {
 	Requests int
 	Repeats  int
 }
 
 // Own returns this entry's usage in the last window.
-func (b *Budget) Own() Spent {
+func (b *Budget) Own() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	return Spent{Requests: sum(b.requests), Repeats: sum(b.repeats)}
+	return Usage{Requests: sum(b.requests), Repeats: sum(b.repeats)}
 }
 
 // UnreportedLimit returns the number of retries per window up to which this entry need not report its usage.
@@ -95,11 +95,11 @@
 
 // SetReported sets the usage reported by other entries; it is called several times a second. Entries that report
 // nothing are assumed to have used what they need not report.
-func (b *Budget) SetReported(reports []Spent) {
+func (b *Budget) SetReported(reports []Usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limit := b.unreportedLimit()
-	sum := Spent{Repeats: limit * max(0, b.entries-1-len(reports))}
+	sum := Usage{Repeats: limit * max(0, b.entries-1-len(reports))}
 	for _, s := range reports {
 		sum.Requests += s.Requests
 		sum.Repeats += max(limit, s.Repeats)
--- a/ferry/ferrybudget/budget_test.go
+++ b/ferry/ferrybudget/budget_test.go
@@ -45,15 +45,15 @@
 		}
 		const step = 100 * time.Millisecond
 		var spent []int     // in each step
-		var usage [][]Spent // what the entries had spent after each step
+		var usage [][]Usage // what the entries had spent after each step
 		lag := rapid.IntRange(1, 3).Draw(t, "lag")
 		for at := range rapid.IntRange(20, 160).Draw(t, "steps") {
-			reported := make([]Spent, n)
+			reported := make([]Usage, n)
 			if at >= lag {
 				reported = usage[at-lag]
 			}
 			for i, b := range entries {
-				var reports []Spent
+				var reports []Usage
 				for j, s := range reported {
 					if j != i && s.Repeats > b.UnreportedLimit() {
 						reports = append(reports, s)
@@ -61,7 +61,7 @@
 				}
 				b.SetReported(reports)
 			}
-			now, used := 0, make([]Spent, n)
+			now, used := 0, make([]Usage, n)
 			for i, b := range entries {
 				for range rapid.IntRange(0, 60).Draw(t, "wanted") {
 					if b.TakeRetry() {
@@ -121,7 +121,7 @@
 	b := New(config(clock))
 	b.SetEntries(20, 0)
 	assert.Equal(t, b.UnreportedLimit(), 3, "three tenths of 200 divided by 20")
-	b.SetReported([]Spent{{Repeats: 400}})
+	b.SetReported([]Usage{{Repeats: 400}})
 	for range 3 {
 		assert.Assert(t, b.TakeRetry(), "unreported share not available after others used up the budget")
 	}
--- a/ferry/ferryclaim/attempt.go
+++ b/ferry/ferryclaim/attempt.go
@@ -203,7 +203,7 @@
 	}
 	p := ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun,
 		"only the entry %s may run this ticket; this call was not run", id)
-	return end(p.Because(&ElsewhereError{Incarnation: id}))
+	return end(p.WithCause(&ElsewhereError{Incarnation: id}))
 }
 
 func (a *attempt) startTicket(now time.Time) step {
--- a/ferry/ferryclaim/claims.go
+++ b/ferry/ferryclaim/claims.go
@@ -104,7 +104,7 @@
 	case call.Ticket != "":
 		t, err := c.tickets.Open(call.Ticket)
 		if err != nil {
-			return nil, ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "no ticket of ours").Because(err)
+			return nil, ferryoutcome.New(ferryoutcome.KindBadRequest, ferryoutcome.NotRun, "no ticket of ours").WithCause(err)
 		}
 		a.ticket = &t
 	case call.Key == "" || len(call.Key) > maxKeyBytes:
--- a/ferry/ferryclaim/replay.go
+++ b/ferry/ferryclaim/replay.go
@@ -46,7 +46,7 @@
 
 func inProgress() error {
 	return ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.Unknown,
-		"a call with this key or ticket is in progress").After(progressRetryAfter)
+		"a call with this key or ticket is in progress").WithRetryAfter(progressRetryAfter)
 }
 
 func keyReused() error {
@@ -62,12 +62,12 @@
 		return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun,
 			"more keys are being claimed than the platform may be asked about; this call was not run, "+
 				"and earlier calls with the key were not looked up: retry with the same key").
-			After(max(budget.RetryAfter, progressRetryAfter)).Because(err)
+			WithRetryAfter(max(budget.RetryAfter, progressRetryAfter)).WithCause(err)
 	}
 	return ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun,
 		"the key can't be claimed while the platform is away; this call was not run, "+
 			"and earlier calls with the key were not looked up: retry with the same key").
-		After(platformRetryAfter).Because(err)
+		WithRetryAfter(platformRetryAfter).WithCause(err)
 }
 
 func holderUnreachable(r Ref) error {
@@ -81,10 +81,10 @@
 
 func claimLost() error {
 	return ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun,
-		"the claim was given up before anything was sent; retry with the same key").After(progressRetryAfter)
+		"the claim was given up before anything was sent; retry with the same key").WithRetryAfter(progressRetryAfter)
 }
 
 func claimTimedOut(err error) error {
 	return ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.NotRun,
-		"the key could not be claimed in time; this call was not run").After(progressRetryAfter).Because(err)
+		"the key could not be claimed in time; this call was not run").WithRetryAfter(progressRetryAfter).WithCause(err)
 }
--- a/ferry/ferrydiscovery/table.go
+++ b/ferry/ferrydiscovery/table.go
@@ -33,8 +33,8 @@
 	return u.State == ferryplatform.StateLive
 }
 
-// SameRun reports whether both describe the same process of an upstream.
-func (u *Upstream) SameRun(o *Upstream) bool {
+// SameProcess reports whether both describe the same process of an upstream.
+func (u *Upstream) SameProcess(o *Upstream) bool {
 	return u.Name == o.Name && u.Address == o.Address && u.Started.Equal(o.Started)
 }
 
@@ -95,9 +95,9 @@
 	Removed  bool
 }
 
-// Lost marks the platform as unreachable. Upstreams whose entries expire during the
+// MarkUnreachable marks the platform as unreachable. Upstreams whose entries expire during the
 // outage may still be running.
-func (t *Table) Lost() {
+func (t *Table) MarkUnreachable() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outage = true
--- a/ferry/ferrydiscovery/table_test.go
+++ b/ferry/ferrydiscovery/table_test.go
@@ -67,7 +67,7 @@
 	clock := clockwork.NewFakeClock()
 	tb := NewTable(clock)
 	tb.Replace([]Upstream{live("a", 1), live("b", 2), up("c", 3, ferryplatform.StateLeaving)}, 3)
-	tb.Lost()
+	tb.MarkUnreachable()
 	clock.Advance(time.Minute)
 	assert.Equal(t, list(tb), "a b -c", "no upstream is removed during an outage")
 	tb.Replace([]Upstream{}, 9)
@@ -90,7 +90,7 @@
 	b.Started = time.Unix(200, 0)
 	moved := a
 	moved.Address = "elsewhere:1"
-	assert.Assert(t, a.SameRun(&a))
-	assert.Assert(t, !a.SameRun(&b))
-	assert.Assert(t, !a.SameRun(&moved))
+	assert.Assert(t, a.SameProcess(&a))
+	assert.Assert(t, !a.SameProcess(&b))
+	assert.Assert(t, !a.SameProcess(&moved))
 }
--- a/ferry/ferrydocument/bench_test.go
+++ b/ferry/ferrydocument/bench_test.go
@@ -101,7 +101,7 @@
 	store := ferryplatformtest.New(clock)
 	h := ferrydocument.NewHolder(clock, nil)
 	w := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: store, Holder: h, Clock: clock})
-	w.Watching(true)
+	w.SetWatching(true)
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -116,7 +116,7 @@
 		return whole
 	}
 	for _, r := range d {
-		if r.Service != a.Service || r.Hash != f.previous.base || !r.Differences {
+		if r.Service != a.Service || r.Hash != f.previous.base || !r.AcceptsDeltas {
 			continue
 		}
 		delta := f.previous.get(f.Accepted.Source)
--- a/ferry/ferrydocument/digest.go
+++ b/ferry/ferrydocument/digest.go
@@ -15,7 +15,7 @@
 	Generation ferryid.Generation  `json:"Generation" cbor:"2,keyasint"`
 	Hash       string              `json:"Hash" cbor:"3,keyasint"`
 	// Differences is set if the sender of the digest accepts deltas to this version.
-	Differences bool `json:"-" cbor:"4,keyasint,omitempty"`
+	AcceptsDeltas bool `json:"-" cbor:"4,keyasint,omitempty"`
 }
 
 // Digest lists the versions of all documents in force, sorted by service name.
@@ -35,7 +35,7 @@
 	all := h.All()
 	out := make(Digest, 0, len(all))
 	for _, f := range all {
-		out = append(out, DigestRow{Service: f.Accepted.Service, Generation: f.Accepted.Generation, Hash: f.Hash, Differences: true})
+		out = append(out, DigestRow{Service: f.Accepted.Service, Generation: f.Accepted.Generation, Hash: f.Hash, AcceptsDeltas: true})
 	}
 	return out
 }
--- a/ferry/ferrydocument/update_test.go
+++ b/ferry/ferrydocument/update_test.go
@@ -57,7 +57,7 @@
 			}
 			d := behind.Digest()
 			for i := range d {
-				d[i].Differences = !tc.refuses
+				d[i].AcceptsDeltas = !tc.refuses
 			}
 			us := ahead.Updates(d)
 			assert.Equal(t, len(us), 1)
--- a/ferry/ferrydocument/watcher.go
+++ b/ferry/ferrydocument/watcher.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Watching enables or disables watching; disabling cancels an outstanding request.
-func (w *Watcher) Watching(on bool) {
+// SetWatching enables or disables watching; disabling cancels an outstanding request.
+func (w *Watcher) SetWatching(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.watching == on {
--- a/ferry/ferrydocument/watcher_test.go
+++ b/ferry/ferrydocument/watcher_test.go
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcher(t)
 		w.apply(t, "one", 0)
-		w.watcher.Watching(true)
+		w.watcher.SetWatching(true)
 		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(1))
 		w.apply(t, "two", 1)
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcher(t)
 		w.apply(t, "one", 0)
-		w.watcher.Watching(true)
+		w.watcher.SetWatching(true)
 		<-w.updates.Ready()
 		w.store.SetFaults(ferryplatformtest.Faults{Outage: true})
 		for w.store.Calls().List < 3 {
@@ -107,14 +107,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Run(ctx) }()
-		w.Watching(true)
+		w.SetWatching(true)
 		<-store.began
-		w.Watching(false)
+		w.SetWatching(false)
 		<-store.ended
 		_, err := ferrydocument.Apply(t.Context(), store, clock, request("one", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, h.Len(), 0)
-		w.Watching(true)
+		w.SetWatching(true)
 		<-store.began
 		assert.Equal(t, h.Len(), 1)
 		cancel()
@@ -128,7 +128,7 @@
 		w.apply(t, "one", 0)
 		w.store.Snapshot()
 		w.apply(t, "two", 1)
-		w.watcher.Watching(true)
+		w.watcher.SetWatching(true)
 		<-w.updates.Ready()
 		assert.Equal(t, w.generation(), ferryid.Generation(2))
 		assert.Assert(t, w.store.Restore())
--- a/ferry/ferrydrain/marks.go
+++ b/ferry/ferrydrain/marks.go
@@ -186,8 +186,8 @@
 	return ms.merge(m), nil
 }
 
-// Fresh removes and returns the encoded marks that changed since the last call, to be pushed to peers.
-func (ms *Marks) Fresh() [][]byte {
+// TakeChanged removes and returns the encoded marks that changed since the last call, to be pushed to peers.
+func (ms *Marks) TakeChanged() [][]byte {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	var out [][]byte
--- a/ferry/ferryforward/destination.go
+++ b/ferry/ferryforward/destination.go
@@ -35,7 +35,7 @@
 		if c := r.service.balancer.Pick(slices.Concat(r.avoid, r.full), r.repeatable()); c != nil {
 			return singleUpstream{c}, nil
 		}
-		return nil, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream of the service takes work.").After(retryAfterNoUpstream)
+		return nil, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream of the service takes work.").WithRetryAfter(retryAfterNoUpstream)
 	}
 	run, err := r.service.chooser.Pick(ferrypath.Work{Prompt: r.Prompt, Answer: r.expectedTokens(), Avoid: slices.Concat(r.avoid, r.full)})
 	switch {
@@ -43,7 +43,7 @@
 		r.service.congestion.recordRefusal(f.cfg.Clock.Now())
 		return nil, f.overloadProblem(r, err)
 	case err != nil:
-		return nil, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No engines hold the whole model now.").After(retryAfterNoUpstream).Because(err)
+		return nil, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No engines hold the whole model now.").WithRetryAfter(retryAfterNoUpstream).WithCause(err)
 	}
 	return enginePath{run}, nil
 }
--- a/ferry/ferryforward/forwarder.go
+++ b/ferry/ferryforward/forwarder.go
@@ -18,7 +18,7 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// Config configures a Forwarder; all fields but MaxAge, OthersServe and Started are required.
+// Config configures a Forwarder; all fields but MaxProofAge, OthersServe and Started are required.
 type Config struct {
 	Clock clockwork.Clock
 	// Steady is a clock that also advances while the instance is suspended.
@@ -36,9 +36,9 @@
 	Rerouter Rerouter
 	Log      zerolog.Logger
 	Scope    tally.Scope
-	// MaxAge is the maximum age of the proof that the configuration is current, for requests with a key; zero
+	// MaxProofAge is the maximum age of the proof that the configuration is current, for requests with a key; zero
 	// means no limit.
-	MaxAge time.Duration
+	MaxProofAge time.Duration
 }
 
 // Forwarder forwards requests to upstreams.
@@ -57,7 +57,7 @@
 		cfg: cfg, log: rateLimited(cfg, problemLinesPerSecond), successLog: rateLimited(cfg, successLinesPerSecond),
 		metrics: metrics{cfg.Scope}, prober: newProber(cfg.Client, cfg.Clock),
 	}
-	f.SetMaxAge(cfg.MaxAge)
+	f.SetMaxProofAge(cfg.MaxProofAge)
 	return f
 }
 
@@ -71,9 +71,9 @@
 	return ferrylog.New(ferrylog.Config{Log: cfg.Log, Clock: cfg.Clock, PerSecond: perSecond, Scope: cfg.Scope})
 }
 
-// SetMaxAge sets the maximum age of the proof that the configuration is current, for requests with a key; zero
+// SetMaxProofAge sets the maximum age of the proof that the configuration is current, for requests with a key; zero
 // means no limit.
-func (f *Forwarder) SetMaxAge(d time.Duration) {
+func (f *Forwarder) SetMaxProofAge(d time.Duration) {
 	f.maxAge.Store(int64(d))
 }
 
@@ -126,7 +126,7 @@
 	}
 	s := f.cfg.Holder.Current()
 	if s == nil {
-		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").After(retryAfterRestart)
+		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").WithRetryAfter(retryAfterRestart)
 	}
 	r.version = s.Version
 	if age, proved := f.cfg.Holder.Age(f.cfg.Steady.Now()); proved {
@@ -147,7 +147,7 @@
 	}
 	r.service = f.cfg.Services.get(r.route.Target(xxhash.Sum64String(string(r.ID))))
 	if r.service == nil {
-		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "The route's service is not known here yet.").After(retryAfterRestart)
+		return r, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "The route's service is not known here yet.").WithRetryAfter(retryAfterRestart)
 	}
 	r.header = ferryexchange.EndToEndHeaders(c.Header)
 	return r, nil
@@ -165,9 +165,9 @@
 	if limit := time.Duration(f.maxAge.Load()); limit > 0 && (r.proofAge == noProof || r.proofAge >= limit) {
 		p := ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The keys were last known to be valid %s ago, the limit is %s.", r.proofAge.Round(time.Millisecond), limit)
 		if f.cfg.OthersServe != nil && f.cfg.OthersServe() {
-			return p.After(retryAfterStale)
+			return p.WithRetryAfter(retryAfterStale)
 		}
-		return p.After(retryAfterOutage)
+		return p.WithRetryAfter(retryAfterOutage)
 	}
 	customer := s.Customer(r.Key)
 	if customer == nil {
--- a/ferry/ferryforward/harness_test.go
+++ b/ferry/ferryforward/harness_test.go
@@ -230,7 +230,7 @@
 	services.SetEntries(map[ferryid.DomainName]int{"d": 1}, 0)
 	b.forwarder = New(Config{
 		Clock: clock, Steady: clock, Holder: b.holder, Services: services, Dialect: testDialect{}, Client: b.client, Rerouter: b.rerouter,
-		Log: zerolog.Nop(), Scope: tally.NoopScope, MaxAge: maxAge,
+		Log: zerolog.Nop(), Scope: tally.NoopScope, MaxProofAge: maxAge,
 	})
 	b.listen()
 	return b
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -22,7 +22,7 @@
 	for {
 		pick := r.service.balancer.Pick(r.avoid, r.repeatable())
 		if pick == nil {
-			f.answerFailure(ctx, r, last, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream of the service takes work.").After(retryAfterNoUpstream))
+			f.answerFailure(ctx, r, last, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream of the service takes work.").WithRetryAfter(retryAfterNoUpstream))
 			return
 		}
 		if r.arrived > 0 && !f.takeRetry(r) {
@@ -56,7 +56,7 @@
 	}
 	if r.mayHaveRun && last.Outcome == ferryoutcome.NotRun {
 		// An earlier attempt may have run, so NotRun from the last one does not hold for the request.
-		last = ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "An upstream broke off, and then: %s", last.Detail).Because(last.Cause)
+		last = ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "An upstream broke off, and then: %s", last.Detail).WithCause(last.Cause)
 	}
 	f.answerProblem(r, last)
 }
@@ -146,7 +146,7 @@
 			return f.timeoutProblem(r, ferryoutcome.NotRun, err)
 		}
 		pick.Unreachable()
-		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").After(retryAfterNoUpstream).Because(err)
+		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").WithRetryAfter(retryAfterNoUpstream).WithCause(err)
 	}
 	r.arrived++
 	return f.handleBrokenExchange(ctx, r, pick, err)
@@ -166,11 +166,11 @@
 		return f.timeoutProblem(r, ferryoutcome.Unknown, err)
 	}
 	pick.Failed()
-	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off; the call may have run.").Because(err)
+	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off; the call may have run.").WithCause(err)
 }
 
 func (f *Forwarder) timeoutProblem(r *request, o ferryoutcome.Outcome, err error) *ferryoutcome.Problem {
-	return ferryoutcome.New(ferryoutcome.KindTimeout, o, "The time for the call ran out after %s.", f.cfg.Clock.Since(r.call.At).Round(time.Millisecond)).Because(err)
+	return ferryoutcome.New(ferryoutcome.KindTimeout, o, "The time for the call ran out after %s.", f.cfg.Clock.Since(r.call.At).Round(time.Millisecond)).WithCause(err)
 }
 
 // handleRefusal returns the problem of a call that the upstream refused without running it.
--- a/ferry/ferryforward/refuse.go
+++ b/ferry/ferryforward/refuse.go
@@ -39,7 +39,7 @@
 // duration of the congestion.
 func (f *Forwarder) overloadProblem(r *request, err error) *ferryoutcome.Problem {
 	after := r.service.congestion.retryAfter(f.cfg.Clock.Now())
-	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "The upstreams have no room.").After(after).Because(err)
+	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "The upstreams have no room.").WithRetryAfter(after).WithCause(err)
 }
 
 // answerProblem logs a problem and sends it to the caller, unless the call has been answered already.
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -102,10 +102,10 @@
 	return out
 }
 
-// Spent returns this entry's use of the retry budgets in the last window, for the services where it exceeds what
+// RetryUsage returns this entry's use of the retry budgets in the last window, for the services where it exceeds what
 // may go unreported.
-func (s *Services) Spent() map[ferryid.ServiceName]ferrybudget.Spent {
-	out := map[ferryid.ServiceName]ferrybudget.Spent{}
+func (s *Services) RetryUsage() map[ferryid.ServiceName]ferrybudget.Usage {
+	out := map[ferryid.ServiceName]ferrybudget.Usage{}
 	for name, sv := range *s.current.Load() {
 		if own := sv.budget.Own(); own.Repeats > sv.budget.UnreportedLimit() {
 			out[name] = own
@@ -114,8 +114,8 @@
 	return out
 }
 
-// SetSpent sets the use of the retry budgets reported by other entries, by service.
-func (s *Services) SetSpent(reported map[ferryid.ServiceName][]ferrybudget.Spent) {
+// SetRetryUsage sets the use of the retry budgets reported by other entries, by service.
+func (s *Services) SetRetryUsage(reported map[ferryid.ServiceName][]ferrybudget.Usage) {
 	for name, sv := range *s.current.Load() {
 		sv.budget.SetReported(reported[name])
 	}
--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -182,7 +182,7 @@
 // inspect probes the engines of the path and reroutes the run around dead or slow ones.
 func (d *watchdog) inspect(silent time.Duration) {
 	hops := d.run.Path().Hops()
-	dead := d.prober.deadHops(hops, d.run.Quiet(d.cfg.Clock.Now().Add(-livenessTTL)))
+	dead := d.prober.deadHops(hops, d.run.WithoutProgress(d.cfg.Clock.Now().Add(-livenessTTL)))
 	if len(dead) == 0 {
 		if slow := d.run.Slow(); len(slow) > 0 && silent >= slowRerouteGap && d.cfg.Clock.Since(d.lastSlowReroute) >= slowRerouteInterval {
 			d.lastSlowReroute = d.cfg.Clock.Now()
@@ -194,7 +194,7 @@
 	var deadNames []ferryid.UpstreamName
 	for _, i := range dead {
 		name := hops[i].Upstream.Name
-		d.run.Chooser().Dead(name)
+		d.run.Chooser().MarkDown(name)
 		deadNames = append(deadNames, ferryid.UpstreamName(name))
 	}
 	d.log.Warn().Str("Request", string(d.r.ID)).Dur("Silent", silent).Strs("Dead", names(deadNames)).Msg("engines failed the liveness probe")
@@ -245,7 +245,7 @@
 			cancel()
 		}
 		if err == nil {
-			d.run.Move(to)
+			d.run.SwitchTo(to)
 			d.metrics.retried(d.r.service.name, "Moved")
 			d.log.Info().Str("Request", string(d.r.ID)).Str("Path", formatDestination(enginePath{d.run})).Msg("run rerouted")
 			return true
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -358,7 +358,7 @@
 	hop := hops[c.run.Path().At(address)]
 	go func() {
 		if dead := s.prober.deadHops([]ferrypath.Hop{hops[0], hop}, []int{0, 1}); slices.Contains(dead, 1) {
-			c.run.Chooser().Dead(hop.Upstream.Name)
+			c.run.Chooser().MarkDown(hop.Upstream.Name)
 		}
 	}()
 }
@@ -374,7 +374,7 @@
 			return s.timeoutProblem(s.r, ferryoutcome.NotRun, err)
 		}
 		s.r.avoidUpstream(finishUnreachable(w, ""))
-		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").After(retryAfterNoUpstream).Because(err)
+		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").WithRetryAfter(retryAfterNoUpstream).WithCause(err)
 	}
 	s.r.arrived++
 	return s.handleBrokenRun(ctx, w, err)
@@ -400,7 +400,7 @@
 	} else {
 		s.r.avoidUpstream(finishFailed(w))
 	}
-	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off.").Because(err)
+	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off.").WithCause(err)
 }
 
 // endedByEntry reports whether this entry ended the run itself, while its first upstream was alive.
--- a/ferry/ferryforward/stream_test.go
+++ b/ferry/ferryforward/stream_test.go
@@ -164,7 +164,7 @@
 		for name, held := range engineLayers {
 			if held.From == 2 {
 				b.upstreams[name].l.Close()
-				b.forwarder.cfg.Services.Chooser("llm").Dead(name)
+				b.forwarder.cfg.Services.Chooser("llm").MarkDown(name)
 			}
 		}
 		a := b.call("POST", "/gen/x", "1")
--- a/ferry/ferrylimit/counter.go
+++ b/ferry/ferrylimit/counter.go
@@ -87,8 +87,8 @@
 	return got
 }
 
-// Sweep deletes the buckets of idle customers.
-func (c *Counter) Sweep(now time.Time) {
+// PurgeIdle deletes the buckets of idle customers.
+func (c *Counter) PurgeIdle(now time.Time) {
 	for k, b := range c.buckets {
 		if now.Sub(b.updated) >= idleRetention {
 			delete(c.buckets, k)
--- a/ferry/ferrylimit/idle_test.go
+++ b/ferry/ferrylimit/idle_test.go
@@ -27,7 +27,7 @@
 	now := t0
 	for range 40 {
 		s.Allow(testKey, 1, now)
-		now = now.Add(Tick / 2)
+		now = now.Add(AskInterval / 2)
 		exchangeAsks(s, c, now)
 	}
 	held := s.shares[testKey].balance
@@ -35,14 +35,14 @@
 	left := c.buckets[testKey].tokens
 	back := Units(0)
 	for range 4 {
-		now = now.Add(Tick)
+		now = now.Add(AskInterval)
 		for _, a := range exchangeAsks(s, c, now) {
 			back -= min(0, a.Want)
 		}
 	}
 	assert.Equal(t, back, held)
 	assert.Assert(t, c.buckets[testKey].tokens >= min(10, left+back))
-	assert.Assert(t, s.Quiet())
+	assert.Assert(t, s.Idle())
 }
 
 func TestSingleCallCausesOneAsk(t *testing.T) {
@@ -60,14 +60,14 @@
 			s, c := newSharesAndCounter(tc.limit)
 			calls, asks := 0, 0
 			next := t0
-			for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(Tick) {
+			for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(AskInterval) {
 				if !now.Before(next) {
 					ok, _ := s.Allow(testKey, 1, now)
 					assert.Assert(t, ok)
 					next = now.Add(tc.every)
 					calls++
 				}
-				asks += len(exchangeAsks(s, c, now.Add(Tick/2)))
+				asks += len(exchangeAsks(s, c, now.Add(AskInterval/2)))
 			}
 			assert.Assert(t, float64(asks) <= tc.asks*float64(calls)+3, "%d asks for %d calls", asks, calls)
 		})
@@ -91,16 +91,16 @@
 func TestIdleCustomersArePurged(t *testing.T) {
 	s, c := newSharesAndCounter(10)
 	s.Allow(testKey, 1, t0)
-	s.Sweep(t0.Add(idleRetention))
+	s.PurgeIdle(t0.Add(idleRetention))
 	assert.Equal(t, len(s.shares), 1, "a share with an overdraft was deleted")
-	exchangeAsks(s, c, t0.Add(Tick))
+	exchangeAsks(s, c, t0.Add(AskInterval))
 	now := t0.Add(time.Second)
 	exchangeAsks(s, c, now)
-	exchangeAsks(s, c, now.Add(Tick))
-	assert.Assert(t, s.Quiet())
-	s.Sweep(now)
+	exchangeAsks(s, c, now.Add(AskInterval))
+	assert.Assert(t, s.Idle())
+	s.PurgeIdle(now)
 	assert.Equal(t, len(s.shares), 1)
-	s.Sweep(t0.Add(idleRetention))
+	s.PurgeIdle(t0.Add(idleRetention))
 	assert.Equal(t, len(s.shares), 0)
 }
 
@@ -109,6 +109,6 @@
 	s := NewShares(func(Key) Units { return limit })
 	s.Allow(testKey, 1, t0)
 	limit = 0
-	assert.Equal(t, len(s.Asks(t0.Add(Tick))), 0)
-	assert.Assert(t, s.Quiet())
+	assert.Equal(t, len(s.Asks(t0.Add(AskInterval))), 0)
+	assert.Assert(t, s.Idle())
 }
--- a/ferry/ferrylimit/limit_test.go
+++ b/ferry/ferrylimit/limit_test.go
@@ -46,7 +46,7 @@
 				out[ms/1000]++
 			}
 		}
-		if ms%int(Tick/time.Millisecond) == 0 {
+		if ms%int(AskInterval/time.Millisecond) == 0 {
 			exchangeAll(ss, c, now, silent(ms/1000))
 		}
 	}
@@ -65,7 +65,7 @@
 	for _, s := range ss {
 		asks := s.Asks(now)
 		if silent {
-			s.Unanswered(entries, now)
+			s.AddEvenShares(entries, now)
 			continue
 		}
 		for _, g := range c.Answer(asks, now) {
@@ -130,7 +130,7 @@
 		for i := range 4500 {
 			s.Allow(Key{"s", ferryid.CustomerName(fmt.Sprint("c", i))}, 1, t0)
 		}
-		for _, g := range c.Answer(s.Asks(t0.Add(Tick)), t0) {
+		for _, g := range c.Answer(s.Asks(t0.Add(AskInterval)), t0) {
 			s.Granted(g)
 		}
 		runtime.GC()
--- a/ferry/ferrylimit/share.go
+++ b/ferry/ferrylimit/share.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// Tick is the interval between an entry's asks.
-	Tick = 50 * time.Millisecond
+	// AskInterval is the interval between an entry's asks.
+	AskInterval = 50 * time.Millisecond
 	// overdraftTime sets the overdraft of an entry: the units that the rate yields in this time.
 	overdraftTime = 30 * time.Millisecond
 	// maxAskDelay is how long an ask for an overdraft may be delayed while more can be admitted.
 	maxAskDelay = 500 * time.Millisecond
 	// answerTimeout is how long an entry waits for the answer to an Ask before it takes an even share.
 	answerTimeout = 500 * time.Millisecond
-	idleAfter     = 2 * Tick
+	idleAfter     = 2 * AskInterval
 )
 
 // share is the allowance of one customer at one entry.
@@ -74,11 +74,11 @@
 
 func retryAfter(lack, rate Units) time.Duration {
 	d := time.Duration(float64(lack) / float64(rate) * float64(time.Second))
-	return min(max(d, Tick), time.Minute)
+	return min(max(d, AskInterval), time.Minute)
 }
 
-// Quiet reports whether there is nothing to ask for or to return until the next Allow.
-func (s *Shares) Quiet() bool {
+// Idle reports whether there is nothing to ask for or to return until the next Allow.
+func (s *Shares) Idle() bool {
 	return len(s.active) == 0
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-// Sweep deletes the shares of idle customers.
-func (s *Shares) Sweep(now time.Time) {
+// PurgeIdle deletes the shares of idle customers.
+func (s *Shares) PurgeIdle(now time.Time) {
 	for k, sh := range s.shares {
 		if s.active[k] == nil && now.Sub(sh.lastUse) >= idleRetention {
 			delete(s.shares, k)
@@ -157,15 +157,15 @@
 	sh.balance += g.Got
 }
 
-// Unanswered adds, for each customer whose counting entry does not answer, an even share of the limit
+// AddEvenShares adds, for each customer whose counting entry does not answer, an even share of the limit
 // among the live entries.
-func (s *Shares) Unanswered(live int, now time.Time) {
+func (s *Shares) AddEvenShares(live int, now time.Time) {
 	for k, sh := range s.active {
 		if sh.unansweredSince.IsZero() || now.Sub(sh.unansweredSince) < answerTimeout {
 			continue
 		}
 		if now.Sub(sh.evenShareAt) > 2*answerTimeout {
-			sh.evenShareAt = now.Add(-Tick)
+			sh.evenShareAt = now.Add(-AskInterval)
 		}
 		got := s.rate(k) / Units(max(1, live)) * Units(now.Sub(sh.evenShareAt).Seconds())
 		sh.balance = min(sh.balance+got, max(1, s.rate(k)/Units(max(1, live))*Units(burstTime.Seconds())))
--- a/ferry/ferryorder/core.go
+++ b/ferry/ferryorder/core.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Reported records an engine's report. A pending order must show in the report before the next one is sent.
-func (c *Core) Reported(name ferryid.UpstreamName, rep Report, now time.Time) {
+// ApplyReport records an engine's report. A pending order must show in the report before the next one is sent.
+func (c *Core) ApplyReport(name ferryid.UpstreamName, rep Report, now time.Time) {
 	r, ok := c.runners[name]
 	if !ok {
 		return
--- a/ferry/ferryorder/core_rapid_test.go
+++ b/ferry/ferryorder/core_rapid_test.go
@@ -88,7 +88,7 @@
 
 func (w *orderModel) read(h int) {
 	for i, e := range w.engines {
-		w.cores[h].Reported(nameOf(i), e.report, w.now)
+		w.cores[h].ApplyReport(nameOf(i), e.report, w.now)
 	}
 }
 
@@ -126,7 +126,7 @@
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(w.generation))
 	for i, e := range w.engines {
-		c.Reported(nameOf(i), e.report, w.now)
+		c.ApplyReport(nameOf(i), e.report, w.now)
 	}
 	return c.anyComplete(nil)
 }
--- a/ferry/ferryorder/due.go
+++ b/ferry/ferryorder/due.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// Wake returns the time of the next round, between minInterval and defaultInterval from now.
-func (c *Core) Wake(now time.Time) time.Time {
+// NextRound returns the time of the next round, between minInterval and defaultInterval from now.
+func (c *Core) NextRound(now time.Time) time.Time {
 	at := now.Add(defaultInterval)
 	for _, r := range c.runners {
 		if r.nextRead.Before(at) {
--- a/ferry/ferryorder/generation_test.go
+++ b/ferry/ferryorder/generation_test.go
@@ -14,7 +14,7 @@
 	c.SetWanted(wantedAt(2))
 	c.SetFence(1)
 	for _, r := range wantedAt(2).Runners {
-		c.Reported(r.Name, Report{Target: r.Target, Ready: true}, now)
+		c.ApplyReport(r.Name, Report{Target: r.Target, Ready: true}, now)
 	}
 	sends, blocked := c.Next(now)
 	assert.Equal(t, len(sends)+len(blocked), len(wantedAt(3).Runners))
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Answered applies an answer; reads that started before an engine's last order or report are ignored.
-func (c *Core) Answered(a GroupAsk, ans GroupAnswer, now time.Time) {
+// ApplyAnswer applies an answer; reads that started before an engine's last order or report are ignored.
+func (c *Core) ApplyAnswer(a GroupAsk, ans GroupAnswer, now time.Time) {
 	rs := c.wanted.group(a.Group)
 	if len(rs) == 0 || a.Sum != c.groupChecksums()[a.Group] {
 		return
@@ -148,11 +148,11 @@
 			rep = Report{Target: w.Target, Ready: true}
 		}
 		r.turn = a.turn
-		c.Reported(w.Name, rep, now)
+		c.ApplyReport(w.Name, rep, now)
 	}
 }
 
-// NotAnswered records that the requested engines could not be read.
-func (c *Core) NotAnswered(a GroupAsk, now time.Time) {
-	c.Answered(a, GroupAnswer{Unread: a.Engines}, now)
+// AskFailed records that the requested engines could not be read.
+func (c *Core) AskFailed(a GroupAsk, now time.Time) {
+	c.ApplyAnswer(a, GroupAnswer{Unread: a.Engines}, now)
 }
--- a/ferry/ferryorder/late_test.go
+++ b/ferry/ferryorder/late_test.go
@@ -19,7 +19,7 @@
 // reportAll reports the wanted state of generation 1 for all engines.
 func reportAll(c *Core, now time.Time) {
 	for _, r := range wantedAt(1).Runners {
-		c.Reported(r.Name, Report{Target: r.Target, Ready: true}, now)
+		c.ApplyReport(r.Name, Report{Target: r.Target, Ready: true}, now)
 	}
 }
 
@@ -44,7 +44,7 @@
 			c.SetFence(1)
 			late := c.Due(now)[0]
 			tc.between(c, now)
-			c.Answered(late, GroupAnswer{}, now)
+			c.ApplyAnswer(late, GroupAnswer{}, now)
 			sends, blocked := c.Next(now)
 			n := 0
 			for _, b := range blocked {
@@ -62,13 +62,13 @@
 	c := NewCore(Pace{})
 	c.SetWanted(wantedAt(2))
 	c.SetFence(1)
-	c.Answered(c.Due(now)[0], differingAnswer(1), now)
+	c.ApplyAnswer(c.Due(now)[0], differingAnswer(1), now)
 	sends, _ := c.Next(now)
 	assert.Assert(t, len(sends) > 0)
 	now = now.Add(time.Second)
 	older := c.Due(now)[0]
-	c.Answered(c.Due(now)[0], GroupAnswer{}, now)
-	c.Answered(older, differingAnswer(1), now)
+	c.ApplyAnswer(c.Due(now)[0], GroupAnswer{}, now)
+	c.ApplyAnswer(older, differingAnswer(1), now)
 	again, _ := c.Next(now)
 	for _, a := range again {
 		for _, s := range sends {
@@ -88,7 +88,7 @@
 	for _, s := range sends {
 		c.OrderRefused(s.Name)
 	}
-	c.Answered(late, GroupAnswer{}, now)
+	c.ApplyAnswer(late, GroupAnswer{}, now)
 	_, blocked := c.Next(now)
 	n := 0
 	for _, b := range blocked {
--- a/ferry/ferryorder/orders.go
+++ b/ferry/ferryorder/orders.go
@@ -102,7 +102,7 @@
 	o.blocked.Store(&blocked)
 	o.send(ctx, sends)
 	now := o.cfg.Clock.Now()
-	return o.core.Wake(now).Sub(now)
+	return o.core.NextRound(now).Sub(now)
 }
 
 func (o *Orders) read(ctx context.Context, asks []GroupAsk) {
@@ -112,10 +112,10 @@
 	now := o.cfg.Clock.Now()
 	for i, a := range asks {
 		if errs[i] != nil {
-			o.core.NotAnswered(a, now)
+			o.core.AskFailed(a, now)
 			continue
 		}
-		o.core.Answered(a, answers[i], now)
+		o.core.ApplyAnswer(a, answers[i], now)
 	}
 }
 
--- a/ferry/ferryorder/pace_test.go
+++ b/ferry/ferryorder/pace_test.go
@@ -25,7 +25,7 @@
 	c.SetFence(1)
 	now := time.Unix(1_800_000_000, 0)
 	for _, r := range c.wanted.Runners {
-		c.Reported(r.Name, Report{}, now)
+		c.ApplyReport(r.Name, Report{}, now)
 	}
 	n := 0
 	for end := now.Add(d); !now.After(end); now = now.Add(100 * time.Millisecond) {
--- a/ferry/ferryorder/split_rapid_test.go
+++ b/ferry/ferryorder/split_rapid_test.go
@@ -54,10 +54,10 @@
 	r := w.readings[i]
 	w.readings = append(w.readings[:i:i], w.readings[i+1:]...)
 	if !r.done || r.err != nil {
-		w.cores[r.from].NotAnswered(r.ask, w.now)
+		w.cores[r.from].AskFailed(r.ask, w.now)
 		return
 	}
-	w.cores[r.from].Answered(r.ask, r.ans, w.now)
+	w.cores[r.from].ApplyAnswer(r.ask, r.ans, w.now)
 }
 
 // splitReads replaces the atomic read of all engines by separate actions for ask, read and answer.
@@ -163,7 +163,7 @@
 							seen++
 						}
 					}
-					c.Answered(a, GroupAnswer{}, now)
+					c.ApplyAnswer(a, GroupAnswer{}, now)
 				}
 			}
 			assert.Assert(t, seen <= tc.readings && seen >= tc.readings*9/10, "%d readings", seen)
--- a/ferry/ferryoutcome/outcome_test.go
+++ b/ferry/ferryoutcome/outcome_test.go
@@ -13,7 +13,7 @@
 
 func TestProblemResponse(t *testing.T) {
 	w := httptest.NewRecorder()
-	New(KindOverloaded, NotRun, "All places are taken.").After(1500 * time.Millisecond).Because(errors.New("secret")).Write(w)
+	New(KindOverloaded, NotRun, "All places are taken.").WithRetryAfter(1500 * time.Millisecond).WithCause(errors.New("secret")).Write(w)
 	assert.Equal(t, w.Code, 503)
 	assert.Equal(t, w.Header().Get("Retry-After"), "2")
 	assert.Equal(t, w.Header().Get("Content-Type"), ContentType)
--- a/ferry/ferryoutcome/problem.go
+++ b/ferry/ferryoutcome/problem.go
@@ -87,14 +87,14 @@
 	return &Problem{Kind: k, Title: string(k), Status: status, Outcome: o, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets how long the caller should wait before a retry.
-func (p *Problem) After(d time.Duration) *Problem {
+// WithRetryAfter sets how long the caller should wait before a retry.
+func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// Because sets the underlying error, which is logged and not sent to callers.
-func (p *Problem) Because(err error) *Problem {
+// WithCause sets the underlying error, which is logged and not sent to callers.
+func (p *Problem) WithCause(err error) *Problem {
 	p.Cause = err
 	return p
 }
--- a/ferry/ferrypath/chooser.go
+++ b/ferry/ferrypath/chooser.go
@@ -89,7 +89,7 @@
 		kind, known := m.Accelerator(ferryconfig.AcceleratorName(u.Accelerator))
 		name := ferryid.UpstreamName(u.Name)
 		e := old[name]
-		if e == nil || !e.up.SameRun(u) {
+		if e == nil || !e.up.SameProcess(u) {
 			e = &engine{}
 		}
 		e.up, e.kind = u, kind
@@ -369,7 +369,7 @@
 	delete(c.runs, r)
 	for _, h := range r.Path().hops {
 		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
-		if e != nil && e.up.SameRun(h.Upstream) {
+		if e != nil && e.up.SameProcess(h.Upstream) {
 			f(e, now)
 		}
 	}
--- a/ferry/ferrypath/chooser_test.go
+++ b/ferry/ferrypath/chooser_test.go
@@ -75,9 +75,9 @@
 		err    error
 	}{
 		{"own failure domain preferred", func(*Chooser, time.Time) {}, small, "a1[0,4) a3[4,8)", nil},
-		{"avoids an engine that is down", func(c *Chooser, _ time.Time) { c.Dead("a1") }, small, "a2[0,4) a3[4,8)", nil},
+		{"avoids an engine that is down", func(c *Chooser, _ time.Time) { c.MarkDown("a1") }, small, "a2[0,4) a3[4,8)", nil},
 		{"avoids an engine excluded by the request", func(*Chooser, time.Time) {}, Work{Prompt: 50, Answer: 10, Avoid: []ferryid.UpstreamName{"a1"}}, "a2[0,4) a3[4,8)", nil},
-		{"other domain when its own lacks layers", func(c *Chooser, _ time.Time) { c.Dead("a3") }, small, "b1[0,4) b2[4,8)", nil},
+		{"other domain when its own lacks layers", func(c *Chooser, _ time.Time) { c.MarkDown("a3") }, small, "b1[0,4) b2[4,8)", nil},
 		{"avoids a slow engine", func(c *Chooser, now time.Time) {
 			c.Report("a3", Condition{Pace: 5, Room: 20000}, now)
 		}, small, "b1[0,4) b2[4,8)", nil},
@@ -98,13 +98,13 @@
 			}
 		}, small, "", ErrNoRoom},
 		{"layers without an engine", func(c *Chooser, _ time.Time) {
-			c.Dead("a3")
-			c.Dead("b2")
+			c.MarkDown("a3")
+			c.MarkDown("b2")
 		}, small, "", ErrNoPath},
 		{"uses an engine again once it answers", func(c *Chooser, _ time.Time) {
-			c.Dead("a1")
-			c.Alive("a1")
-			c.Dead("a2")
+			c.MarkDown("a1")
+			c.MarkUp("a1")
+			c.MarkDown("a2")
 		}, small, "a1[0,4) a3[4,8)", nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -151,16 +151,16 @@
 func TestDetour(t *testing.T) {
 	list := append(twoDomains(), upstream("a4", "a", 3, 8))
 	c, _ := chooser(list)
-	c.Dead("a2")
-	c.Dead("a4")
+	c.MarkDown("a2")
+	c.MarkDown("a4")
 	run, err := c.Pick(small)
 	assert.NilError(t, err)
-	c.Alive("a4")
+	c.MarkUp("a4")
 	assert.Equal(t, text(run.Path()), "a1[0,4) a3[4,8)")
 	to, err := run.Detour([]ferryid.UpstreamName{"a3"})
 	assert.NilError(t, err)
 	assert.Equal(t, text(to), "a1[0,4) a4[4,8)")
-	run.Move(to)
+	run.SwitchTo(to)
 	assert.Equal(t, c.byName["a3"].running, 0)
 	assert.Equal(t, c.byName["a4"].running, 1)
 	to, err = run.Detour([]ferryid.UpstreamName{"a3", "a4"})
@@ -177,9 +177,9 @@
 	c, clock := chooser(twoDomains()[:3])
 	run, err := c.Pick(small)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, run.Quiet(clock.Now()), []int{0, 1})
+	assert.DeepEqual(t, run.WithoutProgress(clock.Now()), []int{0, 1})
 	run.Progress(clock.Now())
-	assert.Equal(t, len(run.Quiet(clock.Now())), 0)
+	assert.Equal(t, len(run.WithoutProgress(clock.Now())), 0)
 	c.Report("a3", Condition{Pace: slowPace, Room: 20000}, clock.Now())
 	assert.DeepEqual(t, run.Slow(), []ferryid.UpstreamName{"a3"})
 	assert.Equal(t, len(run.Leaving()), 0)
@@ -243,10 +243,10 @@
 	}
 	name := rapid.SampledFrom(m.list).Draw(rt, "engine").Name
 	if rapid.Bool().Draw(rt, "down") {
-		m.c.Dead(name)
+		m.c.MarkDown(name)
 		return
 	}
-	m.c.Alive(name)
+	m.c.MarkUp(name)
 }
 
 // covered reports whether the engines that are not down hold all layers.
@@ -312,7 +312,7 @@
 	if without != hops[0].Upstream.Name && strings.Contains(text(to)+" ", without+"[") {
 		rt.Fatalf("Detour: path %s contains the excluded engine %s", text(to), without)
 	}
-	run.Move(to)
+	run.SwitchTo(to)
 }
 
 func (m *pathModel) check(rt *rapid.T) {
--- a/ferry/ferrypath/repath.go
+++ b/ferry/ferrypath/repath.go
@@ -63,14 +63,14 @@
 
 // engineOf returns the state of a hop's engine, or an empty state if that process is no longer listed.
 func (c *Chooser) engineOf(h Hop) *engine {
-	if e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]; e != nil && e.up.SameRun(h.Upstream) {
+	if e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]; e != nil && e.up.SameProcess(h.Upstream) {
 		return e
 	}
 	return &engine{up: h.Upstream}
 }
 
-// Move switches the generation to another path.
-func (r *Run) Move(to *Path) {
+// SwitchTo switches the generation to another path.
+func (r *Run) SwitchTo(to *Path) {
 	c := r.chooser
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 func (c *Chooser) count(p *Path, w Work, n int) {
 	for _, h := range p.hops {
 		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
-		if e == nil || !e.up.SameRun(h.Upstream) {
+		if e == nil || !e.up.SameProcess(h.Upstream) {
 			continue
 		}
 		e.running += n
@@ -91,13 +91,13 @@
 	}
 }
 
-// Dead marks an engine as down, so that no work is sent to it until Alive.
-func (c *Chooser) Dead(name string) {
+// MarkDown marks an engine as down, so that no work is sent to it until Alive.
+func (c *Chooser) MarkDown(name string) {
 	c.setDown(name, true)
 }
 
-// Alive marks an engine as up again.
-func (c *Chooser) Alive(name string) {
+// MarkUp marks an engine as up again.
+func (c *Chooser) MarkUp(name string) {
 	c.setDown(name, false)
 }
 
@@ -173,16 +173,16 @@
 	var out []ferryid.UpstreamName
 	for _, h := range r.Path().hops[1:] {
 		e := c.byName[ferryid.UpstreamName(h.Upstream.Name)]
-		if e == nil || !e.up.SameRun(h.Upstream) || !e.up.Ready() || !containsRange(e.up.Layers, h.Layers) {
+		if e == nil || !e.up.SameProcess(h.Upstream) || !e.up.Ready() || !containsRange(e.up.Layers, h.Layers) {
 			out = append(out, ferryid.UpstreamName(h.Upstream.Name))
 		}
 	}
 	return out
 }
 
-// Quiet returns the indices of the path's engines for which no run of this entry has made
+// WithoutProgress returns the indices of the path's engines for which no run of this entry has made
 // progress since the given time.
-func (r *Run) Quiet(since time.Time) []int {
+func (r *Run) WithoutProgress(since time.Time) []int {
 	c := r.chooser
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ferry/ferrypeer/latest.go
+++ b/ferry/ferrypeer/latest.go
@@ -139,7 +139,7 @@
 
 // Topic returns the topic that replicates the map over the overlay.
 func (l *Latest[V]) Topic() Topic {
-	return Topic{Name: l.name, Digest: l.digestBytes, Missing: l.missing, Apply: l.apply, Fresh: l.takeChanged, Volatile: l.volatile}
+	return Topic{Name: l.name, Digest: l.digestBytes, Missing: l.missing, Apply: l.apply, TakeChanged: l.takeChanged, Volatile: l.volatile}
 }
 
 // put stores an entry if it supersedes the current one and there is room; the caller holds l.mu.
--- a/ferry/ferrypeer/spread.go
+++ b/ferry/ferrypeer/spread.go
@@ -33,7 +33,7 @@
 	pulledHash uint64
 }
 
-func (t *topicState) pullOnly() bool { return t.Fresh == nil }
+func (t *topicState) pullOnly() bool { return t.TakeChanged == nil }
 
 // shouldPull reports whether to request the items of a peer with this digest.
 // Each digest is pulled once until pullTimeout has passed without an answer.
@@ -300,14 +300,14 @@
 		o.offerDigest(t, nil)
 		return
 	}
-	o.queueItems(t, t.Fresh(), nil)
+	o.queueItems(t, t.TakeChanged(), nil)
 }
 
 // queueOwnChanges queues the changed records of the membership topics.
 func (o *Overlay) queueOwnChanges() {
 	for _, n := range []TopicName{topicMembers, topicBeats} {
 		t := o.topics[n]
-		items := t.Fresh()
+		items := t.TakeChanged()
 		if len(items) == 0 {
 			continue
 		}
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -404,19 +404,19 @@
 func (t *table) topics() []Topic {
 	return []Topic{
 		{
-			Name:    topicMembers,
-			Digest:  func() []byte { return t.digest(&t.members, memberPair, t.inDigest) },
-			Missing: func(d []byte) []Item { return t.missing(d, memberPair, t.inDigest, encodeRecord) },
-			Apply:   t.apply,
-			Fresh:   func() []Item { return takeItems(&t.changedMembers) },
+			Name:        topicMembers,
+			Digest:      func() []byte { return t.digest(&t.members, memberPair, t.inDigest) },
+			Missing:     func(d []byte) []Item { return t.missing(d, memberPair, t.inDigest, encodeRecord) },
+			Apply:       t.apply,
+			TakeChanged: func() []Item { return takeItems(&t.changedMembers) },
 		},
 		{
-			Name:     topicBeats,
-			Digest:   func() []byte { return t.digest(&t.beats, beatPair, isAlive) },
-			Missing:  func(d []byte) []Item { return t.missing(d, beatPair, isAlive, encodeCompact) },
-			Apply:    t.apply,
-			Fresh:    func() []Item { return takeItems(&t.changedBeats) },
-			Volatile: true,
+			Name:        topicBeats,
+			Digest:      func() []byte { return t.digest(&t.beats, beatPair, isAlive) },
+			Missing:     func(d []byte) []Item { return t.missing(d, beatPair, isAlive, encodeCompact) },
+			Apply:       t.apply,
+			TakeChanged: func() []Item { return takeItems(&t.changedBeats) },
+			Volatile:    true,
 		},
 	}
 }
--- a/ferry/ferrypeer/topic.go
+++ b/ferry/ferrypeer/topic.go
@@ -19,7 +19,7 @@
 	Apply func(Item) (bool, error)
 	// Fresh returns the items changed locally since the last call. If it is nil, changes are offered by digest
 	// and pulled once, which suits large items.
-	Fresh func() []Item
+	TakeChanged func() []Item
 	// Volatile items are refreshed by their writers, so digests are compared only when a link comes up and every 30 s.
 	Volatile bool
 }
--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -127,7 +127,7 @@
 	case DeadlinePassed:
 		return c.abort(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the deadline passed after %d tokens", c.result.Tokens), out)
 	case CallerGone:
-		return c.abort(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the caller went away").Because(m.Err), out)
+		return c.abort(ferryoutcome.New(ferryoutcome.KindTimeout, "", "the caller went away").WithCause(m.Err), out)
 	}
 	return out
 }
@@ -204,7 +204,7 @@
 	notStarted := len(c.generated) == 0 && known == ferryoutcome.NotRun
 	if notStarted || c.waits >= c.cfg.MaxWaits || errors.As(err, &spent) {
 		p := ferryoutcome.New(ferryoutcome.KindUnavailable, "", "no engines are free to run this: %v", err)
-		return c.fail(p.After(retryAfter).Because(err), out)
+		return c.fail(p.WithRetryAfter(retryAfter).WithCause(err), out)
 	}
 	c.waits++
 	c.phase = phaseWaiting
@@ -324,7 +324,7 @@
 	expired := !c.job.Deadline.IsZero() && !now.Before(c.job.Deadline)
 	if expired || c.failures >= c.cfg.MaxFailures || c.result.Epochs >= c.cfg.MaxEpochs {
 		p := ferryoutcome.New(ferryoutcome.KindUpstreamFailed, "", "the engines failed after %d tokens, on %d pipelines", c.result.Tokens, c.result.Epochs)
-		return c.fail(p.Because(err), out)
+		return c.fail(p.WithCause(err), out)
 	}
 	return c.requestPlan(c.epochTokens == 0 && !c.refusedByDraining, out)
 }
--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -72,7 +72,7 @@
 	for _, u := range list {
 		name := ferryid.UpstreamName(u.Name)
 		e := old[name]
-		if e == nil || !e.up.SameRun(u) {
+		if e == nil || !e.up.SameProcess(u) {
 			e = &engine{appearedAt: now}
 			c.recordArrival(now)
 		}
@@ -213,7 +213,7 @@
 // Record records the outcome of an order.
 func (c *Core) Record(s Send, a OrderOutcome, now time.Time) {
 	e := c.engines[ferryid.UpstreamName(s.Upstream.Name)]
-	if e == nil || !e.up.SameRun(s.Upstream) || e.state != sent {
+	if e == nil || !e.up.SameProcess(s.Upstream) || e.state != sent {
 		return
 	}
 	switch a {
--- a/ferry/ferryplain/call.go
+++ b/ferry/ferryplain/call.go
@@ -12,8 +12,8 @@
 // RequestIDHeader is the header with the request id, in calls to upstreams and in answers to callers.
 const RequestIDHeader = "Request-ID"
 
-// KeyHeader is the request header with the caller's idempotency key.
-const KeyHeader = "Idempotency-Key"
+// IdempotencyKeyHeader is the request header with the caller's idempotency key.
+const IdempotencyKeyHeader = "Idempotency-Key"
 
 // hopByHopHeaders are not forwarded; Authorization is included because it holds the caller's key.
 var hopByHopHeaders = []string{
--- a/ferry/ferryplain/client_test.go
+++ b/ferry/ferryplain/client_test.go
@@ -72,7 +72,7 @@
 			})
 			c := New(ClientConfig{})
 			defer c.Close()
-			call := Call{Method: "POST", Path: "/x", Body: []byte("body"), Header: http.Header{KeyHeader: {"k"}}}
+			call := Call{Method: "POST", Path: "/x", Body: []byte("body"), Header: http.Header{IdempotencyKeyHeader: {"k"}}}
 			_, err := c.Do(context.Background(), address, call)
 			var d *DispatchError
 			assert.Assert(t, errors.As(err, &d), "%v", err)
--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -84,7 +84,7 @@
 		return nil, draining()
 	default:
 		a.refused.Add(1)
-		return nil, ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "this entry has too many calls to look at").After(withJitter(time.Second))
+		return nil, ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "this entry has too many calls to look at").WithRetryAfter(withJitter(time.Second))
 	}
 	return a.wait(ctx, m.item.ID, m.reply, m.preempt)
 }
@@ -116,7 +116,7 @@
 	}
 	a.refused.Add(1)
 	a.refusedTokens.Add(int64(max(1, it.Predicted)))
-	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "the service has more work than it can do in time").After(withJitter(retry))
+	return ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "the service has more work than it can do in time").WithRetryAfter(withJitter(retry))
 }
 
 func (a *Admission) wait(ctx context.Context, id ferryid.RequestID, reply chan acquireResult, preempt chan struct{}) (*Grant, error) {
@@ -125,7 +125,7 @@
 		return a.newGrant(id, ans, preempt)
 	case <-ctx.Done():
 		a.post(cancel{id: id, reply: reply})
-		return nil, ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.NotRun, "the caller went away or its time ran out while the call waited").Because(ctx.Err())
+		return nil, ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.NotRun, "the caller went away or its time ran out while the call waited").WithCause(ctx.Err())
 	case <-a.ended:
 	}
 	select {
--- a/ferry/ferryqueue/item.go
+++ b/ferry/ferryqueue/item.go
@@ -31,7 +31,7 @@
 
 // Problem returns the refusal as a problem for the caller; its outcome is always NotRun.
 func (r *Refusal) Problem() *ferryoutcome.Problem {
-	return ferryoutcome.New(r.Kind, ferryoutcome.NotRun, "%s", r.Detail).After(r.RetryAfter)
+	return ferryoutcome.New(r.Kind, ferryoutcome.NotRun, "%s", r.Detail).WithRetryAfter(r.RetryAfter)
 }
 
 // entry is an item in the queue or running.
--- a/ferry/ferryqueue/preempt.go
+++ b/ferry/ferryqueue/preempt.go
@@ -11,8 +11,8 @@
 	preemptAfter = 250 * time.Millisecond
 	// maxPreemptions is how often one item may be preempted.
 	maxPreemptions = 2
-	// maxThrownShare is the limit of repeated work, as a share of the work served.
-	maxThrownShare = 0.02
+	// maxRepeatedShare is the limit of repeated work, as a share of the work served.
+	maxRepeatedShare = 0.02
 	// rebuildCost is the cost of rebuilding one token of history relative to generating one.
 	rebuildCost = 0.05
 )
@@ -59,7 +59,7 @@
 
 // Preempt returns a running item to cancel and resume later, if work with reserved slots has waited too long.
 func (q *Queue) Preempt(now time.Time) (ferryid.RequestID, bool) {
-	if q.Free() > 0 || float64(q.counts.Thrown) > maxThrownShare*float64(q.counts.Served) {
+	if q.Free() > 0 || float64(q.counts.Repeated) > maxRepeatedShare*float64(q.counts.Served) {
 		return "", false
 	}
 	for _, l := range q.classQueues {
@@ -104,7 +104,7 @@
 	e.priorTokens = e.tokens
 	e.Predicted = max(1, e.Predicted-e.tokens)
 	q.counts.Requeued++
-	q.counts.Thrown += ferryid.Tokens(rebuildCost * float64(e.tokens))
+	q.counts.Repeated += ferryid.Tokens(rebuildCost * float64(e.tokens))
 	e.classQueue.addFront(e.flow, e)
 	q.customer(e.Customer).waiting++
 	q.waiting++
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -80,7 +80,7 @@
 	Reclassified uint64         `json:"Reclassified"`
 	Requeued     uint64         `json:"Requeued"`
 	Served       ferryid.Tokens `json:"Served"`
-	Thrown       ferryid.Tokens `json:"Thrown"`
+	Repeated     ferryid.Tokens `json:"Thrown"`
 }
 
 // Queue implements admission without I/O, clock or goroutines; it must not be used concurrently.
@@ -346,7 +346,7 @@
 			return l
 		}
 	}
-	it.Class = q.cfg.Classes.Of(it.Predicted).Name
+	it.Class = q.cfg.Classes.ForTokens(it.Predicted).Name
 	for _, l := range q.classQueues {
 		if l.class.Name == it.Class {
 			return l
--- a/ferry/ferryqueue/queue_test.go
+++ b/ferry/ferryqueue/queue_test.go
@@ -237,7 +237,7 @@
 	assert.Assert(t, q.Requeue(id, b.Arrived.Add(time.Second)))
 	it, _ := q.Next(b.Arrived.Add(time.Second), q.Free())
 	assert.Equal(t, it.ID, ferryid.RequestID("b"))
-	assert.Equal(t, q.Counts().Thrown, ferryid.Tokens(10))
+	assert.Equal(t, q.Counts().Repeated, ferryid.Tokens(10))
 }
 
 func TestPredictorTracksAQuantileOfLengths(t *testing.T) {
--- a/ferry/ferryservice/class.go
+++ b/ferry/ferryservice/class.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Of returns the class for work of n predicted tokens.
-func (cs Classes) Of(n ferryid.Tokens) Class {
+// ForTokens returns the class for work of n predicted tokens.
+func (cs Classes) ForTokens(n ferryid.Tokens) Class {
 	for _, cl := range cs {
 		if cl.MaxTokens == 0 || n <= cl.MaxTokens {
 			return cl
--- a/ferry/ferrystream/resume.go
+++ b/ferry/ferrystream/resume.go
@@ -96,22 +96,22 @@
 	return fmt.Sprintf("regenerated answer differs from the delivered one before token %d", e.Position)
 }
 
-// Seam filters a regenerated answer: it compares the tokens that the caller already has with the history
+// ResumeFilter filters a regenerated answer: it compares the tokens that the caller already has with the history
 // in the resume token and drops them.
-type Seam struct {
+type ResumeFilter struct {
 	resume  Resume
 	next    ferryid.Position
 	history History
 }
 
-// NewSeam returns a Seam for the resume token.
-func NewSeam(r Resume) *Seam {
-	return &Seam{resume: r}
+// NewResumeFilter returns a Seam for the resume token.
+func NewResumeFilter(r Resume) *ResumeFilter {
+	return &ResumeFilter{resume: r}
 }
 
 // Add accepts the next token of the regenerated answer and reports whether the caller still needs it.
 // It returns a *ResumeMismatchError if the answer differs.
-func (s *Seam) Add(t Token) (bool, error) {
+func (s *ResumeFilter) Add(t Token) (bool, error) {
 	if t.Position != s.next {
 		return false, &ResumeMismatchError{Position: t.Position}
 	}
@@ -124,7 +124,7 @@
 }
 
 // End compares the end of the regenerated answer with the token, for a caller that already has every token.
-func (s *Seam) End() error {
+func (s *ResumeFilter) End() error {
 	if s.next < s.resume.Next || (s.next == s.resume.Next && s.history != s.resume.History) {
 		return &ResumeMismatchError{Position: s.next}
 	}
--- a/ferry/ferrystream/seal_test.go
+++ b/ferry/ferrystream/seal_test.go
@@ -103,7 +103,7 @@
 		for _, c := range tt.first[:3] {
 			r.History = r.History.Add(string(c))
 		}
-		seam := ferrystream.NewSeam(r)
+		seam := ferrystream.NewResumeFilter(r)
 		got := ""
 		var failed error
 		for i, c := range tt.second {
--- a/ferry/ferrysubset/subset.go
+++ b/ferry/ferrysubset/subset.go
@@ -21,14 +21,14 @@
 	Layers ferryid.LayerRange
 	// Out is set if the candidate gets no new work, as all entries know. It does not count
 	// towards a subset's needs.
-	Out bool
+	Excluded bool
 	// Lost is set if this entry cannot reach the candidate. It does not count towards this entry's needs,
 	// but towards the sizes on which all entries must agree.
-	Lost bool
+	Unreachable bool
 }
 
 func (c *Candidate) usable() bool {
-	return !c.Out && !c.Lost
+	return !c.Excluded && !c.Unreachable
 }
 
 // Config configures the sizes of subsets.
@@ -58,13 +58,13 @@
 	return c
 }
 
-// Whole reports whether every entry uses all candidates with work.
-func (c Config) Whole(entries, candidates int) bool {
-	return candidates <= c.AllUpTo || c.Copies(entries, candidates) >= float64(entries)
+// UsesAll reports whether every entry uses all candidates with work.
+func (c Config) UsesAll(entries, candidates int) bool {
+	return candidates <= c.AllUpTo || c.EntriesPerCandidate(entries, candidates) >= float64(entries)
 }
 
-// Copies returns the mean number of entries that use a candidate.
-func (c Config) Copies(entries, candidates int) float64 {
+// EntriesPerCandidate returns the mean number of entries that use a candidate.
+func (c Config) EntriesPerCandidate(entries, candidates int) float64 {
 	return max(float64(c.Entries), float64(entries)*float64(c.Size)/float64(max(1, candidates)))
 }
 
@@ -104,14 +104,14 @@
 // ranges that the whole list has then exists in the subset too.
 func (c *Chooser) Choose(self ferryid.EntryName, entries []ferryid.EntryName, candidates []Candidate, out []int) []int {
 	working := c.load(entries, candidates)
-	if c.cfg.Whole(len(entries), working) {
+	if c.cfg.UsesAll(len(entries), working) {
 		for i := range candidates {
 			out = append(out, i)
 		}
 		return out
 	}
 	own := xxhash.Sum64String(string(self))
-	copies := c.cfg.Copies(len(entries), working)
+	copies := c.cfg.EntriesPerCandidate(len(entries), working)
 	for i, h := range c.hashes {
 		if c.uses(own, h, int(copies+unit(h))) {
 			c.add(i)
@@ -141,7 +141,7 @@
 		c.inSubset = append(c.inSubset, false)
 		c.domainOf = append(c.domainOf, c.domain(e.Domain))
 		c.rangeOf = append(c.rangeOf, c.layerRange(e.Layers))
-		if !e.Out {
+		if !e.Excluded {
 			working++
 		}
 		if e.usable() {
--- a/ferry/ferrysubset/subset_test.go
+++ b/ferry/ferrysubset/subset_test.go
@@ -78,7 +78,7 @@
 func (f fleet) withWork() int {
 	n := 0
 	for _, e := range f.engines {
-		if !e.Out {
+		if !e.Excluded {
 			n++
 		}
 	}
@@ -97,7 +97,7 @@
 		seen := map[key]bool{}
 		for _, i := range of {
 			e := f.engines[i]
-			if e.Out || e.Lost {
+			if e.Excluded || e.Unreachable {
 				continue
 			}
 			ranges[e.Layers]++
@@ -128,13 +128,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
 		for i := range f.engines {
-			f.engines[i].Out = rapid.IntRange(0, 9).Draw(t, "out") == 0
-			f.engines[i].Lost = rapid.IntRange(0, 9).Draw(t, "lost") == 0
+			f.engines[i].Excluded = rapid.IntRange(0, 9).Draw(t, "out") == 0
+			f.engines[i].Unreachable = rapid.IntRange(0, 9).Draw(t, "lost") == 0
 		}
 		cfg := ferrysubset.Default
 		worked := make([]int, len(f.engines))
 		mean := float64(len(f.engines))
-		if n := f.withWork(); !cfg.Whole(len(f.entries), n) {
+		if n := f.withWork(); !cfg.UsesAll(len(f.entries), n) {
 			mean *= max(float64(cfg.Entries)/float64(len(f.entries)), float64(cfg.Size)/float64(n))
 		}
 		// Six standard deviations above the mean, and what complete pipelines may need.
@@ -168,7 +168,7 @@
 
 		after = f
 		after.engines = slices.Clone(f.engines)
-		after.engines[rapid.IntRange(0, len(f.engines)-1).Draw(t, "engine")].Out = true
+		after.engines[rapid.IntRange(0, len(f.engines)-1).Draw(t, "engine")].Excluded = true
 		copies := float64(len(before)) / float64(len(f.engines))
 		moved = differences(before, after.assignments())
 		assert.Assert(t, float64(moved) <= 4*copies+30, "%d assignments changed, an engine has %v", moved, copies)
@@ -206,7 +206,7 @@
 	less := fleetOf(349, 1600, 4, 8)
 	t.Logf("%d assignments, %d of them change when one entry leaves", len(before), differences(before, less.assignments()))
 	for i := range f.engines {
-		f.engines[i].Out = f.engines[i].Domain == "domain-3"
+		f.engines[i].Excluded = f.engines[i].Domain == "domain-3"
 	}
 	for _, s := range f.subsets() {
 		f.check(t, s)
@@ -231,7 +231,7 @@
 }
 
 func TestTurnsRotate(t *testing.T) {
-	var turns ferrysubset.Turns
+	var turns ferrysubset.Rotation
 	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{0, 1, 2})
 	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{3, 4, 0})
 	assert.DeepEqual(t, turns.Next(2, 3, nil), []int{1, 0})
--- a/ferry/ferrysubset/turns.go
+++ b/ferry/ferrysubset/turns.go
@@ -1,13 +1,13 @@
 package ferrysubset
 
-// Turns selects engines to be read in rotation. It is not safe for concurrent use.
-type Turns struct {
+// Rotation selects engines to be read in rotation. It is not safe for concurrent use.
+type Rotation struct {
 	next int
 }
 
 // Next appends to out the indices of the next engines in the rotation, at most the
 // given number of the n engines.
-func (t *Turns) Next(n, most int, out []int) []int {
+func (t *Rotation) Next(n, most int, out []int) []int {
 	for range min(n, most) {
 		out = append(out, t.next%n)
 		t.next = (t.next + 1) % n
--- a/ferrybench/ferrycapacity/documents.go
+++ b/ferrybench/ferrycapacity/documents.go
@@ -54,7 +54,7 @@
 func (f *documentFleet) digestOf(h *ferrydocument.Holder) ferrydocument.Digest {
 	d := h.Digest()
 	for i := range d {
-		d[i].Differences = !f.whole
+		d[i].AcceptsDeltas = !f.whole
 	}
 	return d
 }
--- a/ferrybench/ferrycapacity/fleet.go
+++ b/ferrybench/ferrycapacity/fleet.go
@@ -182,7 +182,7 @@
 	for spent := time.Duration(0); spent < d; spent += every {
 		f.nextLoad++
 		i := f.nextLoad % len(f.names)
-		if ferrysubset.Default.Whole(len(f.names), f.runners) {
+		if ferrysubset.Default.UsesAll(len(f.names), f.runners) {
 			f.loads[f.names[i]].Set(string(f.names[i]), f.loadsOf(i), 4*each)
 		}
 		f.Core(f.names[i]).Step(ferrypeer.SelfChanged{State: ferrypeer.Ready, Load: ferrypeer.Load{Permille: uint16(f.nextLoad*loadStep) % maxPermille}})
--- a/ferrybench/ferrycapacity/limits.go
+++ b/ferrybench/ferrycapacity/limits.go
@@ -82,7 +82,7 @@
 		id := ferryid.Incarnation(fmt.Sprintf("0192f3aa-%04d-7000-8000-000000000000", i))
 		ids = append(ids, id)
 		places[id] = i
-		b.entries = append(b.entries, &limitEntry{next: b.now.Add(ferrylimit.Tick * time.Duration(i) / time.Duration(entries)), shares: ferrylimit.NewShares(rate), counter: ferrylimit.NewCounter(rate), asked: map[int]bool{}})
+		b.entries = append(b.entries, &limitEntry{next: b.now.Add(ferrylimit.AskInterval * time.Duration(i) / time.Duration(entries)), shares: ferrylimit.NewShares(rate), counter: ferrylimit.NewCounter(rate), asked: map[int]bool{}})
 	}
 	for i := range customers {
 		k := ferrylimit.Key{Service: "herd-llm", Customer: ferryid.CustomerName(fmt.Sprintf("farm-%04d", i))}
@@ -116,10 +116,10 @@
 
 // exchange does one entry's round, if there is something to ask.
 func (b *limitBed) exchange(at int, e *limitEntry) {
-	if e.shares.Quiet() || b.now.Before(e.next) {
+	if e.shares.Idle() || b.now.Before(e.next) {
 		return
 	}
-	e.next = b.now.Add(ferrylimit.Tick)
+	e.next = b.now.Add(ferrylimit.AskInterval)
 	b.rounds++
 	asks := map[int][]ferrylimit.Ask{}
 	for _, a := range e.shares.Asks(b.now) {
--- a/ferrybench/ferrycapacity/orders.go
+++ b/ferrybench/ferrycapacity/orders.go
@@ -106,7 +106,7 @@
 	began := processorTime()
 	sends, _ := b.core.Next(b.now)
 	if !b.point.Old {
-		next = b.core.Wake(b.now)
+		next = b.core.NextRound(b.now)
 	}
 	b.spent += processorTime() - began
 	for _, s := range sends {
@@ -120,7 +120,7 @@
 func (b *orderBed) readAll() {
 	for _, r := range b.wanted.Runners {
 		rep, _ := b.report(context.Background(), r.Address)
-		b.core.Reported(r.Name, rep, b.now)
+		b.core.ApplyReport(r.Name, rep, b.now)
 	}
 }
 
@@ -131,7 +131,7 @@
 	for _, a := range asks {
 		ans, err := ferryorder.ReadGroup(context.Background(), b.wanted, a, b.report)
 		if err != nil {
-			b.core.NotAnswered(a, b.now)
+			b.core.AskFailed(a, b.now)
 			continue
 		}
 		if a.Group > 0 {
@@ -139,7 +139,7 @@
 			b.bytes += wireBytes(a) + wireBytes(ans)
 		}
 		began = processorTime()
-		b.core.Answered(a, ans, b.now)
+		b.core.ApplyAnswer(a, ans, b.now)
 		b.spent += processorTime() - began
 	}
 }
--- a/ferrybench/ferrycapacity/reading.go
+++ b/ferrybench/ferrycapacity/reading.go
@@ -121,7 +121,7 @@
 
 // MeasureReading lets the entries of one fleet size choose and take turns on a clock of seconds.
 func MeasureReading(nodes, runners int, cost ReadCost) Reading {
-	r := Reading{Nodes: nodes, Runners: runners, PassedOn: ferrysubset.Default.Whole(nodes, runners)}
+	r := Reading{Nodes: nodes, Runners: runners, PassedOn: ferrysubset.Default.UsesAll(nodes, runners)}
 	if r.PassedOn {
 		r.passOn()
 	} else {
@@ -188,7 +188,7 @@
 // take lets one entry read its subset for a while; ages count from when all have been read.
 func (t *turnsOf) take(subset []int) {
 	last := make([]int, len(subset))
-	var turns ferrysubset.Turns
+	var turns ferrysubset.Rotation
 	var turn []int
 	for second := range readSeconds {
 		turn = turns.Next(len(subset), t.perSecond, turn[:0])
--- a/ferrybench/ferrychoice/choice.go
+++ b/ferrybench/ferrychoice/choice.go
@@ -355,8 +355,8 @@
 	if r.cfg.Credit == 0 {
 		return 0
 	}
-	copies := min(float64(r.cfg.Entries), r.cfg.Subset.Copies(r.cfg.Entries, r.cfg.Engines))
-	if r.cfg.Subset.Whole(r.cfg.Entries, r.cfg.Engines) {
+	copies := min(float64(r.cfg.Entries), r.cfg.Subset.EntriesPerCandidate(r.cfg.Entries, r.cfg.Engines))
+	if r.cfg.Subset.UsesAll(r.cfg.Entries, r.cfg.Engines) {
 		copies = float64(r.cfg.Entries)
 	}
 	return max(1, int(math.Ceil(float64(r.cfg.Credit)/copies)))
--- a/ferrybench/ferryexperiment/sample.go
+++ b/ferrybench/ferryexperiment/sample.go
@@ -100,7 +100,7 @@
 		sum.Reclassified += n.Reclassified
 		sum.Requeued += n.Requeued
 		sum.Served += n.Served
-		sum.Thrown += n.Thrown
+		sum.Repeated += n.Repeated
 	}
 }
 
--- a/ferrybench/ferryload/load_test.go
+++ b/ferrybench/ferryload/load_test.go
@@ -151,7 +151,7 @@
 		fmt.Fprint(w, "id: one\ndata: {\"finish_reason\":null}\n\n")
 	case len(f.resumed) == 0:
 		f.resumed = append(f.resumed, last)
-		ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "full").After(time.Second).Write(w)
+		ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "full").WithRetryAfter(time.Second).Write(w)
 	default:
 		f.resumed = append(f.resumed, last)
 		fmt.Fprint(w, "id: two\ndata: {\"finish_reason\":null}\n\ndata: {\"finish_reason\":\"length\"}\n\ndata: [DONE]\n\n")
--- a/ferrybench/ferryreport/text.go
+++ b/ferrybench/ferryreport/text.go
@@ -15,7 +15,7 @@
 func WriteText(w io.Writer, r *ferryexperiment.Result) error {
 	fmt.Fprintf(w, "workload %s, seed %d, policy %s (%s, %s)\n", r.Workload, r.Seed, r.Policy.Name, r.Policy.Queue, r.Policy.Route)
 	fmt.Fprintf(w, "bound %.0f tokens/s; %d refusals, %d of them later than 100 ms; %d resumed; %.2f%% of the work thrown away\n",
-		r.Bound, r.Refusals, r.LateRefusals, r.Resumes, 100*float64(r.Queue.Thrown)/float64(max(1, r.Queue.Served)))
+		r.Bound, r.Refusals, r.LateRefusals, r.Resumes, 100*float64(r.Queue.Repeated)/float64(max(1, r.Queue.Served)))
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "calls\toffered\tadmitted\tin time\tlate\trefused\texpired\tfailed\twait p50\tp99\tfirst p50\tp95\tp99\tanswer p50\tp99\tbetween p95\t")
 	groups := append([]*ferryexperiment.Group{&r.All}, r.Kinds...)
--- a/ferrybench/point.go
+++ b/ferrybench/point.go
@@ -87,7 +87,7 @@
 		{"short work's p99 wait for the first token beside stragglers, over that without them", "x", atMost(1.5), ratio(short.First.P99, alone.Kind("question").First.P99)},
 		{"slowest straggler over its unloaded time", "x", atMost(3), long.Stretch},
 		{"stragglers not finished", "calls", atMost(0), float64(unfinished)},
-		{"work thrown away", "of work", atMost(0.02), float64(r.Queue.Thrown) / float64(max(1, r.Queue.Served))},
+		{"work thrown away", "of work", atMost(0.02), float64(r.Queue.Repeated) / float64(max(1, r.Queue.Served))},
 	}, r
 }
 
--- a/ferrybench/weigh.go
+++ b/ferrybench/weigh.go
@@ -166,7 +166,7 @@
 		g := &r.All
 		fmt.Fprintf(tw, "| %s\t| %.3f\t| %.3f\t| %.2f s\t| %.2f s\t| %.1f s\t| %.2f%%\t|\n", v.name,
 			r.Mean(time.Duration(w.Warmup), time.Duration(w.Duration), served)/r.Bound, share(g.InTime, g.Offered),
-			g.First.P95.Seconds(), g.First.P99.Seconds(), g.Answer.P99.Seconds(), 100*float64(r.Queue.Thrown)/float64(max(1, r.Queue.Served)))
+			g.First.P95.Seconds(), g.First.P99.Seconds(), g.Answer.P99.Seconds(), 100*float64(r.Queue.Repeated)/float64(max(1, r.Queue.Served)))
 	}
 	if err := tw.Flush(); err != nil {
 		return err
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -126,7 +126,7 @@
 
 // streamDeadline returns the deadline of the class of a stream that generates n tokens, its maximum.
 func streamDeadline(d *ferryservice.Document, n ferryid.Tokens) ferryservice.Duration {
-	if cl := d.Classes.Of(n); cl.Deadline > 0 {
+	if cl := d.Classes.ForTokens(n); cl.Deadline > 0 {
 		return cl.Deadline
 	}
 	return d.Limits.Deadline
--- a/ferryd/ferrycaller/events.go
+++ b/ferryd/ferrycaller/events.go
@@ -22,7 +22,7 @@
 	control  *http.ResponseController
 	server   *Server
 	composer *ferrystream.Composer
-	resume   *ferrystream.Seam
+	resume   *ferrystream.ResumeFilter
 	metrics  *streamMetrics
 	buf      []byte
 	// pendingTokens is the number of tokens in buf.
@@ -47,7 +47,7 @@
 		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: s.Clock.Now(), Sealer: sealer,
 	})
 	if st.resume != nil {
-		out.resume = ferrystream.NewSeam(*st.resume)
+		out.resume = ferrystream.NewResumeFilter(*st.resume)
 	}
 	return out, nil
 }
@@ -151,12 +151,12 @@
 }
 
 func writeFailed(err error) *ferryoutcome.Problem {
-	return ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.Ran, "The caller did not take the answer in time.").Because(err)
+	return ferryoutcome.New(ferryoutcome.KindTimeout, ferryoutcome.Ran, "The caller did not take the answer in time.").WithCause(err)
 }
 
 func resumeMismatch(err error) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.Ran,
-		"The answer can't be continued with the same text; send the request again without %s.", EventIDHeader).Because(err)
+		"The answer can't be continued with the same text; send the request again without %s.", EventIDHeader).WithCause(err)
 }
 
 // asProblem returns the problem that err carries, or an internal one caused by err.
@@ -165,5 +165,5 @@
 	if errors.As(err, &p) {
 		return p
 	}
-	return ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Unknown, "The call failed inside the router.").Because(err)
+	return ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Unknown, "The call failed inside the router.").WithCause(err)
 }
--- a/ferryd/ferrycaller/plain.go
+++ b/ferryd/ferrycaller/plain.go
@@ -26,7 +26,7 @@
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
 	defer s.trackOpen(&s.openCalls)()
 	began := s.Clock.Now()
-	callInfoOf(r.Context()).keyed = r.Header.Get(ferryplain.KeyHeader) != "" || r.Header.Get(TicketHeader) != ""
+	callInfoOf(r.Context()).keyed = r.Header.Get(ferryplain.IdempotencyKeyHeader) != "" || r.Header.Get(TicketHeader) != ""
 	c, p := s.authenticate(r, chi.URLParam(r, "service"), ferryservice.KindPlain)
 	if p != nil {
 		s.fail(w, r, p)
@@ -89,9 +89,9 @@
 	if call.Idempotent {
 		return s.sendWithRetries(ctx, c, call, func() *ferryoutcome.Problem { return nil })
 	}
-	key := call.Header.Get(ferryplain.KeyHeader)
+	key := call.Header.Get(ferryplain.IdempotencyKeyHeader)
 	if len(key) > maxKeyBytes {
-		return nil, badRequest("The header %s has %d bytes; at most %d are allowed.", ferryplain.KeyHeader, len(key), maxKeyBytes)
+		return nil, badRequest("The header %s has %d bytes; at most %d are allowed.", ferryplain.IdempotencyKeyHeader, len(key), maxKeyBytes)
 	}
 	if key == "" && ticket == "" {
 		return s.sendWithRetries(ctx, c, call, func() *ferryoutcome.Problem { return nil })
@@ -157,7 +157,7 @@
 
 func noUpstream(c *caller, o ferryoutcome.Outcome, tried int) *ferryoutcome.Problem {
 	return ferryoutcome.New(ferryoutcome.KindUnavailable, o,
-		"No upstream of service %q can take the call now; %d were tried.", c.doc.Service, tried).After(retryAfterUnavailable)
+		"No upstream of service %q can take the call now; %d were tried.", c.doc.Service, tried).WithRetryAfter(retryAfterUnavailable)
 }
 
 func upstreamFailed(o ferryoutcome.Outcome, err error) *ferryoutcome.Problem {
@@ -168,11 +168,11 @@
 	case ferryoutcome.Unknown:
 		text = "The connection to the upstream broke after the call was sent; it may have run."
 	}
-	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, o, "%s", text).Because(err)
+	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, o, "%s", text).WithCause(err)
 }
 
 func timedOut(o ferryoutcome.Outcome, err error) *ferryoutcome.Problem {
-	return ferryoutcome.New(ferryoutcome.KindTimeout, o, "The call was not answered before its deadline.").Because(err)
+	return ferryoutcome.New(ferryoutcome.KindTimeout, o, "The call was not answered before its deadline.").WithCause(err)
 }
 
 // writeAnswer copies the upstream's answer to the caller.
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	return ferryoutcome.New(ferryoutcome.KindLimit, ferryoutcome.NotRun,
-		"Customer %q is over its limit of %v calls a second for this service.", c.customer.Name, c.customer.RequestsPerSecond).After(after)
+		"Customer %q is over its limit of %v calls a second for this service.", c.customer.Name, c.customer.RequestsPerSecond).WithRetryAfter(after)
 }
 
 // entries handles GET /v1/entries.
--- a/ferryd/ferrycaller/server_test.go
+++ b/ferryd/ferrycaller/server_test.go
@@ -188,7 +188,7 @@
 		{"body of a plain call", "/v1/services/parlour-api/x", keyA, strings.Repeat("x", 101), nil, 413, ferryoutcome.KindTooLarge},
 		{"bad deadline", "/v1/completions", keyA, good, []string{TimeoutHeader, "NaN"}, 400, ferryoutcome.KindBadRequest},
 		{"forged event id", "/v1/completions", keyA, good, []string{EventIDHeader, "abc"}, 403, ferryoutcome.KindForbidden},
-		{"long key", "/v1/services/parlour-api/x", keyA, "x", []string{ferryplain.KeyHeader, strings.Repeat("k", 300)}, 400, ferryoutcome.KindBadRequest},
+		{"long key", "/v1/services/parlour-api/x", keyA, "x", []string{ferryplain.IdempotencyKeyHeader, strings.Repeat("k", 300)}, 400, ferryoutcome.KindBadRequest},
 		{"no such path", "/v2", keyA, "", nil, 404, ferryoutcome.KindNotFound},
 	}
 	for _, tt := range tests {
@@ -271,11 +271,11 @@
 	defer up.Close()
 	f.upstream = strings.TrimPrefix(up.URL, "http://")
 	for i := range 3 {
-		w, body := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "2kg", ferryplain.KeyHeader, "k1")
+		w, body := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "2kg", ferryplain.IdempotencyKeyHeader, "k1")
 		assert.Equal(t, body, "run 1")
 		assert.Equal(t, w.Header.Get(ReplayHeader) == "true", i > 0)
 	}
-	w, body := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "3kg", ferryplain.KeyHeader, "k1")
+	w, body := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "3kg", ferryplain.IdempotencyKeyHeader, "k1")
 	assert.Equal(t, w.StatusCode, http.StatusUnprocessableEntity, body)
 	assert.Equal(t, runs, 1)
 }
@@ -284,7 +284,7 @@
 	_, f, url := newServer(t)
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	f.upstream = strings.TrimPrefix(up.URL, "http://")
-	w, _ := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "2kg", ferryplain.KeyHeader, "ran")
+	w, _ := send(t, http.MethodPost, url+"/v1/services/parlour-api/rations/7", keyA, "2kg", ferryplain.IdempotencyKeyHeader, "ran")
 	assert.Equal(t, w.StatusCode, http.StatusOK)
 	up.Close()
 	tests := []struct {
@@ -294,11 +294,11 @@
 		header  []string
 		want    ferryoutcome.Scope
 	}{
-		{"key that ran, refused before the look-up", true, "2kg", []string{ferryplain.KeyHeader, "ran"}, ferryoutcome.ScopeAttempt},
+		{"key that ran, refused before the look-up", true, "2kg", []string{ferryplain.IdempotencyKeyHeader, "ran"}, ferryoutcome.ScopeAttempt},
 		{"ticket, refused before the look-up", true, "2kg", []string{TicketHeader, "x"}, ferryoutcome.ScopeAttempt},
 		{"no key", true, "2kg", nil, ""},
-		{"new key, the upstream does not answer", false, "2kg", []string{ferryplain.KeyHeader, "new"}, ""},
-		{"key of another call", false, "3kg", []string{ferryplain.KeyHeader, "ran"}, ""},
+		{"new key, the upstream does not answer", false, "2kg", []string{ferryplain.IdempotencyKeyHeader, "new"}, ""},
+		{"key of another call", false, "3kg", []string{ferryplain.IdempotencyKeyHeader, "ran"}, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -231,7 +231,7 @@
 	}
 	go func() {
 		if !e.answers(ctx, u) && !e.answers(ctx, u) {
-			ch.Dead(name)
+			ch.MarkDown(name)
 			e.cfg.Log.Info().Str("Engine", name).Msg("engine did not answer two probes; marked as down")
 		}
 	}()
@@ -255,7 +255,7 @@
 			for _, u := range ch.Down() {
 				go func() {
 					if e.answers(ctx, u) {
-						ch.Alive(u.Name)
+						ch.MarkUp(u.Name)
 						e.cfg.Log.Info().Str("Engine", u.Name).Msg("engine answered a probe; no longer marked as down")
 					}
 				}()
--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -27,7 +27,7 @@
 	// Servers are additional listeners, for example for readiness checks.
 	Servers []Server
 	// First is set if the whole system starts for the first time.
-	First bool
+	FirstStart bool
 	// MaxConns is the maximum number of callers' connections.
 	MaxConns int
 
@@ -40,8 +40,8 @@
 	Objects Objects
 	Dialect ferryforward.Dialect
 	// Engines returns the client of the engines' interface over the given connections.
-	Engines func(*ferryexchange.Client) Engines
-	Promise Promise
+	Engines    func(*ferryexchange.Client) Engines
+	Objectives Objectives
 }
 
 // Engines is the client of the engines' interface.
@@ -62,8 +62,8 @@
 	Upstream func(ferryplatform.Object) (ferrydiscovery.Upstream, error)
 }
 
-// Promise contains the service objectives that the entry has to meet.
-type Promise struct {
+// Objectives contains the service objectives that the entry has to meet.
+type Objectives struct {
 	// ConfigWithin is the time until an accepted configuration must be in force, LeaveWithin the time until
 	// a leaving upstream must get no new work.
 	ConfigWithin, LeaveWithin time.Duration
--- a/ferryd/ferryedge/configuration.go
+++ b/ferryd/ferryedge/configuration.go
@@ -46,7 +46,7 @@
 }
 
 func (e *Edge) followConfig(ctx context.Context) {
-	e.follow(ctx, e.cfg.Objects.ConfigurationKind, configWait, pauseFor(e.cfg.Promise.ConfigWithin), configWatcher{e})
+	e.follow(ctx, e.cfg.Objects.ConfigurationKind, configWait, pauseFor(e.cfg.Objectives.ConfigWithin), configWatcher{e})
 }
 
 // pauseFor returns the delay after changes that must be known within the given
@@ -104,7 +104,7 @@
 
 // proofInterval returns the time until the next proof.
 func (e *Edge) proofInterval() time.Duration {
-	switch age := e.cfg.Promise.KeyAge; {
+	switch age := e.cfg.Objectives.KeyAge; {
 	case e.relay.ReadsDirectly():
 		return proofRead
 	case age > 0:
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -86,11 +86,11 @@
 	}
 	e.services = ferryforward.NewServices(ferryforward.ServicesConfig{
 		Clock: cfg.Clock, Domain: cfg.Domain,
-		RepeatWindow: cfg.Promise.RepeatWindow, RepeatRatio: cfg.Promise.RepeatRatio, RepeatAllowance: cfg.Promise.RepeatAllowance, Resumed: !cfg.First,
+		RepeatWindow: cfg.Objectives.RepeatWindow, RepeatRatio: cfg.Objectives.RepeatRatio, RepeatAllowance: cfg.Objectives.RepeatAllowance, Resumed: !cfg.FirstStart,
 	})
 	e.forwarder = ferryforward.New(ferryforward.Config{
 		Clock: cfg.Clock, Steady: cfg.Steady, Holder: e.holder, Services: e.services, Dialect: cfg.Dialect, Client: e.client, Rerouter: cfg.Engines(e.client),
-		Log: cfg.Log, Scope: e.metrics.Scope, MaxAge: cfg.Promise.KeyAge, Started: e.started, OthersServe: func() bool { return e.anyConfigCurrent(false) },
+		Log: cfg.Log, Scope: e.metrics.Scope, MaxProofAge: cfg.Objectives.KeyAge, Started: e.started, OthersServe: func() bool { return e.anyConfigCurrent(false) },
 	})
 	e.ingress = ferryingress.NewServer(ferryingress.Config{
 		Clock: cfg.Clock, Log: cfg.Log, Handle: e.forwarder.Handle, Refused: e.forwarder.Refused, Limits: e.limits, MaxConns: cfg.MaxConns,
@@ -142,7 +142,7 @@
 	if s == nil || !e.listed.Load() {
 		return
 	}
-	if _, proved := e.holder.Age(e.cfg.Steady.Now()); proved || !s.Keyed() || e.cfg.Promise.KeyAge <= 0 {
+	if _, proved := e.holder.Age(e.cfg.Steady.Now()); proved || !s.Keyed() || e.cfg.Objectives.KeyAge <= 0 {
 		e.startOnce.Do(func() { close(e.started) })
 	}
 }
@@ -231,8 +231,8 @@
 	}).Run(ctx)
 }
 
-// SetPromise applies changed objectives. Only KeyAge takes effect while the edge runs.
-func (e *Edge) SetPromise(p Promise) {
-	e.forwarder.SetMaxAge(p.KeyAge)
+// SetObjectives applies changed objectives. Only KeyAge takes effect while the edge runs.
+func (e *Edge) SetObjectives(p Objectives) {
+	e.forwarder.SetMaxProofAge(p.KeyAge)
 	e.cfg.Log.Info().Dur("KeyAge", p.KeyAge).Msg("service objectives changed")
 }
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -26,7 +26,7 @@
 // entryState is the state of an entry as published to the others.
 type entryState struct {
 	// Spent is the use of the retry budget by service in the last window.
-	Spent map[ferryid.ServiceName]ferrybudget.Spent `cbor:"1,keyasint"`
+	Spent map[ferryid.ServiceName]ferrybudget.Usage `cbor:"1,keyasint"`
 	// ConfigStale is set if the entry cannot prove its configuration current. Callers should be
 	// sent to others if possible.
 	ConfigStale bool `cbor:"2,keyasint,omitempty"`
@@ -62,8 +62,8 @@
 	published := entryState{}
 	publishedAt := e.cfg.Clock.Now()
 	for e.pause(ctx, e.scaledShareInterval()) {
-		e.services.SetSpent(e.othersSpent())
-		now := entryState{Spent: e.services.Spent(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.PlatformReachable()}
+		e.services.SetRetryUsage(e.othersSpent())
+		now := entryState{Spent: e.services.RetryUsage(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.PlatformReachable()}
 		if !published.differs(now) && (now.quiet() || e.cfg.Clock.Since(publishedAt) < stateTTL/2) {
 			continue
 		}
@@ -83,8 +83,8 @@
 
 func fleetFactorOf(entries int) int { return max(1, entries/smallFleet) }
 
-func (e *Edge) othersSpent() map[ferryid.ServiceName][]ferrybudget.Spent {
-	out := map[ferryid.ServiceName][]ferrybudget.Spent{}
+func (e *Edge) othersSpent() map[ferryid.ServiceName][]ferrybudget.Usage {
+	out := map[ferryid.ServiceName][]ferrybudget.Usage{}
 	for _, entry := range e.states.All() {
 		if entry.Origin == e.cfg.Name {
 			continue
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -14,8 +14,8 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-func spent(repeats int) map[ferryid.ServiceName]ferrybudget.Spent {
-	return map[ferryid.ServiceName]ferrybudget.Spent{"s": {Requests: 10, Repeats: repeats}}
+func spent(repeats int) map[ferryid.ServiceName]ferrybudget.Usage {
+	return map[ferryid.ServiceName]ferrybudget.Usage{"s": {Requests: 10, Repeats: repeats}}
 }
 
 // TestStatePublication checks that exactly the changes are published at once that others
@@ -48,9 +48,9 @@
 }
 
 func TestInvalidStatesAreRejected(t *testing.T) {
-	many := map[ferryid.ServiceName]ferrybudget.Spent{}
+	many := map[ferryid.ServiceName]ferrybudget.Usage{}
 	for i := range maxServices + 1 {
-		many[ferryid.ServiceName(rune('a'+i))] = ferrybudget.Spent{}
+		many[ferryid.ServiceName(rune('a'+i))] = ferrybudget.Usage{}
 	}
 	assert.NilError(t, entryState{Spent: spent(3)}.Check())
 	assert.ErrorContains(t, entryState{Spent: spent(-1)}.Check(), `spent -1 of 10 on "s"`)
--- a/ferryd/ferryedge/steer.go
+++ b/ferryd/ferryedge/steer.go
@@ -22,7 +22,7 @@
 // others if these are too few.
 func (e *Edge) Entries(domain ferryid.DomainName) ferrysteer.Answer {
 	a := ferrysteer.Answer{Lifetime: answerLifetime}
-	if most := e.cfg.Promise.AnswerLifetime; most > 0 {
+	if most := e.cfg.Objectives.AnswerLifetime; most > 0 {
 		a.Lifetime = min(a.Lifetime, most)
 	}
 	var near, far []ferrysteer.Target
--- a/ferryd/ferryedge/upstream.go
+++ b/ferryd/ferryedge/upstream.go
@@ -48,7 +48,7 @@
 	w.upstreams.Apply(changes)
 }
 
-func (w upstreamWatcher) Lost(error) { w.upstreams.Lost() }
+func (w upstreamWatcher) Lost(error) { w.upstreams.MarkUnreachable() }
 
 func (w upstreamWatcher) versionOf(name string) ferryplatform.Version {
 	if u := w.upstreams.View().Get(name); u != nil {
@@ -76,7 +76,7 @@
 }
 
 func (e *Edge) followUpstreams(ctx context.Context) {
-	e.follow(ctx, e.cfg.Objects.UpstreamKind, upstreamWait, pauseFor(e.cfg.Promise.LeaveWithin), upstreamWatcher{e})
+	e.follow(ctx, e.cfg.Objects.UpstreamKind, upstreamWait, pauseFor(e.cfg.Objectives.LeaveWithin), upstreamWatcher{e})
 }
 
 func (e *Edge) expireUpstreams(ctx context.Context) {
--- a/ferryd/ferrynode/duty.go
+++ b/ferryd/ferrynode/duty.go
@@ -62,13 +62,13 @@
 	go n.every(ctx, refreshInterval, func(context.Context) { n.services.refreshModels() })
 	go n.every(ctx, metricsInterval, n.updateMetrics)
 	go n.every(ctx, leaseInterval, n.updateLeases)
-	go n.every(ctx, ferrylimit.Tick, n.updateLimits)
+	go n.every(ctx, ferrylimit.AskInterval, n.updateLimits)
 	go n.every(ctx, limitSweepInterval, n.sweepLimits)
 	go n.every(ctx, loadInterval, n.readLoads)
 	go n.every(ctx, loadInterval, n.readSubset)
 	go n.every(ctx, tickInterval, func(context.Context) { n.services.tick(n.clock.Now()) })
 	go n.becomeReady(ctx)
-	n.watcher.Watching(true)
+	n.watcher.SetWatching(true)
 }
 
 // every calls f periodically until the context ends; jitter spreads the calls of different entries.
--- a/ferryd/ferrynode/leave.go
+++ b/ferryd/ferrynode/leave.go
@@ -27,11 +27,11 @@
 // leavingTopic returns the topic that replicates the marks of leaving upstreams.
 func leavingTopic(ms *ferrydrain.Marks) ferrypeer.Topic {
 	return ferrypeer.Topic{
-		Name:    topicLeaving,
-		Digest:  ms.Digest,
-		Missing: func(digest []byte) []ferrypeer.Item { return toItems(ms.Missing(digest)) },
-		Apply:   func(it ferrypeer.Item) (bool, error) { return ms.Apply(it) },
-		Fresh:   func() []ferrypeer.Item { return toItems(ms.Fresh()) },
+		Name:        topicLeaving,
+		Digest:      ms.Digest,
+		Missing:     func(digest []byte) []ferrypeer.Item { return toItems(ms.Missing(digest)) },
+		Apply:       func(it ferrypeer.Item) (bool, error) { return ms.Apply(it) },
+		TakeChanged: func() []ferrypeer.Item { return toItems(ms.TakeChanged()) },
 	}
 }
 
--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -79,7 +79,7 @@
 func (l *limits) awaitDemand(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		quiet := l.shares.Quiet()
+		quiet := l.shares.Idle()
 		l.mu.Unlock()
 		if !quiet {
 			return
@@ -97,7 +97,7 @@
 	live := n.liveIncarnations()
 	n.limits.mu.Lock()
 	asks := n.limits.shares.Asks(n.clock.Now())
-	n.limits.shares.Unanswered(max(1, len(live)), n.clock.Now())
+	n.limits.shares.AddEvenShares(max(1, len(live)), n.clock.Now())
 	n.limits.mu.Unlock()
 	byCounter := map[ferryid.Incarnation][]ferrylimit.Ask{}
 	for _, a := range asks {
@@ -148,6 +148,6 @@
 func (n *Node) sweepLimits(context.Context) {
 	n.limits.mu.Lock()
 	defer n.limits.mu.Unlock()
-	n.limits.counter.Sweep(n.clock.Now())
-	n.limits.shares.Sweep(n.clock.Now())
+	n.limits.counter.PurgeIdle(n.clock.Now())
+	n.limits.shares.PurgeIdle(n.clock.Now())
 }
--- a/ferryd/ferrynode/limit_test.go
+++ b/ferryd/ferrynode/limit_test.go
@@ -32,7 +32,7 @@
 					n.limits.shares.Granted(g)
 				}
 				n.limits.mu.Unlock()
-				n.sleep(ctx, ferrylimit.Tick)
+				n.sleep(ctx, ferrylimit.AskInterval)
 			}
 		}()
 		time.Sleep(time.Hour)
--- a/ferryd/ferrynode/model.go
+++ b/ferryd/ferrynode/model.go
@@ -144,7 +144,7 @@
 	}
 	if sv.slots() == 0 {
 		return nil, ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun,
-			"No upstream of service %q takes work now.", d.Service).After(noUpstreamRetry)
+			"No upstream of service %q takes work now.", d.Service).WithRetryAfter(noUpstreamRetry)
 	}
 	return sv.admission.Acquire(ctx, it)
 }
--- a/ferryd/ferrynode/node.go
+++ b/ferryd/ferrynode/node.go
@@ -94,7 +94,7 @@
 	appliedLoads map[string]time.Time
 	nextLoadRead time.Time
 	// rotation is accessed only by the readSubset loop.
-	rotation    ferrysubset.Turns
+	rotation    ferrysubset.Rotation
 	loadReads   atomic.Int64
 	peerKeys    *ferrykeys.Pair
 	callers     *ferrycaller.Server
--- a/ferryd/ferrynode/order_test.go
+++ b/ferryd/ferrynode/order_test.go
@@ -53,7 +53,7 @@
 	assert.NilError(t, err)
 	var ans ferryorder.GroupAnswer
 	assert.NilError(t, cbor.Unmarshal(out, &ans))
-	c.Answered(asks[0], ans, now)
+	c.ApplyAnswer(asks[0], ans, now)
 	sends, blocked := c.Next(now)
 	assert.Equal(t, len(sends)+len(blocked), 0, "%v %v", sends, blocked)
 }
--- a/ferryd/ferrynode/overlay.go
+++ b/ferryd/ferrynode/overlay.go
@@ -78,7 +78,7 @@
 	n.services.setShare(entryIndex(ms))
 	n.services.setMembers(usableEntries(ms))
 	n.watcher.SetLive(live)
-	n.watcher.Watching(live <= 1 || ferryduty.HoldsInDomain(ms, dutyWatch, watchersPerDomain))
+	n.watcher.SetWatching(live <= 1 || ferryduty.HoldsInDomain(ms, dutyWatch, watchersPerDomain))
 	n.platform.SetBudget(platformBudget(n.cfg.Platform.CallsPerSecond, live))
 }
 
--- a/ferryd/ferrynode/status.go
+++ b/ferryd/ferrynode/status.go
@@ -46,7 +46,7 @@
 	}
 	found, err := n.claims.Lookup(ctx, service, key, customers)
 	if err != nil {
-		return nil, ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The platform can't be read now.").Because(err)
+		return nil, ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The platform can't be read now.").WithCause(err)
 	}
 	return found, nil
 }
--- a/ferryd/ferrynode/stop.go
+++ b/ferryd/ferrynode/stop.go
@@ -20,9 +20,9 @@
 	case StateReady:
 		return nil
 	case StateStarting:
-		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").After(time.Second)
+		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "This entry has no configuration yet.").WithRetryAfter(time.Second)
 	}
-	p := ferryoutcome.New(ferryoutcome.KindDraining, ferryoutcome.NotRun, "This entry is stopping; use another one.").After(time.Second)
+	p := ferryoutcome.New(ferryoutcome.KindDraining, ferryoutcome.NotRun, "This entry is stopping; use another one.").WithRetryAfter(time.Second)
 	p.Entries = n.otherEntries()
 	return p
 }
--- a/ferryd/ferrynode/subset.go
+++ b/ferryd/ferrynode/subset.go
@@ -76,7 +76,7 @@
 		return max(1, c.Credit)
 	}
 	slots := float64(cmp.Or(c.Slots, ferryservice.DefaultSlots))
-	return max(1, int(math.Ceil(slots/p.cfg.Copies(entries, p.activeCandidates()))))
+	return max(1, int(math.Ceil(slots/p.cfg.EntriesPerCandidate(entries, p.activeCandidates()))))
 }
 
 // usableEntries returns the names of the entries that accept calls.
@@ -138,7 +138,7 @@
 	all := sv.table.Snapshot().All()
 	p := &sv.subset
 	p.setCandidates(s, d, all)
-	p.allEngines.Store(d.Policy.Route == ferryservice.RouteRandom || p.cfg.Whole(len(s.members), p.activeCandidates()))
+	p.allEngines.Store(d.Policy.Route == ferryservice.RouteRandom || p.cfg.UsesAll(len(s.members), p.activeCandidates()))
 	if p.allEngines.Load() {
 		p.engines.Store(&all)
 		return all
@@ -173,7 +173,7 @@
 	for _, c := range all {
 		p.candidates = append(p.candidates, ferrysubset.Candidate{
 			Name: c.Name, Domain: c.FailureDomain, Layers: c.Layers,
-			Out: c.State == ferryroute.StateLeaving, Lost: s.isLost(d.Service, c.Name),
+			Excluded: c.State == ferryroute.StateLeaving, Unreachable: s.isLost(d.Service, c.Name),
 		})
 	}
 }
@@ -190,8 +190,8 @@
 			if i == 0 {
 				c.Domain = e.FailureDomain
 			}
-			c.Out = c.Out || !ok || e.State == ferryroute.StateLeaving
-			c.Lost = c.Lost || s.isLost(d.Service, stage)
+			c.Excluded = c.Excluded || !ok || e.State == ferryroute.StateLeaving
+			c.Unreachable = c.Unreachable || s.isLost(d.Service, stage)
 		}
 		p.candidates = append(p.candidates, c)
 	}
@@ -209,7 +209,7 @@
 func (p *subset) activeCandidates() int {
 	n := 0
 	for i := range p.candidates {
-		if !p.candidates[i].Out {
+		if !p.candidates[i].Excluded {
 			n++
 		}
 	}
--- a/ferryd/ferryoperator/apply.go
+++ b/ferryd/ferryoperator/apply.go
@@ -49,7 +49,7 @@
 		writeJSON(w, status, ferryadmin.Unresolved{ApplyID: open.ApplyID, Command: open.Command})
 	case status == http.StatusServiceUnavailable:
 		ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun,
-			"The platform can't take the document now; nothing was changed.").Because(err).Write(w)
+			"The platform can't take the document now; nothing was changed.").WithCause(err).Write(w)
 	default:
 		p := ferryoutcome.New(ferryoutcome.KindConflict, ferryoutcome.NotRun, "%s", err)
 		p.Status = status
--- a/ferrystand/ferrydemo/demo.go
+++ b/ferrystand/ferrydemo/demo.go
@@ -266,7 +266,7 @@
 
 func (d *Demo) change(ctx context.Context) error {
 	const path = "/v1/services/" + PlainService + "/rations/417"
-	header := http.Header{ferryplain.KeyHeader: {"ration-417-friday"}}
+	header := http.Header{ferryplain.IdempotencyKeyHeader: {"ration-417-friday"}}
 	for _, e := range d.fleet.Entries {
 		c := Caller{Entry: e.Callers, Key: CustomerKey}
 		status, _, body, err := c.Do(ctx, http.MethodPost, path, `{"Kilograms":2}`, header)
--- a/ferrystand/ferrystandengine/job_test.go
+++ b/ferrystand/ferrystandengine/job_test.go
@@ -110,7 +110,7 @@
 			f.runner.Wait()
 
 			job.Epoch, job.Resume = tt.epoch, want[:tt.resume]
-			seam := ferrystream.NewSeam(token)
+			seam := ferrystream.NewResumeFilter(token)
 			text := want[:3:3]
 			_, err = f.runner.Run(context.Background(), job, func(tok ferrypipeline.Token) error {
 				if tt.resume > 0 {
--- a/ferrystand/ferrystandengine/resume_test.go
+++ b/ferrystand/ferrystandengine/resume_test.go
@@ -39,7 +39,7 @@
 	ids, err := sealer.Stream(fresh)
 	assert.NilError(tb, err)
 	compose := ferrystream.NewComposer(ferrystream.ComposerConfig{ID: resume.Stream, Model: "herd-llm", Created: time.Unix(0, 0), Sealer: ids})
-	seam := ferrystream.NewSeam(resume)
+	seam := ferrystream.NewResumeFilter(resume)
 	write := func(b []byte) error {
 		room := cut - len(written)
 		written = append(written, b[:min(room, len(b))]...)
--- a/ferrystand/ferrystandplatform/bench_test.go
+++ b/ferrystand/ferrystandplatform/bench_test.go
@@ -35,7 +35,7 @@
 				h := ferrydocument.NewHolder(clock, nil)
 				client := ferryplatform.New(ferryplatform.ClientConfig{URL: srv.URL, Budget: budget})
 				w := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: client, Holder: h, Clock: clock, Seed: uint64(i)})
-				w.Watching(true)
+				w.SetWatching(true)
 				go func() { _ = w.Run(ctx) }()
 				news = append(news, h.Subscribe())
 			}
