--- a/ferry/ferryforward/congestion.go
+++ b/ferry/ferryforward/congestion.go
@@ -13,7 +13,8 @@
 	// lost engine.
 	minRetryAfter = 150 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
-	// retryJitter is the largest relative jitter added to Retry-After, so that refused callers do not retry together.
+	// retryJitter is the largest relative jitter added to Retry-After, so that refused callers do not retry
+	// together.
 	retryJitter = 0.5
 )
 
--- a/ferry/ferryforward/destination.go
+++ b/ferry/ferryforward/destination.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferry/ferrypath"
 )
 
-// destination is the destination of a run: a single upstream, or a path of engines.
+// destination is where a run is sent: to a single upstream, or over a path of engines.
 type destination interface {
 	// first returns the upstream that the request is sent to.
 	first() *ferrydiscovery.Upstream
@@ -57,60 +57,60 @@
 }
 
 // finishDone releases a destination whose stream completed.
-func finishDone(w destination) {
-	switch w := w.(type) {
+func finishDone(dest destination) {
+	switch dest := dest.(type) {
 	case singleUpstream:
-		w.call.Done(nil)
+		dest.call.Done(nil)
 	case enginePath:
-		w.run.Done()
+		dest.run.Done()
 	}
 }
 
 // finishCancelled releases a destination whose run the caller or this entry cancelled.
-func finishCancelled(w destination) {
-	switch w := w.(type) {
+func finishCancelled(dest destination) {
+	switch dest := dest.(type) {
 	case singleUpstream:
-		w.call.Cancelled()
+		dest.call.Cancelled()
 	case enginePath:
-		w.run.Cancelled()
+		dest.run.Cancelled()
 	}
 }
 
-// finishUnreachable releases a destination whose upstream at the address, or the first one if the address is not on the
-// path, could not be reached; it returns that upstream's name.
-func finishUnreachable(w destination, address string) string {
-	switch w := w.(type) {
+// finishUnreachable releases a destination whose upstream at the address, or the first one if the address is
+// not on the path, could not be reached; it returns that upstream's name.
+func finishUnreachable(dest destination, address string) string {
+	switch dest := dest.(type) {
 	case singleUpstream:
-		w.call.Unreachable()
+		dest.call.Unreachable()
 	case enginePath:
-		at := max(0, w.run.Path().At(address))
-		w.run.Unreachable(at)
-		return w.run.Path().Hops()[at].Upstream.Name
+		at := max(0, dest.run.Path().At(address))
+		dest.run.Unreachable(at)
+		return dest.run.Path().Hops()[at].Upstream.Name
 	}
-	return w.first().Name
+	return dest.first().Name
 }
 
-// finishRefused releases a destination whose upstream at the address, or the first one if the address is not on the
-// path, refused for lack of capacity; it returns that upstream's name.
-func finishRefused(w destination, address string) string {
-	switch w := w.(type) {
+// finishRefused releases a destination whose upstream at the address, or the first one if the address is not
+// on the path, refused for lack of capacity; it returns that upstream's name.
+func finishRefused(dest destination, address string) string {
+	switch dest := dest.(type) {
 	case singleUpstream:
-		w.call.Refused()
+		dest.call.Refused()
 	case enginePath:
-		at := max(0, w.run.Path().At(address))
-		w.run.Refused(at)
-		return w.run.Path().Hops()[at].Upstream.Name
+		at := max(0, dest.run.Path().At(address))
+		dest.run.Refused(at)
+		return dest.run.Path().Hops()[at].Upstream.Name
 	}
-	return w.first().Name
+	return dest.first().Name
 }
 
 // finishFailed releases a destination whose first upstream failed and returns that upstream's name.
-func finishFailed(w destination) string {
-	switch w := w.(type) {
+func finishFailed(dest destination) string {
+	switch dest := dest.(type) {
 	case singleUpstream:
-		w.call.Failed()
+		dest.call.Failed()
 	case enginePath:
-		w.run.Failed(0)
+		dest.run.Failed(0)
 	}
-	return w.first().Name
+	return dest.first().Name
 }
--- a/ferry/ferryforward/dialect.go
+++ b/ferry/ferryforward/dialect.go
@@ -16,7 +16,8 @@
 	// Wait is the caller's timeout; zero means no limit.
 	Wait time.Duration
 	Key  ferryconfig.Key
-	// Prompt is the number of prompt tokens of a generation, and Answer the maximum number of tokens to generate.
+	// Prompt is the number of prompt tokens of a generation, and Answer the maximum number of tokens to
+	// generate.
 	Prompt, Answer ferryid.Tokens
 	// AnswerHint is the caller's estimate of the number of generated tokens, or zero.
 	AnswerHint ferryid.Tokens
--- a/ferry/ferryforward/forwarder.go
+++ b/ferry/ferryforward/forwarder.go
@@ -29,15 +29,15 @@
 	Client   *ferryexchange.Client
 	// Started is closed once the entry is ready to serve; earlier requests wait up to startWait. It may be nil.
 	Started <-chan struct{}
-	// OthersServe reports whether another entry could serve a request that this one refuses because the platform
-	// is unreachable.
+	// OthersServe reports whether another entry could serve a request that this one refuses because the
+	// platform is unreachable.
 	OthersServe func() bool
 	// Rerouter moves runs off unreachable engines.
 	Rerouter Rerouter
 	Log      zerolog.Logger
 	Scope    tally.Scope
-	// MaxProofAge is the maximum age of the proof that the configuration is current, for requests with a key; zero
-	// means no limit.
+	// MaxProofAge is the maximum age of the proof that the configuration is current, for requests with a key;
+	// zero means no limit.
 	MaxProofAge time.Duration
 }
 
@@ -48,7 +48,7 @@
 	log, successLog zerolog.Logger
 	metrics         metrics
 	prober          *prober
-	maxAge          atomic.Int64
+	maxProofAge     atomic.Int64
 }
 
 // New returns a Forwarder.
@@ -71,10 +71,10 @@
 	return ferrylog.New(ferrylog.Config{Log: cfg.Log, Clock: cfg.Clock, PerSecond: perSecond, Scope: cfg.Scope})
 }
 
-// SetMaxProofAge sets the maximum age of the proof that the configuration is current, for requests with a key; zero
-// means no limit.
+// SetMaxProofAge sets the maximum age of the proof that the configuration is current, for requests with a
+// key; zero means no limit.
 func (f *Forwarder) SetMaxProofAge(d time.Duration) {
-	f.maxAge.Store(int64(d))
+	f.maxProofAge.Store(int64(d))
 }
 
 // Handle serves one call.
@@ -99,7 +99,8 @@
 // answers.
 const startWait = 400 * time.Millisecond
 
-// awaitStart holds a request that arrives during startup, since a short wait is faster for the caller than a retry.
+// awaitStart holds a request that arrives during startup, since a short wait is faster for the caller than a
+// retry.
 func (f *Forwarder) awaitStart(ctx context.Context) {
 	if f.cfg.Started == nil {
 		return
@@ -156,13 +157,13 @@
 // maxTimeout is the timeout of a request for which neither caller nor route sets a shorter one.
 const maxTimeout = 10 * time.Minute
 
-// authenticate resolves the customer. A key is accepted only while the configuration is proved to be current, since
-// it may have been revoked.
+// authenticate resolves the customer. A key is accepted only while the configuration is proved to be current,
+// since it may have been revoked.
 func (f *Forwarder) authenticate(r *request, s *ferryconfig.Snapshot) *ferryoutcome.Problem {
 	if !s.Keyed() || r.route.Public {
 		return nil
 	}
-	if limit := time.Duration(f.maxAge.Load()); limit > 0 && (r.proofAge == noProof || r.proofAge >= limit) {
+	if limit := time.Duration(f.maxProofAge.Load()); limit > 0 && (r.proofAge == noProof || r.proofAge >= limit) {
 		p := ferryoutcome.New(ferryoutcome.KindPlatformDown, ferryoutcome.NotRun, "The keys were last known to be valid %s ago, the limit is %s.", r.proofAge.Round(time.Millisecond), limit)
 		if f.cfg.OthersServe != nil && f.cfg.OthersServe() {
 			return p.WithRetryAfter(retryAfterStale)
--- a/ferry/ferryforward/forwarder_test.go
+++ b/ferry/ferryforward/forwarder_test.go
@@ -25,10 +25,10 @@
 		{"public route without key", "/open/x", []string{"A: b"}, 0, 200, false},
 		{"no route", "/other/x", []string{"Key: good"}, 0, 404, false},
 		{"invalid header", "/safe/x", []string{"Key: good", "Wait-Ms: soon"}, 0, 400, false},
-		{"configuration proof just below MaxAge", "/safe/x", []string{"Key: good"}, maxAge - 5*time.Millisecond, 200, false},
-		{"configuration proof at MaxAge", "/safe/x", []string{"Key: good"}, maxAge, 503, true},
-		{"unknown key at MaxAge", "/safe/x", []string{"Key: new"}, maxAge, 503, true},
-		{"public route at MaxAge", "/open/x", []string{"A: b"}, maxAge, 200, false},
+		{"configuration proof just below MaxProofAge", "/safe/x", []string{"Key: good"}, testMaxProofAge - 5*time.Millisecond, 200, false},
+		{"configuration proof at MaxProofAge", "/safe/x", []string{"Key: good"}, testMaxProofAge, 503, true},
+		{"unknown key at MaxProofAge", "/safe/x", []string{"Key: new"}, testMaxProofAge, 503, true},
+		{"public route at MaxProofAge", "/open/x", []string{"A: b"}, testMaxProofAge, 200, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/ferry/ferryforward/harness_test.go
+++ b/ferry/ferryforward/harness_test.go
@@ -177,7 +177,7 @@
 	return r.result(p)
 }
 
-const maxAge = 5 * time.Second
+const testMaxProofAge = 5 * time.Second
 
 func configuration() *ferryconfig.Configuration {
 	model := &ferryconfig.Model{
@@ -230,7 +230,7 @@
 	services.SetEntries(map[ferryid.DomainName]int{"d": 1}, 0)
 	b.forwarder = New(Config{
 		Clock: clock, Steady: clock, Holder: b.holder, Services: services, Dialect: testDialect{}, Client: b.client, Rerouter: b.rerouter,
-		Log: zerolog.Nop(), Scope: tally.NoopScope, MaxProofAge: maxAge,
+		Log: zerolog.Nop(), Scope: tally.NoopScope, MaxProofAge: testMaxProofAge,
 	})
 	b.listen()
 	return b
--- a/ferry/ferryforward/oracle_test.go
+++ b/ferry/ferryforward/oracle_test.go
@@ -118,8 +118,9 @@
 	return violations
 }
 
-// checkAnswer returns the guarantee that an answer violates, or an empty string. No request may run more often than
-// its route permits, no incomplete answer may look complete, and no request that ran may be reported as NotRun.
+// checkAnswer returns the guarantee that an answer violates, or an empty string. No request may run more
+// often than its route permits, no incomplete answer may look complete, and no request that ran may be
+// reported as NotRun.
 func checkAnswer(target, id string, a callerAnswer, runs int) string {
 	streaming := strings.HasPrefix(target, "/events/") || strings.HasPrefix(target, "/live/")
 	maxRuns := 2
@@ -132,7 +133,7 @@
 	}
 	switch {
 	case runs > maxRuns:
-		return fmt.Sprintf("ran %d times", runs)
+		return fmt.Sprintf("request ran %d times", runs)
 	case a.err != nil && (!streaming || !strings.HasPrefix(complete, a.body)):
 		return fmt.Sprintf("answer aborted after %q: %v", a.body, a.err)
 	case a.err == nil && a.status == http.StatusOK && a.body != complete:
@@ -142,7 +143,7 @@
 	case a.err == nil && (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests) && runs > 0:
 		return fmt.Sprintf("refused with status %d, but ran %d times", a.status, runs)
 	case a.took > 21*time.Second:
-		return fmt.Sprintf("took %s", a.took)
+		return fmt.Sprintf("request took %s", a.took)
 	}
 	return ""
 }
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -13,7 +13,8 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// maxBufferedBytes is the size up to which an answer is buffered and can still be retried; a longer one is streamed.
+// maxBufferedBytes is how much of an answer is buffered before any of it is forwarded. The rest of a longer
+// answer is streamed.
 const maxBufferedBytes = 256 << 10
 
 // plain sends a call to one upstream after another until one of them answers.
@@ -105,19 +106,20 @@
 	if a.Status >= http.StatusInternalServerError {
 		f.log.Info().Str("Request", string(r.ID)).Str("Upstream", pick.Upstream.Name).Int("Status", a.Status).Int("Ran", r.ran+1).Msg("upstream answered with a server error")
 	}
-	if a.Status >= http.StatusInternalServerError && f.countAndMayRetry(r) {
+	if a.Status >= http.StatusInternalServerError && f.mayRetryServerError(r) {
 		w.discard()
 		return nil, ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "The upstream answered with status %d.", a.Status)
 	}
 	return w, nil
 }
 
-// errUnsigned reports a success status without an upstream's signature, which another server may have sent.
+// errUnsigned rejects a success without an upstream's signature or with a content encoding, which may come from
+// another server.
 var errUnsigned = errors.New("upstream answer not accepted: success without the upstream's signature, or with a content encoding")
 
-// countAndMayRetry reports whether a request that an upstream answered with a server error may be retried at
-// another one. The run is counted in ran only in that case.
-func (f *Forwarder) countAndMayRetry(r *request) bool {
+// mayRetryServerError reports whether a request that an upstream answered with a server error may be retried at
+// another one. It marks the request as possibly run, and counts the run in ran if it may be retried.
+func (f *Forwarder) mayRetryServerError(r *request) bool {
 	r.ran++
 	r.mayHaveRun = true
 	if r.mayRunAgain() && r.service.balancer.Usable() > len(r.avoid)+1 && r.service.budget.Remaining() > 0 {
@@ -202,7 +204,7 @@
 	}
 	w.reportResult()
 	if err := r.call.Answer(w.status, w.header, w.body); err != nil {
-		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write answer to the caller")
+		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("could not write the answer to the caller")
 	}
 }
 
@@ -232,6 +234,6 @@
 	}
 	w.pick.Done(w.load)
 	if err := s.End(); err != nil {
-		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write answer to the caller")
+		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("could not write the answer to the caller")
 	}
 }
--- a/ferry/ferryforward/probe.go
+++ b/ferry/ferryforward/probe.go
@@ -20,13 +20,13 @@
 	maxProbes = 1024
 )
 
-// probeTimeouts are the connect timeouts of a probe. There are two attempts because a SYN may be lost; links between
-// failure domains take about 1 ms.
+// probeTimeouts are the connect timeouts of a probe. There are two attempts because a SYN may be lost; links
+// between failure domains take about 1 ms.
 var probeTimeouts = []time.Duration{15 * time.Millisecond, 25 * time.Millisecond}
 
 const (
-	// timerLateness is how late a probe's timeout may fire before this machine counts as overloaded. Timers are late
-	// by less than 1 ms otherwise.
+	// timerLateness is how late a probe's timeout may fire before this machine counts as overloaded. Timers
+	// are late by less than 1 ms otherwise.
 	timerLateness = 5 * time.Millisecond
 	// slowProbeTimeout is the connect timeout while this machine is overloaded, so that its own delays are not
 	// attributed to the engine.
@@ -63,8 +63,9 @@
 	return p.clock.Now().Before(p.slowUntil)
 }
 
-// deadHops returns the given indices of hops whose engines do not answer. If none of them answers, one more engine of
-// the path is probed: if that fails too, the fault is probably this entry's own network and no hop is reported.
+// deadHops returns the given indices of hops whose engines do not answer. If none of them answers, one more
+// engine of the path is probed: if that fails too, the fault is probably this entry's own network and no hop
+// is reported.
 func (p *prober) deadHops(hops []ferrypath.Hop, indices []int) []int {
 	probes := make([]*probe, len(indices))
 	for k, i := range indices {
--- a/ferry/ferryforward/probe_test.go
+++ b/ferry/ferryforward/probe_test.go
@@ -18,7 +18,8 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-// TestProbeResult checks that an engine is not reported dead because this machine is too slow to see its answer.
+// TestProbeResult checks that an engine is not reported dead because this machine is too slow to see its
+// answer.
 func TestProbeResult(t *testing.T) {
 	const silent = time.Hour
 	for _, tc := range []struct {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestDeadEngines checks that no engine is reported dead if no engine of the path answers: then this entry's own
-// network is at fault.
+// TestDeadEngines checks that no engine is reported dead if no engine of the path answers: then this entry's
+// own network is at fault.
 func TestDeadEngines(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
--- a/ferry/ferryforward/refuse.go
+++ b/ferry/ferryforward/refuse.go
@@ -58,12 +58,12 @@
 	p.RequestID = string(r.ID)
 	body, err := json.Marshal(p)
 	if err != nil {
-		f.log.Error().Err(err).Msg("encode problem answer")
+		f.log.Error().Err(err).Msg("could not encode the problem answer")
 	}
 	h := http.Header{"Content-Type": {ferryoutcome.ContentType}, ferryoutcome.Header: {string(p.Outcome)}}
 	f.cfg.Dialect.EncodeRefusal(h, r.ID, p.RetryAfter)
 	if err := c.Answer(p.Status, h, append(body, '\n')); err != nil {
-		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write problem answer to the caller")
+		f.log.Info().Str("Request", string(r.ID)).Err(err).Msg("could not write the problem answer to the caller")
 	}
 }
 
--- a/ferry/ferryforward/request.go
+++ b/ferry/ferryforward/request.go
@@ -20,8 +20,8 @@
 	route    *ferryconfig.Route
 	service  *service
 	customer ferryid.CustomerName
-	// version is the configuration that the request was admitted under, and proofAge the time since that
-	// configuration was last proved current.
+	// version is the configuration under which the request was admitted, and proofAge the age that the proof
+	// of its being current had at that time.
 	version  ferryconfig.Version
 	proofAge time.Duration
 	// deadline is the earliest of the caller's and the route's timeout and maxTimeout.
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -15,7 +15,8 @@
 	"cactusferry.dev/ferry/ferrypath"
 )
 
-// service is the forwarding state of one service; chooser is nil unless its upstreams are engines that hold layers.
+// service is the forwarding state of one service; chooser is nil unless its upstreams are engines that hold
+// layers.
 type service struct {
 	name       ferryid.ServiceName
 	balancer   *ferrybalance.Balancer
@@ -60,8 +61,8 @@
 	return (*s.current.Load())[name]
 }
 
-// SetEntries sets the number of entries in each failure domain that share the upstreams and the retry budgets, and
-// the delay with which their reports reach each other.
+// SetEntries sets the number of entries in each failure domain that share the upstreams and the retry
+// budgets, and the delay with which their reports reach each other.
 func (s *Services) SetEntries(byDomain map[ferryid.DomainName]int, reportDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +103,8 @@
 	return out
 }
 
-// RetryUsage returns this entry's use of the retry budgets in the last window, for the services where it exceeds what
-// may go unreported.
+// RetryUsage returns this entry's use of the retry budgets in the last window, for the services where it
+// exceeds what may go unreported.
 func (s *Services) RetryUsage() map[ferryid.ServiceName]ferrybudget.Usage {
 	out := map[ferryid.ServiceName]ferrybudget.Usage{}
 	for name, sv := range *s.current.Load() {
--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// firstEventSuspect and eventGapSuspect are the silence, before the first event and between events, after which the
-	// engines of a run are probed.
+	// firstEventSuspect and eventGapSuspect are the silence, before the first event and between events, after
+	// which the engines of a run are probed.
 	firstEventSuspect = 250 * time.Millisecond
 	eventGapSuspect   = 60 * time.Millisecond
 	// recheckInterval is the interval between probes while a run stays silent.
@@ -24,16 +24,16 @@
 	// interval between two such moves.
 	slowRerouteGap      = 120 * time.Millisecond
 	slowRerouteInterval = time.Second
-	// firstEventTimeout and eventGapTimeout are the idle timeouts before the first event and between events while
-	// all engines answer. Callers disconnect after 2 s.
+	// firstEventTimeout and eventGapTimeout are the idle timeouts before the first event and between events
+	// while all engines answer. Callers disconnect after 2 s.
 	firstEventTimeout = 1300 * time.Millisecond
 	eventGapTimeout   = 1200 * time.Millisecond
 	// livenessTTL is how long an event counts as proof that the engines of its path are alive.
 	livenessTTL = 40 * time.Millisecond
 	// rerouteTimeout is the timeout of one reroute order.
 	rerouteTimeout = 300 * time.Millisecond
-	// drainRerouteDelay is how long a run stays on a draining engine. Most runs end earlier, and the engine serves
-	// at least twice as long.
+	// drainRerouteDelay is how long a run stays on a draining engine. Most runs end earlier, and the engine
+	// serves at least twice as long.
 	drainRerouteDelay = time.Second
 	// slowFactor multiplies the suspect limits while this machine is overloaded.
 	slowFactor = 4
@@ -52,8 +52,8 @@
 	Reroute(ctx context.Context, id ferryid.RequestID, p *ferrypath.Path) error
 }
 
-// watchdog supervises one run over a path of engines. When events stop it probes the engines and reroutes the run
-// around those that are unreachable or slow.
+// watchdog supervises one run over a path of engines. When events stop it probes the engines and reroutes the
+// run around those that are unreachable or slow.
 type watchdog struct {
 	*callerStream
 	run    *ferrypath.Run
@@ -71,7 +71,8 @@
 
 	mu      sync.Mutex
 	stopped bool
-	// lastSlowReroute is the time of the last move off slow engines. Only check uses it, and its calls never overlap.
+	// lastSlowReroute is the time of the last move off slow engines. Only check uses it, and its calls never
+	// overlap.
 	lastSlowReroute time.Time
 	// seenVersion is the version of the engines at the last drain check; only the forwarding goroutine uses it.
 	seenVersion int64
@@ -85,7 +86,8 @@
 	return d
 }
 
-// mayRestart reports whether the run that starts now may be replaced by another while its first engine is alive.
+// mayRestart reports whether the run that starts now may be replaced by another while its first engine is
+// alive.
 func (s *callerStream) mayRestart() bool {
 	return s.r.repeatable() && s.r.ran+1 < max(1, s.r.route.MaxAttempts)
 }
@@ -229,8 +231,8 @@
 // maxDetours is the maximum number of paths tried in one reroute.
 const maxDetours = 3
 
-// reroute moves the run to a path without the named engines and reports whether it succeeded. It may instead end
-// the run in favour of a new one in another failure domain, which counts as success.
+// reroute moves the run to a path without the named engines and reports whether it succeeded. It may instead
+// end the run in favour of a new one in another failure domain, which counts as success.
 func (d *watchdog) reroute(excluded []ferryid.UpstreamName, engineLost bool) bool {
 	for range maxDetours {
 		to, err := d.run.Detour(excluded)
@@ -250,7 +252,7 @@
 			d.log.Info().Str("Request", string(d.r.ID)).Str("Path", formatDestination(enginePath{d.run})).Msg("run rerouted")
 			return true
 		}
-		d.log.Warn().Str("Request", string(d.r.ID)).Err(err).Msg("reroute run")
+		d.log.Warn().Str("Request", string(d.r.ID)).Err(err).Msg("could not reroute the run")
 		var blocked *BlockedError
 		if !errors.As(err, &blocked) || to.At(blocked.Address) <= 0 {
 			return false
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// eventTimeout is the idle timeout of a run at a single upstream if another run is permitted. Callers disconnect
-	// after 2 s.
+	// eventTimeout is the idle timeout of a run at a single upstream if another run is permitted. Callers
+	// disconnect after 2 s.
 	eventTimeout = 1300 * time.Millisecond
 	// maxSends is the maximum number of attempts of one stream, including those whose upstream died.
 	maxSends = 5
-	// maxRefusals is the number of capacity refusals after which a stream is refused or waits: where two upstreams
-	// are full, other requests need the remaining capacity more.
+	// maxRefusals is the number of capacity refusals above which a stream is refused or waits: where two
+	// upstreams are full, other requests need the remaining capacity more.
 	maxRefusals = 2
-	// resumeTimeout is how long a started stream may wait for another run, and resumeInterval the interval between
-	// attempts. Callers disconnect after 2 s.
+	// resumeTimeout is how long a started stream may wait for another run, and resumeInterval the interval
+	// between attempts. Callers disconnect after 2 s.
 	resumeTimeout  = 1500 * time.Millisecond
 	resumeInterval = 100 * time.Millisecond
 	// initialEventBytes is the initial size of the event buffer, which grows up to maxEventBytes.
@@ -42,11 +42,12 @@
 	out      *ferryingress.Stream
 	position position
 	buf      []byte
-	// refusals counts capacity refusals. noCapacity is set if the last attempt found no destination or no retry budget.
+	// refusals counts capacity refusals. noCapacity is set if the last attempt found no destination or no
+	// retry budget.
 	refusals   int
 	noCapacity bool
-	// events counts forwarded events; firstAt and lastAt are the times of the first and the last one, and longestGap
-	// is the longest time between two.
+	// events counts forwarded events; firstAt and lastAt are the times of the first and the last one, and
+	// longestGap is the longest time between two.
 	events          int
 	firstAt, lastAt time.Time
 	longestGap      time.Duration
@@ -72,10 +73,10 @@
 	}
 }
 
-// attempt makes one run if there is a destination and retry budget for it. It returns the resulting problem, and
-// true once nothing more is to be sent to the caller.
+// attempt makes one run if there is a destination and retry budget for it. It returns the resulting problem,
+// and true once nothing more is to be sent to the caller.
 func (s *callerStream) attempt(ctx context.Context, sends int) (*ferryoutcome.Problem, bool) {
-	w, none := s.pickDestination(s.r)
+	dest, none := s.pickDestination(s.r)
 	if none != nil {
 		s.noCapacity = true
 		if sends > 0 {
@@ -84,12 +85,12 @@
 		return none, false
 	}
 	if s.r.arrived > 0 && !s.takeRetry(s.r) {
-		finishCancelled(w)
+		finishCancelled(dest)
 		s.noCapacity = true
 		return nil, false
 	}
 	s.noCapacity = false
-	p := s.run(ctx, w)
+	p := s.run(ctx, dest)
 	return p, p == nil
 }
 
@@ -137,18 +138,18 @@
 	s.log.Warn().Str("Request", string(s.r.ID)).Int("Events", s.events).Int("Ran", s.r.ran).AnErr("Cause", last.Cause).Msg(msg)
 }
 
-// run sends the request to one destination and forwards its events; it returns nil once nothing more is to be sent
-// to the caller.
-func (s *callerStream) run(ctx context.Context, w destination) *ferryoutcome.Problem {
+// run sends the request to one destination and forwards its events; it returns nil once nothing more is to be
+// sent to the caller.
+func (s *callerStream) run(ctx context.Context, dest destination) *ferryoutcome.Problem {
 	r := s.r
-	o := OutgoingInfo{Instance: w.first().Name, Wait: r.remaining(s.cfg.Clock.Now()), Customer: r.customer, After: s.position.id}
-	if c, ok := w.(enginePath); ok {
+	o := OutgoingInfo{Instance: dest.first().Name, Wait: r.remaining(s.cfg.Clock.Now()), Customer: r.customer, After: s.position.id}
+	if c, ok := dest.(enginePath); ok {
 		o.Path = c.run.Path()
 	}
 	waiting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	progress := func() {}
-	if c, ok := w.(enginePath); ok {
+	if c, ok := dest.(enginePath); ok {
 		wd := s.watch(c.run, cancel)
 		defer wd.stop()
 		progress = wd.recordProgress
@@ -157,40 +158,40 @@
 		defer timer.Stop()
 		progress = func() { timer.Reset(eventTimeout) }
 	}
-	a, err := s.cfg.Client.Do(waiting, w.first().Address, r.outgoing(s.cfg.Dialect, o))
+	a, err := s.cfg.Client.Do(waiting, dest.first().Address, r.outgoing(s.cfg.Dialect, o))
 	if err != nil {
-		return s.handleSendError(ctx, w, err)
+		return s.handleSendError(ctx, dest, err)
 	}
 	defer a.Close()
 	v := s.cfg.Dialect.DecodeAnswer(a.Status, a.Header)
 	r.arrived++
 	switch {
 	case v.CertainlyNotRun():
-		return s.handleRefusal(w, a.Status, v)
+		return s.handleRefusal(dest, a.Status, v)
 	case a.Status/100 != 2:
-		return s.handleErrorStatus(ctx, w, a)
+		return s.handleErrorStatus(ctx, dest, a)
 	case !v.Signed || a.Header.Get("Content-Encoding") != "":
-		return s.handleBrokenRun(ctx, w, errUnsigned)
+		return s.handleBrokenRun(ctx, dest, errUnsigned)
 	}
 	err = s.relay(a, progress)
 	switch {
 	case err == nil:
-		finishDone(w)
-		s.logCompleted(w)
+		finishDone(dest)
+		s.logCompleted(dest)
 		s.metrics.answered(r.service.name, a.Status, s.cfg.Clock.Since(r.call.At))
 		return nil
 	case errors.Is(err, errCallerWrite):
-		finishCancelled(w)
+		finishCancelled(dest)
 		s.log.Info().Str("Request", string(r.ID)).Int("Events", s.events).Err(err).Msg("stream ended: caller disconnected")
 		return nil
 	}
-	return s.handleBrokenRun(ctx, w, err)
+	return s.handleBrokenRun(ctx, dest, err)
 }
 
 var (
 	// errStalled ends a run that exceeded its idle timeout or could not be rerouted.
 	errStalled = errors.New("run ended: no progress")
-	// errCallerWrite reports that writing to the caller failed.
+	// errCallerWrite is returned if the answer cannot be written to the caller, who has probably disconnected.
 	errCallerWrite = errors.New("answer to the caller could not be written")
 )
 
@@ -266,17 +267,17 @@
 }
 
 // logCompleted logs a completed stream, with a mark if it missed an objective of its route.
-func (s *callerStream) logCompleted(w destination) {
+func (s *callerStream) logCompleted(dest destination) {
 	r := s.r
 	ev := s.successLog.Info()
 	first := s.firstAt.Sub(r.call.At)
 	if (r.route.Objective > 0 && first > r.route.Objective) || (r.route.GapObjective > 0 && s.longestGap > r.route.GapObjective) {
 		ev = s.log.Info().Bool("Late", true)
 	}
-	if c, ok := w.(enginePath); ok {
+	if c, ok := dest.(enginePath); ok {
 		ev.Int64("ReportAge", c.run.ReportAge().Milliseconds())
 	}
-	r.addLogFields(ev).Str("Path", formatDestination(w)).Int("Events", s.events).Dur("First", first).Dur("LongestPause", s.longestGap).
+	r.addLogFields(ev).Str("Path", formatDestination(dest)).Int("Events", s.events).Dur("First", first).Dur("LongestPause", s.longestGap).
 		Dur("Took", s.lastAt.Sub(r.call.At)).Int("Sends", r.arrived+r.unsent).Msg("stream completed")
 }
 
@@ -306,16 +307,16 @@
 }
 
 // handleErrorStatus handles an answer with a non-success status.
-func (s *callerStream) handleErrorStatus(ctx context.Context, w destination, a *ferryexchange.Answer) *ferryoutcome.Problem {
+func (s *callerStream) handleErrorStatus(ctx context.Context, dest destination, a *ferryexchange.Answer) *ferryoutcome.Problem {
 	r := s.r
 	r.ran++
 	r.mayHaveRun = true
 	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes))
 	if err != nil {
 		r.ran--
-		return s.handleBrokenRun(ctx, w, err)
+		return s.handleBrokenRun(ctx, dest, err)
 	}
-	name := finishFailed(w)
+	name := finishFailed(dest)
 	if s.out != nil || (a.Status >= http.StatusInternalServerError && s.canContinue() && r.service.budget.Remaining() > 0) {
 		r.avoidUpstream(name)
 		return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Ran, "The upstream answered with status %d.", a.Status)
@@ -325,32 +326,32 @@
 	s.metrics.answered(r.service.name, a.Status, s.cfg.Clock.Since(r.call.At))
 	s.log.Info().Str("Request", string(r.ID)).Str("Upstream", name).Int("Status", a.Status).Msg("upstream error status passed on to the caller")
 	if err := r.call.Answer(a.Status, h, body); err != nil {
-		s.log.Info().Str("Request", string(r.ID)).Err(err).Msg("write answer to the caller")
+		s.log.Info().Str("Request", string(r.ID)).Err(err).Msg("could not write the answer to the caller")
 	}
 	return nil
 }
 
-// handleRefusal handles an answer that the request was not run, because of the upstream itself or another engine of the
-// path.
-func (s *callerStream) handleRefusal(w destination, status int, v AnswerInfo) *ferryoutcome.Problem {
+// handleRefusal handles an answer that the request was not run, because of the upstream itself or another
+// engine of the path.
+func (s *callerStream) handleRefusal(dest destination, status int, v AnswerInfo) *ferryoutcome.Problem {
 	name := ""
 	if v.Elsewhere {
-		name = finishUnreachable(w, v.FailedEngine)
+		name = finishUnreachable(dest, v.FailedEngine)
 	} else {
-		name = finishRefused(w, v.FailedEngine)
-		s.probeRefusingEngine(w, v.FailedEngine)
+		name = finishRefused(dest, v.FailedEngine)
+		s.probeRefusingEngine(dest, v.FailedEngine)
 	}
 	s.r.full = append(s.r.full, ferryid.UpstreamName(name))
 	s.refusals++
 	s.r.service.congestion.recordRefusal(s.cfg.Clock.Now())
-	s.log.Info().Str("Request", string(s.r.ID)).Str("Upstream", name).Int("Status", status).Str("Path", formatDestination(w)).Msg("upstream refused the stream without running it")
+	s.log.Info().Str("Request", string(s.r.ID)).Str("Upstream", name).Int("Status", status).Str("Path", formatDestination(dest)).Msg("upstream refused the stream without running it")
 	return s.overloadProblem(s.r, nil)
 }
 
-// probeRefusingEngine probes the engine that caused a refusal and marks it dead if it does not answer, so that other
-// requests avoid it.
-func (s *callerStream) probeRefusingEngine(w destination, address string) {
-	c, ok := w.(enginePath)
+// probeRefusingEngine probes the engine that caused a refusal and marks it as down if it does not answer, so
+// that other requests avoid it.
+func (s *callerStream) probeRefusingEngine(dest destination, address string) {
+	c, ok := dest.(enginePath)
 	if !ok || c.run.Path().At(address) <= 0 {
 		return
 	}
@@ -364,41 +365,41 @@
 }
 
 // handleSendError returns the problem of a send that got no answer.
-func (s *callerStream) handleSendError(ctx context.Context, w destination, err error) *ferryoutcome.Problem {
+func (s *callerStream) handleSendError(ctx context.Context, dest destination, err error) *ferryoutcome.Problem {
 	var e *ferryexchange.Error
 	if errors.As(err, &e) && e.Phase == ferryoutcome.PhaseNotConnected {
-		s.logSendError(s.r, w.first().Name, err, "stream request not sent: no connection to the upstream")
+		s.logSendError(s.r, dest.first().Name, err, "stream request not sent: no connection to the upstream")
 		s.r.unsent++
 		if ctx.Err() != nil {
-			finishCancelled(w)
+			finishCancelled(dest)
 			return s.timeoutProblem(s.r, ferryoutcome.NotRun, err)
 		}
-		s.r.avoidUpstream(finishUnreachable(w, ""))
+		s.r.avoidUpstream(finishUnreachable(dest, ""))
 		return ferryoutcome.New(ferryoutcome.KindUnavailable, ferryoutcome.NotRun, "No upstream could be reached.").WithRetryAfter(retryAfterNoUpstream).WithCause(err)
 	}
 	s.r.arrived++
-	return s.handleBrokenRun(ctx, w, err)
+	return s.handleBrokenRun(ctx, dest, err)
 }
 
-// handleBrokenRun returns the problem of a run that ended early. For repeatable requests, a run whose first engine
-// died does not count towards the route's attempts.
-func (s *callerStream) handleBrokenRun(ctx context.Context, w destination, err error) *ferryoutcome.Problem {
+// handleBrokenRun returns the problem of a run that ended early. For repeatable requests, a run whose first
+// engine died does not count towards the route's attempts.
+func (s *callerStream) handleBrokenRun(ctx context.Context, dest destination, err error) *ferryoutcome.Problem {
 	s.r.mayHaveRun = true
 	if ctx.Err() != nil {
 		s.r.ran++
-		finishCancelled(w)
+		finishCancelled(dest)
 		return s.timeoutProblem(s.r, ferryoutcome.Unknown, err)
 	}
-	gone := errors.Is(err, errFirstEngineDead) || (!endedByEntry(err) && s.firstEngineGone(w))
+	gone := errors.Is(err, errFirstEngineDead) || (!endedByEntry(err) && s.firstEngineGone(dest))
 	if !gone || !s.r.repeatable() {
 		s.r.ran++
 	}
-	s.log.Warn().Str("Request", string(s.r.ID)).Str("Path", formatDestination(w)).Int("Events", s.events).Str("Last", s.position.id).
+	s.log.Warn().Str("Request", string(s.r.ID)).Str("Path", formatDestination(dest)).Int("Events", s.events).Str("Last", s.position.id).
 		Bool("Gone", gone).Err(err).Msg("run ended before its stream was complete")
 	if gone {
-		s.r.avoidUpstream(finishUnreachable(w, ""))
+		s.r.avoidUpstream(finishUnreachable(dest, ""))
 	} else {
-		s.r.avoidUpstream(finishFailed(w))
+		s.r.avoidUpstream(finishFailed(dest))
 	}
 	return ferryoutcome.New(ferryoutcome.KindUpstreamFailed, ferryoutcome.Unknown, "The upstream broke off.").WithCause(err)
 }
@@ -408,18 +409,18 @@
 	return errors.Is(err, errStalled) || errors.Is(err, errRestartElsewhere)
 }
 
-// firstEngineGone reports whether the engine that held the connection is unreachable while another one of the path
-// answers. In doubt it returns false, so that the run counts as an attempt.
-func (s *callerStream) firstEngineGone(w destination) bool {
-	c, ok := w.(enginePath)
+// firstEngineGone reports whether the engine that held the connection is unreachable while another one of the
+// path answers. In doubt it returns false, so that the run counts as an attempt.
+func (s *callerStream) firstEngineGone(dest destination) bool {
+	c, ok := dest.(enginePath)
 	return ok && slices.Contains(s.prober.deadHops(c.run.Path().Hops(), []int{0}), 0)
 }
 
 // formatDestination formats the upstreams of a destination for the log.
-func formatDestination(w destination) string {
-	c, ok := w.(enginePath)
+func formatDestination(dest destination) string {
+	c, ok := dest.(enginePath)
 	if !ok {
-		return w.first().Name
+		return dest.first().Name
 	}
 	var b strings.Builder
 	for i, h := range c.run.Path().Hops() {
--- a/ferry/ferryforward/stream_test.go
+++ b/ferry/ferryforward/stream_test.go
@@ -244,7 +244,8 @@
 	})
 }
 
-// TestLastRunHasNoIdleTimeout has the last permitted run of a stream stay silent for longer than the idle timeout.
+// TestLastRunHasNoIdleTimeout has the last permitted run of a stream stay silent for longer than the idle
+// timeout.
 func TestLastRunHasNoIdleTimeout(t *testing.T) {
 	const pause = 1700 * time.Millisecond
 	late := func(c net.Conn, r *http.Request) bool {
