--- a/ferry/ferrypath/chooser.go
+++ b/ferry/ferrypath/chooser.go
@@ -18,12 +18,13 @@
 var ErrNoPath = errors.New("no path of engines holds all layers")
 
 // ErrNoRoom is returned if every path needs an engine without enough free memory.
-var ErrNoRoom = errors.New("every path leads over an engine without memory to spare")
+var ErrNoRoom = errors.New("every path needs an engine without enough free memory")
 
 // Options configure a Chooser.
 type Options struct {
 	Clock clockwork.Clock
-	// Domain is the failure domain of this entry. Paths are kept inside of it where possible.
+	// Domain is the failure domain of this entry. Paths are kept inside it where possible: a path that begins
+	// there causes no traffic between this entry and other domains.
 	Domain ferryid.DomainName
 }
 
@@ -60,8 +61,8 @@
 	c.entries = byDomain
 }
 
-// entriesSharing estimates how many entries send work to an engine: those of its failure domain, since paths are kept
-// inside one domain where possible, and this one.
+// entriesSharing estimates how many entries send work to an engine: those of its failure domain, since paths
+// are kept inside one domain where possible, and this one.
 func (c *Chooser) entriesSharing(e *engine) int {
 	n := c.entries[e.up.FailureDomain]
 	if e.up.FailureDomain != c.opts.Domain {
@@ -73,8 +74,8 @@
 // Version is incremented whenever the engines change.
 func (c *Chooser) Version() int64 { return c.version.Load() }
 
-// Set replaces the model and the engines of the service. The state of an engine whose
-// process is the same is kept.
+// Set replaces the model and the engines of the service. The state of an engine is kept while its process is
+// the same.
 func (c *Chooser) Set(m *ferryconfig.Model, list []*ferrydiscovery.Upstream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +114,9 @@
 // more engine that may fail.
 const hopTime = 300 * time.Microsecond
 
-// domainLinkWeight multiplies the transfer time between domains. All transfers share that link, and a generation's
-// memory may have to cross it whole, so paths cross only if their own domain lacks layers or memory.
+// domainLinkWeight multiplies the transfer time between domains. All transfers share that link, and a
+// generation's memory may have to cross it whole, so paths cross only if their own domain lacks layers or
+// memory.
 const domainLinkWeight = 1000
 
 // links returns the transfer times per token between two engines, by their failure domains.
@@ -254,8 +256,8 @@
 	newWorkFactor = 1.5
 )
 
-// preferredFill is the fill level of an engine's memory above which other engines are preferred. Entries see each
-// other's work up to a second late and would otherwise all fill the fastest engine of a layer at once.
+// preferredFill is the fill level of an engine's memory above which other engines are preferred. Entries see
+// each other's work about a second late and would otherwise all fill the fastest engine of a layer at once.
 const preferredFill = 0.8
 
 // fits reports whether the engine has memory for the work beside its running generations and, unless r.tight is
@@ -321,7 +323,8 @@
 	r.end(func(*engine, time.Time) {})
 }
 
-// Failed ends a generation that failed on the engine at the given index of the path; -1 counts against none.
+// Failed ends a generation that failed on the engine at the given index of the path. If the index is
+// negative, the failure is not counted against any engine.
 func (r *Run) Failed(at int) {
 	r.endAt(at, func(e *engine, now time.Time) { e.health.Failed(now) })
 }
--- a/ferry/ferrypath/chooser_test.go
+++ b/ferry/ferrypath/chooser_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// TestRunsAreDistributedEvenly checks that unfinished runs are distributed evenly over engines with the same layers.
+// TestRunsAreDistributedEvenly checks that unfinished runs are distributed evenly over engines with the same
+// layers.
 func TestRunsAreDistributedEvenly(t *testing.T) {
 	c, _ := chooser(twoDomains()[:3])
 	first := map[string]int{}
@@ -173,7 +174,7 @@
 	assert.Equal(t, c.byName["a4"].held, int64(0))
 }
 
-func TestQuietSlowAndLeavingEngines(t *testing.T) {
+func TestEnginesWithoutProgressSlowOrLeaving(t *testing.T) {
 	c, clock := chooser(twoDomains()[:3])
 	run, err := c.Pick(small)
 	assert.NilError(t, err)
@@ -337,8 +338,9 @@
 	}
 }
 
-// TestConcurrentEntriesDoNotOverfillAnEngine guards against an engine that runs out of memory because all entries
-// of a domain prefer it between two of its reports: it is the fastest of its layers and already rather full.
+// TestConcurrentEntriesDoNotOverfillAnEngine guards against an engine that runs out of memory because all
+// entries of a domain prefer it between two of its reports: it is the fastest of its layers and already
+// rather full.
 func TestConcurrentEntriesDoNotOverfillAnEngine(t *testing.T) {
 	const entries, each = 25, 3
 	list := append(twoDomains()[:3], upstream("a4", "a", 4, 8))
--- a/ferry/ferrypath/engine.go
+++ b/ferry/ferrypath/engine.go
@@ -17,7 +17,7 @@
 	// need, in tokens times layers.
 	running int
 	held    int64
-	// down is set while the engine does not answer.
+	// down is set while the engine does not answer, and downAt is the time since which it is set.
 	down   bool
 	downAt time.Time
 	// reported is the engine's last report; heldAtReport and runningAtReport are held and running at that time.
--- a/ferry/ferrypath/path.go
+++ b/ferry/ferrypath/path.go
@@ -17,7 +17,8 @@
 	hops []Hop
 }
 
-// New returns the path of a plan, or a *ferrypipeline.PlanError if the plan skips, repeats or disorders a layer.
+// New returns the path of a plan, or a *ferrypipeline.PlanError if the plan skips, repeats or disorders a
+// layer.
 func New(plan *ferrypipeline.Plan, upstreams map[ferryid.UpstreamName]*ferrydiscovery.Upstream) (*Path, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
--- a/ferry/ferrypath/repath.go
+++ b/ferry/ferrypath/repath.go
@@ -11,7 +11,7 @@
 // Detour returns an alternative path for a running generation, with the same first hop and
 // without the given engines.
 //
-// The generation stays counted on its old path until Move.
+// The generation stays counted on its old path until SwitchTo.
 func (r *Run) Detour(without []ferryid.UpstreamName) (*Path, error) {
 	c := r.chooser
 	c.mu.Lock()
@@ -40,8 +40,8 @@
 	return New(&plan, c.upstreams)
 }
 
-// detourCandidates returns the candidates for a detour: the first engine with exactly its current layers, and all
-// others with the layers that they hold after those.
+// detourCandidates returns the candidates for a detour: the first engine with exactly its current layers, and
+// all others with the layers that they hold after those.
 func (c *Chooser) detourCandidates(first Hop, without []ferryid.UpstreamName) (ferrypipeline.Candidates, []*engine) {
 	up := first.Upstream
 	c.upstreams[ferryid.UpstreamName(up.Name)] = up
@@ -91,7 +91,7 @@
 	}
 }
 
-// MarkDown marks an engine as down, so that no work is sent to it until Alive.
+// MarkDown marks an engine as down, so that no work is sent to it until MarkUp.
 func (c *Chooser) MarkDown(name string) {
 	c.setDown(name, true)
 }
