--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -171,8 +171,8 @@
 	return out
 }
 
-// repeatDoubtful repeats the orders without an answer. An engine that has begun one answers so, and an order that is
-// still in transit no longer has the expected number.
+// repeatDoubtful repeats the orders without an answer. An engine that has begun one answers so, and an order
+// that is still in transit no longer has the expected number.
 func (c *Core) repeatDoubtful(now time.Time) []Send {
 	var sends []Send
 	for _, e := range c.engines {
@@ -210,8 +210,8 @@
 	Unknown
 )
 
-// Record records the outcome of an order.
-func (c *Core) Record(s Send, a OrderOutcome, now time.Time) {
+// RecordOutcome records the outcome of an order.
+func (c *Core) RecordOutcome(s Send, a OrderOutcome, now time.Time) {
 	e := c.engines[ferryid.UpstreamName(s.Upstream.Name)]
 	if e == nil || !e.up.SameProcess(s.Upstream) || e.state != sent {
 		return
--- a/ferry/ferryplacement/placer.go
+++ b/ferry/ferryplacement/placer.go
@@ -92,8 +92,8 @@
 
 // result is the outcome of one order.
 type result struct {
-	send   Send
-	answer OrderOutcome
+	send    Send
+	outcome OrderOutcome
 }
 
 // New returns a placer; Run starts it.
@@ -126,7 +126,7 @@
 		case in := <-p.input:
 			p.core.Set(in.model, in.list, p.cfg.Clock.Now())
 		case r := <-p.results:
-			p.core.Record(r.send, r.answer, p.cfg.Clock.Now())
+			p.core.RecordOutcome(r.send, r.outcome, p.cfg.Clock.Now())
 			continue
 		case <-p.wait():
 		}
@@ -145,7 +145,7 @@
 	}
 	for _, s := range p.core.Next(p.cfg.Clock.Now()) {
 		go func() {
-			r := result{send: s, answer: p.sendOrder(ctx, s)}
+			r := result{send: s, outcome: p.sendOrder(ctx, s)}
 			select {
 			case p.results <- r:
 			case <-ctx.Done():
--- a/ferry/ferryplacement/repair.go
+++ b/ferry/ferryplacement/repair.go
@@ -113,8 +113,8 @@
 // minGrowthValue is the least value of additional layers that justifies a load.
 const minGrowthValue = 5.0
 
-// extendToShare extends an engine that holds less than its share because it had to load quickly. Domains that lack
-// layers need their loads for those.
+// extendToShare extends an engine that holds less than its share because it had to load quickly. Domains that
+// lack layers need their loads for those.
 func (p *plan) extendToShare(l pool) {
 	for _, e := range l {
 		want := p.share(l, e)
