--- a/ferry/ferryconfig/configuration.go
+++ b/ferry/ferryconfig/configuration.go
@@ -38,7 +38,7 @@
 	Priority *Priority
 }
 
-// Limits are the limits on callers' requests; zero means no limit.
+// Limits bounds the size and duration of callers' requests; zero means that no limit is configured.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/ferry/ferryconfig/service.go
+++ b/ferry/ferryconfig/service.go
@@ -12,7 +12,7 @@
 // Megabytes is a size in millions of bytes.
 type Megabytes float64
 
-// Service is a set of interchangeable upstreams.
+// Service is a set of upstreams that serve the same requests.
 type Service struct {
 	Name ferryid.ServiceName
 	// HealthPath is the path of the upstreams' health check.
@@ -51,7 +51,7 @@
 	StepsInPass int
 	// ReadInStep is the maximum number of prompt tokens that one step reads.
 	ReadInStep int
-	// ReportLag is the age of an engine's load report on arrival.
+	// ReportLag is the age of an engine's load report.
 	ReportLag time.Duration
 	// UsualPrompt and UsualAnswer are the mean numbers of tokens of prompts and answers.
 	UsualPrompt, UsualAnswer int
