--- a/ferry/ferrydiscovery/table.go
+++ b/ferry/ferrydiscovery/table.go
@@ -165,7 +165,8 @@
 	return next
 }
 
-// endOutage starts the grace period of upstreams that expired during an outage, if the platform was unreachable.
+// endOutage starts the grace period of upstreams that expired during an outage, if the platform was
+// unreachable.
 func (t *Table) endOutage() bool {
 	if !t.outage {
 		return false
--- a/ferry/ferrydiscovery/table_test.go
+++ b/ferry/ferrydiscovery/table_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, list(tb), "", "after the outage, a removal takes effect at once")
 }
 
-func TestSameRun(t *testing.T) {
+func TestSameProcess(t *testing.T) {
 	a := live("a", 1)
 	a.Started = time.Unix(100, 0)
 	b := a
