--- a/ferry/ferrybudget/budget.go
+++ b/ferry/ferrybudget/budget.go
@@ -13,22 +13,25 @@
 	safety = 0.95
 	// minReportDelay is the lower bound of the delay with which an entry's usage reaches all others.
 	minReportDelay = 300 * time.Millisecond
-	// unreportedShare is the fraction of the allowance that entries of a large fleet may use without reporting; the
-	// others count it as used. Fleets of up to smallFleet entries report everything: there reports cost little, and
-	// the fraction would be missing where one failure domain needs most of the budget.
+	// unreportedShare is the fraction of the allowance that entries of a large fleet may use without
+	// reporting; the others count it as used. Fleets of up to smallFleet entries report everything: there
+	// reports cost little, and the fraction would be missing where one failure domain needs most of the
+	// budget.
 	unreportedShare = 0.3
 	smallFleet      = 16
 	// minEntries is the number of entries assumed until more are known.
 	minEntries = 3
 )
 
-// Config sets the limit for all entries together: Ratio times the requests plus Allowance retries in any Window.
+// Config sets the limit for all entries together: Ratio times the requests plus Allowance retries in any
+// Window.
 type Config struct {
 	Clock     clockwork.Clock
 	Window    time.Duration
 	Ratio     float64
 	Allowance float64
-	// Resumed is set if earlier processes may have used the allowance; it is then available after one window only.
+	// Resumed is set if earlier processes may have used the allowance, which is then available only after one
+	// window.
 	Resumed bool
 }
 
@@ -58,14 +61,15 @@
 	return &Budget{cfg: cfg, entries: minEntries, reportDelay: minReportDelay, headStart: cfg.Clock.Now(), began: cfg.Clock.Now()}
 }
 
-// SetEntries sets the number of entries that share the budget and the delay with which their reports reach each other.
+// SetEntries sets the number of entries that share the budget and the delay with which their reports reach
+// each other.
 func (b *Budget) SetEntries(n int, reportDelay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries, b.reportDelay = max(minEntries, n), max(minReportDelay, reportDelay)
 }
 
-// Usage is the usage of one or more entries in the last window; Repeats counts retries.
+// Usage holds the numbers of requests and retries (Repeats) of one or more entries in the last window.
 type Usage struct {
 	Requests int
 	Repeats  int
@@ -93,8 +97,8 @@
 	return int(unreportedShare * b.allowance() / float64(b.entries))
 }
 
-// SetReported sets the usage reported by other entries; it is called several times a second. Entries that report
-// nothing are assumed to have used what they need not report.
+// SetReported sets the usage reported by other entries; it is called several times a second. Entries that
+// report nothing are assumed to have used what they need not report.
 func (b *Budget) SetReported(reports []Usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -139,9 +143,10 @@
 // reportTTL is how long the reported usage counts as current, unless the report delay is longer.
 const reportTTL = time.Second
 
-// remaining returns how many retries this entry may make now. With current reports, all entries together may use no
-// more than the rest of the budget before their next reports arrive. An entry may then exceed its even share, which
-// the entries of one failure domain need when it loses an upstream. Without current reports it may not.
+// remaining returns how many retries this entry may make now. With current reports, all entries together may
+// use no more than the rest of the budget before their next reports arrive. An entry may then exceed its even
+// share, which the entries of one failure domain need when it loses an upstream. Without current reports it
+// may not.
 func (b *Budget) remaining() float64 {
 	spent := float64(sum(b.repeats))
 	if b.reportedAt.IsZero() || b.cfg.Clock.Since(b.reportedAt) > max(reportTTL, b.reportDelay) {
@@ -152,8 +157,8 @@
 	return max(min((all+recent)/b.overshootDivisor()/float64(b.entries)-recent, all), float64(b.unreportedLimit())-spent)
 }
 
-// overshootDivisor divides the rest of the budget to cover reports that arrive at different times. It is larger in
-// small fleets, where a few entries with late reports would use a large part of the budget twice.
+// overshootDivisor divides the rest of the budget to cover reports that arrive at different times. It is
+// larger in small fleets, where a few entries with late reports would use a large part of the budget twice.
 func (b *Budget) overshootDivisor() float64 {
 	if b.entries > smallFleet {
 		return 1.3
@@ -169,7 +174,8 @@
 	return b.cfg.Allowance
 }
 
-// dropReported drops the retries that have reached all other entries and returns the number of the remaining ones.
+// dropReported drops the retries that have reached all other entries and returns the number of the remaining
+// ones.
 func (b *Budget) dropReported() int {
 	now := b.cfg.Clock.Now()
 	reported := 0
--- a/ferry/ferrybudget/budget_test.go
+++ b/ferry/ferrybudget/budget_test.go
@@ -33,7 +33,8 @@
 	assert.Assert(t, b.TakeRetry(), "no retry left after the window has passed")
 }
 
-// TestEntriesStayWithinSharedBudget has all entries retry as fast as they may while reports arrive with a delay.
+// TestEntriesStayWithinSharedBudget has all entries retry as fast as they may while reports arrive with a
+// delay.
 func TestEntriesStayWithinSharedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
