--- a/ferry/ferryduty/duty_test.go
+++ b/ferry/ferryduty/duty_test.go
@@ -107,8 +107,8 @@
 	assert.Assert(t, maxHeld < 30, "one entry holds %d duties, mean 10", maxHeld)
 }
 
-// TestBackoffStaysWithinTotalRate has all entries lose the platform at the same time and counts their calls in each
-// second.
+// TestBackoffStaysWithinTotalRate has all entries lose the platform at the same time and counts their calls
+// in each second.
 func TestBackoffStaysWithinTotalRate(t *testing.T) {
 	const total = 300
 	for _, n := range []int{9, 50, 350} {
--- a/ferry/ferryduty/holder.go
+++ b/ferry/ferryduty/holder.go
@@ -11,8 +11,8 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// Duty is the name of a task assigned to some of the entries, such as watching a kind of objects, a claim slot or a
-// customer's limit.
+// Duty is the name of a task assigned to some of the entries, such as watching a kind of objects, a claim
+// slot or a customer's limit.
 type Duty string
 
 // Slot returns the duty of one of several numbered slots.
@@ -27,8 +27,8 @@
 	weight uint64
 }
 
-// Holders returns the k members that hold the duty, highest weight first, spread over as many failure domains as
-// possible.
+// Holders returns the k members that hold the duty, highest weight first, spread over as many failure domains
+// as possible.
 //
 // It is a pure function of the usable members: when one leaves, only the duties it held move. Entries with
 // different views of the membership may both act as holder for a while, so holders have to use conditional
@@ -65,8 +65,8 @@
 	return out
 }
 
-// InDomain returns the live members of a failure domain, usable ones first, each group by descending weight for the
-// duty.
+// InDomain returns the live members of a failure domain, usable ones first, each group by descending weight
+// for the duty.
 func InDomain(ms ferrypeer.Members, d Duty, domain ferryid.DomainName) []ferryid.EntryName {
 	var usable, others []ferryid.EntryName
 	for _, c := range sortByWeight(ms, d, ferrypeer.MemberInfo.Usable) {
--- a/ferry/ferryduty/share.go
+++ b/ferry/ferryduty/share.go
@@ -20,16 +20,17 @@
 // PerSecond is a rate in calls per second.
 type PerSecond float64
 
-// Share returns one entry's share of the total rate of calls that the platform allows; a live count below one is
-// taken as one.
+// Share returns one entry's share of the total rate of calls that the platform allows; a live count below one
+// is taken as one.
 func Share(total PerSecond, live int) PerSecond {
 	return total * rateUtilization / PerSecond(max(1, live))
 }
 
-// Backoff returns the wait of one entry before its next call to the platform, after one or more consecutive failures.
+// Backoff returns the wait of one entry before its next call to the platform, after one or more consecutive
+// failures.
 //
-// The waits of all entries are spread evenly over a time that keeps their calls within the total rate. That time
-// doubles with each failure, up to a factor of eight.
+// The waits of all entries are spread evenly over a time that keeps their calls within the total rate. That
+// time doubles with each failure, up to a factor of eight.
 func Backoff(self ferryid.EntryName, total PerSecond, live, failures int) time.Duration {
 	spread := time.Duration(float64(time.Second) / float64(Share(total, live)))
 	spread = max(spread, minSpread) << min(max(0, failures-1), maxDoublings)
