--- a/ferry/ferrybalance/balancer.go
+++ b/ferry/ferrybalance/balancer.go
@@ -104,7 +104,7 @@
 	var best *upstreamState
 	least := math.Inf(1)
 	for _, r := range b.states {
-		if !r.up.Ready() || contains(avoid, r.up) || (!lastResort && !r.health.Usable(now, repeatable)) {
+		if !r.up.Ready() || excluded(avoid, r.up) || (!lastResort && !r.health.Usable(now, repeatable)) {
 			continue
 		}
 		c := b.cost(r, now, repeatable)
@@ -115,7 +115,7 @@
 	return best
 }
 
-func contains(avoid []ferryid.UpstreamName, u *ferrydiscovery.Upstream) bool {
+func excluded(avoid []ferryid.UpstreamName, u *ferrydiscovery.Upstream) bool {
 	for _, name := range avoid {
 		if string(name) == u.Name {
 			return true
@@ -133,11 +133,12 @@
 	remoteCost = time.Millisecond
 	// loadTTL is how long a reported load is used.
 	loadTTL = 300 * time.Millisecond
-	// failureCost is the cost of a failure for a call that can be retried, and unsafeFailureCost for one that cannot.
+	// failureCost is the cost of a failure for a call that can be retried, and unsafeFailureCost for one that
+	// cannot.
 	failureCost       = 200 * time.Millisecond
 	unsafeFailureCost = 2 * time.Second
-	// jitter is the largest relative random surcharge. It spreads calls over upstreams of similar cost, and also a
-	// caller's retries, since a failure may depend on the combination of request and upstream.
+	// jitter is the largest relative random surcharge. It spreads calls over upstreams of similar cost, and
+	// also a caller's retries, since a failure may depend on the combination of request and upstream.
 	jitter = 0.5
 )
 
@@ -167,8 +168,8 @@
 	return c * (1 + jitter*rand.Float64())
 }
 
-// lowestLatency returns the lowest mean latency, at most defaultLatency. It is assumed for upstreams without answers so
-// far, so that they are tried.
+// lowestLatency returns the lowest mean latency, at most defaultLatency. It is assumed for upstreams without
+// answers so far, so that they are tried.
 func (b *Balancer) lowestLatency() float64 {
 	least := defaultLatency.Seconds()
 	for _, r := range b.states {
