--- a/ferry/ferryfollow/follower.go
+++ b/ferry/ferryfollow/follower.go
@@ -121,8 +121,8 @@
 	return len(changes.Objects), nil
 }
 
-// recordFailure records a failed call. If the platform no longer has the history, the next step lists and the view
-// does not count as lost.
+// recordFailure records a failed call. If the platform no longer has the history, the next step lists and the
+// view does not count as lost.
 func (f *Follower) recordFailure(err error) {
 	f.failures++
 	var gone *ferryplatform.HistoryGoneError
