--- a/ferry/ferryrelay/message.go
+++ b/ferry/ferryrelay/message.go
@@ -23,32 +23,32 @@
 	opProve
 )
 
-// verdict is the status of an answer.
-type verdict uint8
+// status is the status of an answer.
+type status uint8
 
 const (
-	verdictOK verdict = iota + 1
-	// verdictLost means that the reader has lost the platform.
-	verdictLost
-	// verdictGone means that the changes after the requested version are no longer kept.
-	verdictGone
-	// verdictNotRead means that the entry does not read the kind from the platform, or not
+	statusOK status = iota + 1
+	// statusPlatformLost means that the reader has lost the platform.
+	statusPlatformLost
+	// statusHistoryGone means that the changes after the requested version are no longer kept.
+	statusHistoryGone
+	// statusNotRead means that the entry does not read the kind from the platform, or not
 	// yet. It is not a failure.
-	verdictNotRead
+	statusNotRead
 )
 
-func (v verdict) String() string {
+func (v status) String() string {
 	switch v {
-	case verdictOK:
+	case statusOK:
 		return "OK"
-	case verdictLost:
+	case statusPlatformLost:
 		return "Lost"
-	case verdictGone:
+	case statusHistoryGone:
 		return "Gone"
-	case verdictNotRead:
+	case statusNotRead:
 		return "NotRead"
 	}
-	return fmt.Sprintf("verdict %d", uint8(v))
+	return fmt.Sprintf("status %d", uint8(v))
 }
 
 // question is the request for objects to a reader.
@@ -62,7 +62,7 @@
 
 // answer is the reader's reply.
 type answer struct {
-	Verdict verdict               `cbor:"1,keyasint"`
+	Status  status                `cbor:"1,keyasint"`
 	Version ferryplatform.Version `cbor:"2,keyasint,omitempty"`
 	Objects []object              `cbor:"3,keyasint,omitempty"`
 	// Age is the time from the start of the reader's own read to its answer.
@@ -97,8 +97,8 @@
 	if err := cbor.Unmarshal(b, &a); err != nil {
 		return a, fmt.Errorf("decode answer: %w", err)
 	}
-	if a.Verdict < verdictOK || a.Verdict > verdictNotRead {
-		return a, fmt.Errorf("decode answer: invalid %s", a.Verdict)
+	if a.Status < statusOK || a.Status > statusNotRead {
+		return a, fmt.Errorf("decode answer: invalid %s", a.Status)
 	}
 	if a.Age < 0 || a.Age > maxAge {
 		return a, fmt.Errorf("decode answer: age %s is not between 0 and 1 h", a.Age)
@@ -112,7 +112,7 @@
 }
 
 func answerOf(c ferryplatform.Changes) answer {
-	a := answer{Verdict: verdictOK, Version: c.Version}
+	a := answer{Status: statusOK, Version: c.Version}
 	for _, o := range c.Objects {
 		a.Objects = append(a.Objects, object{Name: o.Name, Version: o.Version, Deleted: o.Deleted, Value: o.Value})
 	}
--- a/ferry/ferryrelay/mirror.go
+++ b/ferry/ferryrelay/mirror.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// applyObject applies an object that was read alone and is the only relevant one of its kind. If the connection of
-// the watch hangs, the watch returns the change only later.
+// applyObject applies an object that was read alone and is the only relevant one of its kind. If the
+// connection of the watch hangs, the watch returns the change only later.
 func (m *mirror) applyObject(o ferryplatform.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,44 +155,44 @@
 	return c, true
 }
 
-// watch waits until an object changes after a version. The changes are valid only with verdictOK.
-func (m *mirror) watch(ctx context.Context, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, verdict) {
+// watch waits until an object changes after a version. The changes are valid only with statusOK.
+func (m *mirror) watch(ctx context.Context, after ferryplatform.Version, wait time.Duration) (ferryplatform.Changes, status) {
 	timer := m.clock.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		c, v, moved := m.since(after)
-		if v != verdictOK || len(c.Objects) > 0 {
+		if v != statusOK || len(c.Objects) > 0 {
 			return c, v
 		}
 		select {
 		case <-moved:
 		case <-timer.Chan():
-			return c, verdictOK
+			return c, statusOK
 		case <-ctx.Done():
-			return c, verdictOK
+			return c, statusOK
 		}
 	}
 }
 
 // since returns the changes after a version, and a channel that is closed when there are more.
-func (m *mirror) since(after ferryplatform.Version) (ferryplatform.Changes, verdict, <-chan struct{}) {
+func (m *mirror) since(after ferryplatform.Version) (ferryplatform.Changes, status, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := ferryplatform.Changes{Version: max(after, m.version)}
 	switch {
 	case !m.current:
-		return c, verdictLost, m.notified
+		return c, statusPlatformLost, m.notified
 	case after >= m.version:
-		return c, verdictOK, m.notified
+		return c, statusOK, m.notified
 	}
 	first := slices.IndexFunc(m.batches, func(b batch) bool { return b.after == after })
 	if first < 0 {
 		// A caller that followed another reader may be within a batch, and would apply an old
 		// removal over a later change.
-		return c, verdictGone, m.notified
+		return c, statusHistoryGone, m.notified
 	}
 	for _, b := range m.batches[first:] {
 		c.Objects = append(c.Objects, b.objects...)
 	}
-	return c, verdictOK, m.notified
+	return c, statusOK, m.notified
 }
--- a/ferry/ferryrelay/relay.go
+++ b/ferry/ferryrelay/relay.go
@@ -30,8 +30,8 @@
 	// excludeFor is how long a reader that did not answer is not asked. The membership protocol takes about as
 	// long to detect its failure.
 	excludeFor = time.Second
-	// directRetryInterval is the interval of direct calls to the platform after one failed,
-	// while a reader can be asked.
+	// directRetryInterval is the interval of direct calls to the platform after one failed, while a reader
+	// answers or reports that it has lost the platform.
 	directRetryInterval = 5 * time.Second
 	// directRetryTimeout bounds such a direct call. A reachable platform answers within milliseconds.
 	directRetryTimeout = 400 * time.Millisecond
@@ -118,7 +118,8 @@
 	}
 }
 
-// PlatformReachable reports whether the last direct call to the platform was answered; also true before the first.
+// PlatformReachable reports whether the last direct call to the platform was answered; also true before the
+// first.
 func (r *Relay) PlatformReachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +176,7 @@
 	a, err := r.ask(ctx, question{Op: opWatch, Kind: kind, After: after, Wait: min(wait, relayWait)})
 	if err == nil {
 		m.reset()
-		if a.Verdict == verdictGone {
+		if a.Status == statusHistoryGone {
 			return ferryplatform.Changes{}, &ferryplatform.HistoryGoneError{Kind: kind, After: after}
 		}
 		return a.changes(kind), nil
@@ -197,7 +198,8 @@
 	return c, nil
 }
 
-// Prove returns an object, the only relevant one of its kind, and a time at which it was certainly current.
+// Prove returns an object, the only relevant one of its kind, and a time on Config.Clock at which it was
+// certainly current.
 func (r *Relay) Prove(ctx context.Context, kind, name string) (ferryplatform.Object, time.Time, error) {
 	if r.retryDue() {
 		trying, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, directRetryTimeout)
@@ -251,9 +253,9 @@
 	case err != nil:
 		r.exclude(to, err)
 		return a, errNoReader
-	case a.Verdict == verdictLost:
+	case a.Status == statusPlatformLost:
 		return a, &LostError{Reader: to.Name}
-	case a.Verdict == verdictNotRead:
+	case a.Status == statusNotRead:
 		return a, errNoReader
 	}
 	r.logSource(string(to.Name))
@@ -278,7 +280,7 @@
 	return decodeAnswer(reply)
 }
 
-// exclude excludes a reader that did not answer for excludeFor.
+// exclude stops reads from a reader that did not answer, for excludeFor.
 func (r *Relay) exclude(to Reader, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -287,12 +289,12 @@
 }
 
 // logSource logs a change of the source that objects are read from.
-func (r *Relay) logSource(through string) {
+func (r *Relay) logSource(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.source != through {
-		r.source = through
-		r.cfg.Log.Info().Str("Through", through).Msg("source of platform reads changed")
+	if r.source != source {
+		r.source = source
+		r.cfg.Log.Info().Str("Through", source).Msg("source of platform reads changed")
 	}
 }
 
--- a/ferry/ferryrelay/relay_test.go
+++ b/ferry/ferryrelay/relay_test.go
@@ -281,7 +281,8 @@
 	})
 }
 
-// TestNewReaderStartsWithAList checks the change of the reader to an entry that has only read from another so far.
+// TestNewReaderStartsWithAList checks the change of the reader to an entry that has only read from another so
+// far.
 func TestNewReaderStartsWithAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
@@ -303,7 +304,7 @@
 
 		// a reads from b now, and must not answer from its old objects.
 		f.list(t, "a")
-		assert.Equal(t, f.relays["a"].answer(t.Context(), question{Op: opList, Kind: "k"}).Verdict, verdictNotRead)
+		assert.Equal(t, f.relays["a"].answer(t.Context(), question{Op: opList, Kind: "k"}).Status, statusNotRead)
 	})
 }
 
@@ -317,14 +318,14 @@
 	}})
 	for _, tc := range []struct {
 		after   ferryplatform.Version
-		want    verdict
+		want    status
 		changes int
 	}{
-		{after: 5, want: verdictOK, changes: 3},
-		{after: 6, want: verdictGone},
-		{after: 8, want: verdictOK},
-		{after: 9, want: verdictOK},
-		{after: 4, want: verdictGone},
+		{after: 5, want: statusOK, changes: 3},
+		{after: 6, want: statusHistoryGone},
+		{after: 8, want: statusOK},
+		{after: 9, want: statusOK},
+		{after: 4, want: statusHistoryGone},
 	} {
 		c, v, _ := m.since(tc.after)
 		assert.Equal(t, v, tc.want, "after %d", tc.after)
@@ -341,11 +342,11 @@
 	m.replace(ferryplatform.Changes{Version: 5})
 	m.applyObject(ferryplatform.Object{Name: "x", Version: 9, Value: []byte("new")})
 	c, v, _ := m.since(5)
-	assert.Equal(t, v, verdictOK)
+	assert.Equal(t, v, statusOK)
 	assert.Equal(t, text(c), "x=new")
 	m.apply(5, ferryplatform.Changes{Version: 9, Objects: []ferryplatform.Object{{Name: "x", Version: 9, Value: []byte("new")}}})
 	c, v, _ = m.since(9)
-	assert.Equal(t, v, verdictOK)
+	assert.Equal(t, v, statusOK)
 	assert.Equal(t, len(c.Objects), 0)
 }
 
--- a/ferry/ferryrelay/serve.go
+++ b/ferry/ferryrelay/serve.go
@@ -22,27 +22,27 @@
 	case opList:
 		c, ok := r.mirror(q.Kind).list()
 		if !ok {
-			return answer{Verdict: r.unreadVerdict(q.Kind)}
+			return answer{Status: r.unreadStatus(q.Kind)}
 		}
 		return answerOf(c)
 	case opWatch:
 		c, v := r.mirror(q.Kind).watch(ctx, q.After, q.Wait)
-		if v == verdictLost {
-			v = r.unreadVerdict(q.Kind)
+		if v == statusPlatformLost {
+			v = r.unreadStatus(q.Kind)
 		}
 		a := answerOf(c)
-		a.Verdict = v
+		a.Status = v
 		return a
 	}
 	return r.answerProof(q)
 }
 
-// unreadVerdict returns why a kind cannot be read from this entry, which may just have become the reader.
-func (r *Relay) unreadVerdict(kind string) verdict {
+// unreadStatus returns why a kind cannot be read from this entry, which may just have become the reader.
+func (r *Relay) unreadStatus(kind string) status {
 	if r.PlatformReachable() && !r.mirror(kind).isComplete() {
-		return verdictNotRead
+		return statusNotRead
 	}
-	return verdictLost
+	return statusPlatformLost
 }
 
 // answerProof answers with this entry's last proof.
@@ -53,11 +53,11 @@
 	age := r.cfg.Clock.Since(p.at)
 	switch {
 	case !ok && r.failingSince.IsZero():
-		return answer{Verdict: verdictNotRead}
+		return answer{Status: statusNotRead}
 	case !ok || age > proofMaxAge:
-		return answer{Verdict: verdictLost}
+		return answer{Status: statusPlatformLost}
 	}
-	out := answer{Verdict: verdictOK, Age: age}
+	out := answer{Status: statusOK, Age: age}
 	if p.object.Name != "" {
 		out.Objects = []object{{Name: p.object.Name, Version: p.object.Version, Value: p.object.Value}}
 	}
