--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -26,7 +26,7 @@
 	Seeds []string
 	// Servers are additional listeners, for example for readiness checks.
 	Servers []Server
-	// First is set if the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time.
 	FirstStart bool
 	// MaxConns is the maximum number of callers' connections.
 	MaxConns int
--- a/ferryd/ferryedge/doc.go
+++ b/ferryd/ferryedge/doc.go
@@ -1,5 +1,5 @@
 // Package ferryedge assembles an entry for routed services.
 //
-// It connects the callers' listener, the configuration and upstreams from the platform, the overlay of
+// It combines the callers' listener, the configuration and upstreams from the platform, the overlay of
 // entries, the placement of model layers and planned stops.
 package ferryedge
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -27,7 +27,8 @@
 const (
 	eventBuffer     = 1024
 	metricsInterval = 5 * time.Second
-	dialTimeout     = 400 * time.Millisecond // shorter than the first TCP retransmission after 1 s; another upstream answers sooner
+	// dialTimeout is shorter than the 1 s after which TCP repeats a lost SYN, since another upstream answers sooner.
+	dialTimeout = 400 * time.Millisecond
 )
 
 // State is the serving state of an edge.
@@ -214,7 +215,7 @@
 
 const sweepInterval = time.Second
 
-// pause waits and reports whether the context is still valid.
+// pause waits for d and reports whether the context is still active.
 func (e *Edge) pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/ferryd/ferryedge/placement.go
+++ b/ferryd/ferryedge/placement.go
@@ -73,7 +73,7 @@
 		p.lease.Want(p.Ready() && p.shouldHold() && (!alone || p.cfg.Clock.Since(began) > aloneWait))
 		fence, _, err := p.lease.Check()
 		if now := err == nil; now != p.held.Swap(now) {
-			p.cfg.Log.Info().Bool("Held", now).Uint64("Fence", uint64(fence)).Msg("placement lease acquired or lost")
+			p.cfg.Log.Info().Bool("Held", now).Uint64("Fence", uint64(fence)).Msg("holder state of the placement lease changed")
 		}
 	}
 }
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -25,8 +25,8 @@
 
 // entryState is the state of an entry as published to the others.
 type entryState struct {
-	// Spent is the use of the retry budget by service in the last window.
-	Spent map[ferryid.ServiceName]ferrybudget.Usage `cbor:"1,keyasint"`
+	// RetryUsage is the use of the retry budgets in the last window, by service.
+	RetryUsage map[ferryid.ServiceName]ferrybudget.Usage `cbor:"1,keyasint"`
 	// ConfigStale is set if the entry cannot prove its configuration current. Callers should be
 	// sent to others if possible.
 	ConfigStale bool `cbor:"2,keyasint,omitempty"`
@@ -39,12 +39,12 @@
 
 // Check returns an error if a number is out of range.
 func (s entryState) Check() error {
-	if len(s.Spent) > maxServices {
-		return fmt.Errorf("spent on %d services, at most 64 allowed", len(s.Spent))
+	if len(s.RetryUsage) > maxServices {
+		return fmt.Errorf("retry usage lists %d services, at most 64 allowed", len(s.RetryUsage))
 	}
-	for name, v := range s.Spent {
+	for name, v := range s.RetryUsage {
 		if v.Requests < 0 || v.Repeats < 0 {
-			return fmt.Errorf("negative retry counts: spent %d of %d on %q", v.Repeats, v.Requests, name)
+			return fmt.Errorf("negative retry usage: %d retries of %d requests to service %q", v.Repeats, v.Requests, name)
 		}
 	}
 	return nil
@@ -62,8 +62,8 @@
 	published := entryState{}
 	publishedAt := e.cfg.Clock.Now()
 	for e.pause(ctx, e.scaledShareInterval()) {
-		e.services.SetRetryUsage(e.othersSpent())
-		now := entryState{Spent: e.services.RetryUsage(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.PlatformReachable()}
+		e.services.SetRetryUsage(e.reportedRetryUsage())
+		now := entryState{RetryUsage: e.services.RetryUsage(), ConfigStale: e.configStale.Load(), Orders: e.placement.held.Load(), PlatformLost: !e.relay.PlatformReachable()}
 		if !published.differs(now) && (now.quiet() || e.cfg.Clock.Since(publishedAt) < stateTTL/2) {
 			continue
 		}
@@ -83,13 +83,13 @@
 
 func fleetFactorOf(entries int) int { return max(1, entries/smallFleet) }
 
-func (e *Edge) othersSpent() map[ferryid.ServiceName][]ferrybudget.Usage {
+func (e *Edge) reportedRetryUsage() map[ferryid.ServiceName][]ferrybudget.Usage {
 	out := map[ferryid.ServiceName][]ferrybudget.Usage{}
 	for _, entry := range e.states.All() {
 		if entry.Origin == e.cfg.Name {
 			continue
 		}
-		for name, v := range entry.Value.Spent {
+		for name, v := range entry.Value.RetryUsage {
 			out[name] = append(out[name], v)
 		}
 	}
@@ -117,8 +117,8 @@
 // differs reports whether the newer state must be published at once. A lower use of
 // the retry budget can wait.
 func (s entryState) differs(newer entryState) bool {
-	for name, v := range newer.Spent {
-		if v.Repeats > s.Spent[name].Repeats {
+	for name, v := range newer.RetryUsage {
+		if v.Repeats > s.RetryUsage[name].Repeats {
 			return true
 		}
 	}
@@ -127,5 +127,5 @@
 
 // quiet reports whether the state need not be published again before it expires.
 func (s entryState) quiet() bool {
-	return len(s.Spent) == 0 && !s.ConfigStale && !s.Orders && !s.PlatformLost
+	return len(s.RetryUsage) == 0 && !s.ConfigStale && !s.Orders && !s.PlatformLost
 }
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -28,8 +28,8 @@
 		quiet        bool
 	}{
 		{"no change", entryState{}, entryState{}, false, true},
-		{"more retries", entryState{Spent: spent(1)}, entryState{Spent: spent(2)}, true, false},
-		{"fewer retries", entryState{Spent: spent(2)}, entryState{Spent: spent(1)}, false, false},
+		{"more retries", entryState{RetryUsage: spent(1)}, entryState{RetryUsage: spent(2)}, true, false},
+		{"fewer retries", entryState{RetryUsage: spent(2)}, entryState{RetryUsage: spent(1)}, false, false},
 		{"configuration no longer proved current", entryState{}, entryState{ConfigStale: true}, true, false},
 		{"configuration proved current again", entryState{ConfigStale: true}, entryState{}, true, true},
 		{"acquired the placement lease", entryState{}, entryState{Orders: true}, true, false},
@@ -52,9 +52,9 @@
 	for i := range maxServices + 1 {
 		many[ferryid.ServiceName(rune('a'+i))] = ferrybudget.Usage{}
 	}
-	assert.NilError(t, entryState{Spent: spent(3)}.Check())
-	assert.ErrorContains(t, entryState{Spent: spent(-1)}.Check(), `spent -1 of 10 on "s"`)
-	assert.ErrorContains(t, entryState{Spent: many}.Check(), "spent on 65 services")
+	assert.NilError(t, entryState{RetryUsage: spent(3)}.Check())
+	assert.ErrorContains(t, entryState{RetryUsage: spent(-1)}.Check(), `negative retry usage: -1 retries of 10 requests to service "s"`)
+	assert.ErrorContains(t, entryState{RetryUsage: many}.Check(), "retry usage lists 65 services")
 	assert.NilError(t, conditions{List: []engineCondition{{Pace: 64, Used: 10, Room: 20}}}.Check())
 	assert.ErrorContains(t, conditions{List: []engineCondition{{Pace: maxPace + 1}}}.Check(), "condition of engine")
 	assert.ErrorContains(t, conditions{List: make([]engineCondition, maxEnginesPerItem+1)}.Check(), "conditions of 41 engines")
--- a/ferryd/ferryedge/steer.go
+++ b/ferryd/ferryedge/steer.go
@@ -56,9 +56,9 @@
 
 // anyConfigCurrent reports whether some usable entry has a current configuration. Entries without one must
 // refuse requests with keys.
-func (e *Edge) anyConfigCurrent(selfToo bool) bool {
+func (e *Edge) anyConfigCurrent(includeSelf bool) bool {
 	for _, m := range e.peer.Members().List {
-		if e.usable(m) && !e.isConfigStale(m.Name) && (selfToo || m.Name != e.cfg.Name) {
+		if e.usable(m) && !e.isConfigStale(m.Name) && (includeSelf || m.Name != e.cfg.Name) {
 			return true
 		}
 	}
