--- a/ferry/ferryexchange/client.go
+++ b/ferry/ferryexchange/client.go
@@ -19,7 +19,8 @@
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 4 * time.Second // below the 5 s idle timeout of common servers
 	defaultIdleConns   = 8
-	// idleMargin is subtracted from the upstream's idle timeout, so that no request meets a connection being closed.
+	// idleMargin is subtracted from the upstream's idle timeout, so that no request meets a connection being
+	// closed.
 	idleMargin = time.Second
 	// maxForeignAnswers is the number of answers to other requests after which an exchange fails.
 	maxForeignAnswers = 4
@@ -73,7 +74,7 @@
 // Sweep closes idle connections that have reached their idle timeout.
 func (c *Client) Sweep() { c.pool.sweep(c.cfg.Clock.Now()) }
 
-// Drop closes the idle connections to an address.
+// Drop closes the idle connections to an address, for use when its upstream is gone.
 func (c *Client) Drop(address string) { c.pool.drop(address) }
 
 // Close closes all idle connections.
--- a/ferry/ferryexchange/conn.go
+++ b/ferry/ferryexchange/conn.go
@@ -28,7 +28,8 @@
 	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBufferBytes), address: address}
 }
 
-// usable reports whether an idle connection is open and has received no bytes; unsolicited bytes make it unusable.
+// usable reports whether an idle connection is open and has received no bytes; unsolicited bytes make it
+// unusable.
 func (c *conn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false
--- a/ferry/ferryexchange/request.go
+++ b/ferry/ferryexchange/request.go
@@ -24,7 +24,8 @@
 	Body   []byte
 	// NewConn requests a new connection, since the upstream may be closing an idle one.
 	NewConn bool
-	// Echo is the name of a header that an answer copies from its request; answers with another value are skipped.
+	// Echo is the name of a header that an answer copies from its request; answers with another value are
+	// skipped.
 	Echo string
 }
 
