--- a/ferry/ferryingress/conn.go
+++ b/ferry/ferryingress/conn.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// stoppingIdleTimeout is the time for the first request on a connection without one, once the server stops.
+// stoppingIdleTimeout is how long a connection that has carried no request yet may take to its only request
+// once the server is stopping.
 const stoppingIdleTimeout = time.Second
 
 // pastDeadline is a deadline that unblocks a read immediately.
@@ -169,8 +170,8 @@
 	c.linger()
 }
 
-// linger closes the sending side and discards input for a while: closing a connection with unread bytes resets it,
-// and the caller could lose the answer.
+// linger closes the sending side and discards input for a while: closing a connection with unread bytes
+// resets it, and the caller could lose the answer.
 func (c *serverConn) linger() {
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tc.CloseWrite()
--- a/ferry/ferryingress/read.go
+++ b/ferry/ferryingress/read.go
@@ -24,8 +24,8 @@
 	expectsContinue      bool
 }
 
-// limitedReader reads from a connection up to a limit. It counts the bytes and keeps the last error, which the parsers
-// would otherwise take for the end of a line.
+// limitedReader reads from a connection up to a limit. It counts the bytes and keeps the last error, which
+// the parsers would otherwise take for the end of a line.
 type limitedReader struct {
 	r         io.Reader
 	remaining int64
@@ -33,7 +33,7 @@
 	err       error
 }
 
-// errReadLimit is returned by a bounded reader that has reached its limit.
+// errReadLimit is returned by a limitedReader that has reached its limit.
 var errReadLimit = errors.New("read limit exceeded")
 
 func (b *limitedReader) Read(p []byte) (int, error) {
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// readHead reads and validates a request's head.
+// readHead reads and validates a request's head, whose first byte must have been received.
 func readHead(br *bufio.Reader) (head, error) {
 	tr := textproto.NewReader(br)
 	line, err := tr.ReadLine()
@@ -131,8 +131,8 @@
 	return h.parseFraming()
 }
 
-// parseFraming determines the length of the body. Ambiguous framing is refused, since the next hop could read it
-// differently (request smuggling).
+// parseFraming determines the length of the body. Ambiguous framing is refused, since the next hop could read
+// it differently (request smuggling).
 func (h *head) parseFraming() error {
 	coding, lengths := h.header["Transfer-Encoding"], h.header["Content-Length"]
 	if len(coding) > 0 {
--- a/ferry/ferryingress/server.go
+++ b/ferry/ferryingress/server.go
@@ -16,8 +16,8 @@
 
 const (
 	readBufferBytes = 4 << 10 // fits the head and body of a typical request
-	// lingerTime is how long the input of a refused request is discarded, so that the caller reads the answer before
-	// a reset.
+	// lingerTime is how long the input of a refused request is discarded, so that the caller reads the answer
+	// before a reset.
 	lingerTime = 500 * time.Millisecond
 	// lingerBytes is the maximum number of discarded bytes.
 	lingerBytes = 1 << 20
@@ -38,7 +38,8 @@
 	Refused func(c *Call, e *RequestError)
 	// Limits returns the current limits; nil means the defaults.
 	Limits func() Limits
-	// MaxConns is the maximum number of open connections; further ones wait in the accept queue. Zero means no limit.
+	// MaxConns is the maximum number of open connections; further ones wait in the accept queue. Zero means
+	// no limit.
 	MaxConns int
 }
 
@@ -88,7 +89,7 @@
 			if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 				return nil
 			}
-			s.cfg.Log.Warn().Err(err).Msg("accept connection")
+			s.cfg.Log.Warn().Err(err).Msg("could not accept a connection")
 			s.cfg.Clock.Sleep(acceptPause)
 			continue
 		}
@@ -124,8 +125,8 @@
 	s.wg.Done()
 }
 
-// Stop closes idle connections at once and the others after their current call. A request that arrives on an idle
-// connection meanwhile is not read.
+// Stop closes idle connections at once and the others after their current call. A request that arrives on an
+// idle connection meanwhile is not read.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.mu.Lock()
--- a/ferry/ferryingress/write.go
+++ b/ferry/ferryingress/write.go
@@ -130,8 +130,8 @@
 	return w.err
 }
 
-// resetIncomplete makes closing the connection a TCP reset if the answer is not chunked, since a regular close could
-// be taken for the end of the body.
+// resetIncomplete makes closing the connection a TCP reset if the answer is not chunked, since a regular
+// close could be taken for the end of the body.
 func (w *writer) resetIncomplete() {
 	if tc, ok := w.conn.(*net.TCPConn); ok && !w.chunked {
 		_ = tc.SetLinger(0)
