--- a/ferry/ferryforward/harness_test.go
+++ b/ferry/ferryforward/harness_test.go
@@ -60,7 +60,7 @@
 }
 
 func (testDialect) DecodeAnswer(_ int, h http.Header) AnswerInfo {
-	return AnswerInfo{NotRun: h.Get("Not-Run") != "", Elsewhere: h.Get("Elsewhere") != "", Signed: h.Get("Signed") != "", FailedEngine: h.Get("Culprit")}
+	return AnswerInfo{NotRun: h.Get("Not-Run") != "", Elsewhere: h.Get("Elsewhere") != "", Signed: h.Get("Signed") != "", FailedEngine: h.Get("Failed-Engine")}
 }
 
 func (testDialect) StripInternal(h http.Header) { delete(h, "Internal") }
@@ -211,7 +211,7 @@
 	clock := clockwork.NewRealClock()
 	b := &harness{t: t, holder: &ferryconfig.Holder{}, upstreams: map[string]*testUpstream{}, rerouter: &fakeRerouter{}, clock: clock}
 	table := ferrydiscovery.NewTable(clock)
-	services := NewServices(ServicesConfig{Clock: clock, Domain: "d", RepeatWindow: 10 * time.Second, RepeatRatio: 0.2, RepeatAllowance: 100})
+	services := NewServices(ServicesConfig{Clock: clock, Domain: "d", RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetryAllowance: 100})
 	b.client = ferryexchange.New(ferryexchange.Config{Dial: ferrynettest.Dial})
 	table.OnChange(services.SetView)
 	b.holder.OnChange(services.SetConfig)
--- a/ferry/ferryforward/probe.go
+++ b/ferry/ferryforward/probe.go
@@ -64,8 +64,8 @@
 }
 
 // deadHops returns the given indices of hops whose engines do not answer. If none of them answers, one more
-// engine of the path is probed: if that fails too, the fault is probably this entry's own network and no hop
-// is reported.
+// engine of the path is probed: if that one does not answer either, the fault is probably on this
+// entry's side and no hop is reported.
 func (p *prober) deadHops(hops []ferrypath.Hop, indices []int) []int {
 	probes := make([]*probe, len(indices))
 	for k, i := range indices {
--- a/ferry/ferryforward/probe_test.go
+++ b/ferry/ferryforward/probe_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestDeadEngines checks that no engine is reported dead if no engine of the path answers: then this entry's
-// own network is at fault.
+// TestDeadEngines checks that no engine is reported dead if no engine of the path answers: then the
+// fault is on this entry's side.
 func TestDeadEngines(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -30,10 +30,10 @@
 	Clock clockwork.Clock
 	// Domain is the failure domain of this entry.
 	Domain ferryid.DomainName
-	// RepeatWindow, RepeatRatio and RepeatAllowance define the retry budget that all entries share.
-	RepeatWindow    time.Duration
-	RepeatRatio     float64
-	RepeatAllowance float64
+	// RetryWindow, RetryRatio and RetryAllowance define the retry budget that all entries share.
+	RetryWindow    time.Duration
+	RetryRatio     float64
+	RetryAllowance float64
 	// Resumed is set if entries were already serving before this process started.
 	Resumed bool
 }
@@ -167,7 +167,7 @@
 		name:     c.Name,
 		balancer: ferrybalance.New(ferrybalance.Options{Clock: s.cfg.Clock, Domain: s.cfg.Domain}),
 		budget: ferrybudget.New(ferrybudget.Config{
-			Clock: s.cfg.Clock, Window: s.cfg.RepeatWindow, Ratio: s.cfg.RepeatRatio, Allowance: s.cfg.RepeatAllowance, Resumed: s.cfg.Resumed,
+			Clock: s.cfg.Clock, Window: s.cfg.RetryWindow, Ratio: s.cfg.RetryRatio, Allowance: s.cfg.RetryAllowance, Resumed: s.cfg.Resumed,
 		}),
 	}
 	if layered {
--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -168,8 +168,8 @@
 	return c
 }
 
-// plausible drops the silent engines if most are silent, since then this entry's own
-// network is probably at fault.
+// plausible drops the silent engines if most are silent, since then the fault is probably on
+// this entry's side.
 func plausible(list []engineCondition) []engineCondition {
 	silent := 0
 	for _, c := range list {
--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -73,10 +73,10 @@
 	Grace time.Duration
 	// AnswerLifetime is the maximum time for which callers keep a steering answer.
 	AnswerLifetime time.Duration
-	// RepeatWindow, RepeatRatio and RepeatAllowance configure the retry budget over all entries.
-	RepeatWindow    time.Duration
-	RepeatRatio     float64
-	RepeatAllowance float64
+	// RetryWindow, RetryRatio and RetryAllowance configure the retry budget over all entries.
+	RetryWindow    time.Duration
+	RetryRatio     float64
+	RetryAllowance float64
 }
 
 // Server is an additional listener with its handler.
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -87,7 +87,7 @@
 	}
 	e.services = ferryforward.NewServices(ferryforward.ServicesConfig{
 		Clock: cfg.Clock, Domain: cfg.Domain,
-		RepeatWindow: cfg.Objectives.RepeatWindow, RepeatRatio: cfg.Objectives.RepeatRatio, RepeatAllowance: cfg.Objectives.RepeatAllowance, Resumed: !cfg.FirstStart,
+		RetryWindow: cfg.Objectives.RetryWindow, RetryRatio: cfg.Objectives.RetryRatio, RetryAllowance: cfg.Objectives.RetryAllowance, Resumed: !cfg.FirstStart,
 	})
 	e.forwarder = ferryforward.New(ferryforward.Config{
 		Clock: cfg.Clock, Steady: cfg.Steady, Holder: e.holder, Services: e.services, Dialect: cfg.Dialect, Client: e.client, Rerouter: cfg.Engines(e.client),
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -14,12 +14,12 @@
 	"cactusferry.dev/ferry/ferryplatform"
 )
 
-func spent(repeats int) map[ferryid.ServiceName]ferrybudget.Usage {
+func retryUsage(repeats int) map[ferryid.ServiceName]ferrybudget.Usage {
 	return map[ferryid.ServiceName]ferrybudget.Usage{"s": {Requests: 10, Repeats: repeats}}
 }
 
-// TestStatePublication checks that exactly the changes are published at once that others
-// would act wrongly without.
+// TestStatePublication checks which changes are published at once: those without which other entries would act
+// wrongly, and no others.
 func TestStatePublication(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -28,8 +28,8 @@
 		quiet        bool
 	}{
 		{"no change", entryState{}, entryState{}, false, true},
-		{"more retries", entryState{RetryUsage: spent(1)}, entryState{RetryUsage: spent(2)}, true, false},
-		{"fewer retries", entryState{RetryUsage: spent(2)}, entryState{RetryUsage: spent(1)}, false, false},
+		{"more retries", entryState{RetryUsage: retryUsage(1)}, entryState{RetryUsage: retryUsage(2)}, true, false},
+		{"fewer retries", entryState{RetryUsage: retryUsage(2)}, entryState{RetryUsage: retryUsage(1)}, false, false},
 		{"configuration no longer proved current", entryState{}, entryState{ConfigStale: true}, true, false},
 		{"configuration proved current again", entryState{ConfigStale: true}, entryState{}, true, true},
 		{"acquired the placement lease", entryState{}, entryState{Orders: true}, true, false},
@@ -52,8 +52,8 @@
 	for i := range maxServices + 1 {
 		many[ferryid.ServiceName(rune('a'+i))] = ferrybudget.Usage{}
 	}
-	assert.NilError(t, entryState{RetryUsage: spent(3)}.Check())
-	assert.ErrorContains(t, entryState{RetryUsage: spent(-1)}.Check(), `negative retry usage: -1 retries of 10 requests to service "s"`)
+	assert.NilError(t, entryState{RetryUsage: retryUsage(3)}.Check())
+	assert.ErrorContains(t, entryState{RetryUsage: retryUsage(-1)}.Check(), `negative retry usage: -1 retries of 10 requests to service "s"`)
 	assert.ErrorContains(t, entryState{RetryUsage: many}.Check(), "retry usage lists 65 services")
 	assert.NilError(t, conditions{List: []engineCondition{{Pace: 64, Used: 10, Room: 20}}}.Check())
 	assert.ErrorContains(t, conditions{List: []engineCondition{{Pace: maxPace + 1}}}.Check(), "condition of engine")
@@ -78,12 +78,12 @@
 // TestSilentEngines checks that silent engines are dropped if most are silent, since
 // the reader may be cut off.
 func TestSilentEngines(t *testing.T) {
-	list := func(silent, heard int) []engineCondition {
+	list := func(silent, answering int) []engineCondition {
 		var out []engineCondition
 		for range silent {
 			out = append(out, engineCondition{Silent: true})
 		}
-		return append(out, make([]engineCondition, heard)...)
+		return append(out, make([]engineCondition, answering)...)
 	}
 	assert.Equal(t, len(plausible(list(1, 5))), 6)
 	assert.Equal(t, len(plausible(list(3, 3))), 6)
