--- a/ferry/ferrybudget/budget.go
+++ b/ferry/ferrybudget/budget.go
@@ -49,7 +49,7 @@
 	recent    []time.Time
 	headStart time.Time
 	requests  [buckets]int
-	repeats   [buckets]int
+	retries   [buckets]int
 	head      int
 }
 
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	return Usage{Requests: sum(b.requests), Repeats: sum(b.repeats)}
+	return Usage{Requests: sum(b.requests), Repeats: sum(b.retries)}
 }
 
 // UnreportedLimit returns the number of retries per window up to which this entry need not report its usage.
@@ -127,7 +127,7 @@
 	if b.remaining() < 1 {
 		return false
 	}
-	b.repeats[b.head]++
+	b.retries[b.head]++
 	b.recent = append(b.recent, b.cfg.Clock.Now())
 	return true
 }
@@ -148,7 +148,7 @@
 // share, which the entries of one failure domain need when it loses an upstream. Without current reports it
 // may not.
 func (b *Budget) remaining() float64 {
-	spent := float64(sum(b.repeats))
+	spent := float64(sum(b.retries))
 	if b.reportedAt.IsZero() || b.cfg.Clock.Since(b.reportedAt) > max(reportTTL, b.reportDelay) {
 		return safety*(b.cfg.Ratio*float64(sum(b.requests))+b.allowance()/float64(b.entries)) - spent
 	}
@@ -200,7 +200,7 @@
 	b.headStart = b.headStart.Add(time.Duration(passed) * step)
 	for range min(passed, buckets) {
 		b.head = (b.head + 1) % buckets
-		b.requests[b.head], b.repeats[b.head] = 0, 0
+		b.requests[b.head], b.retries[b.head] = 0, 0
 	}
 }
 
--- a/ferry/ferrybudget/budget_test.go
+++ b/ferry/ferrybudget/budget_test.go
@@ -45,8 +45,8 @@
 			entries[i].SetEntries(n, 0)
 		}
 		const step = 100 * time.Millisecond
-		var spent []int     // in each step
-		var usage [][]Usage // what the entries had spent after each step
+		var retries []int   // retries of all entries in each step
+		var usage [][]Usage // usage of each entry after each step
 		lag := rapid.IntRange(1, 3).Draw(t, "lag")
 		for at := range rapid.IntRange(20, 160).Draw(t, "steps") {
 			reported := make([]Usage, n)
@@ -71,12 +71,12 @@
 				}
 				used[i] = b.Own()
 			}
-			spent, usage = append(spent, now), append(usage, used)
+			retries, usage = append(retries, now), append(usage, used)
 			clock.Advance(step)
 		}
-		for from := range spent {
+		for from := range retries {
 			sum := 0
-			for _, k := range spent[from:min(from+100, len(spent))] {
+			for _, k := range retries[from:min(from+100, len(retries))] {
 				sum += k
 			}
 			assert.Assert(t, sum <= 200, "%d retries in 10 s by %d entries, limit 200", sum, n)
