--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -211,12 +211,12 @@
 )
 
 // RecordOutcome records the outcome of an order.
-func (c *Core) RecordOutcome(s Send, a OrderOutcome, now time.Time) {
+func (c *Core) RecordOutcome(s Send, outcome OrderOutcome, now time.Time) {
 	e := c.engines[ferryid.UpstreamName(s.Upstream.Name)]
 	if e == nil || !e.up.SameProcess(s.Upstream) || e.state != sent {
 		return
 	}
-	switch a {
+	switch outcome {
 	case Begun:
 		e.state, e.outcomeUnknown = begun, false
 		e.until = now.Add(c.loadTime(s.Layers) + orderVisibleTimeout)
--- a/ferry/ferryplacement/plan_test.go
+++ b/ferry/ferryplacement/plan_test.go
@@ -200,14 +200,14 @@
 	m := model()
 	engines := fleet(mixed)
 	settle(t, m, engines, nil)
-	newcomer := Engine{Name: "new", Domain: "c", Accelerator: accelerators["mid"], Age: time.Second}
-	engines = append(engines, newcomer)
+	newEngine := Engine{Name: "new", Domain: "c", Accelerator: accelerators["mid"], Age: time.Second}
+	engines = append(engines, newEngine)
 	assert.Equal(t, len(Plan(Input{Model: m, Engines: engines})), 0, "orders although no layer is missing")
 	i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == "c-mid-04" })
-	gone := engines[i].Held
+	lost := engines[i].Held
 	engines = slices.Delete(engines, i, i+1)
 	orders := Plan(Input{Model: m, Engines: engines})
-	assert.DeepEqual(t, orders, []Order{{Engine: "new", Layers: gone}})
+	assert.DeepEqual(t, orders, []Order{{Engine: "new", Layers: lost}})
 }
 
 func TestMissingLayersAreLoadedAlone(t *testing.T) {
