--- a/ferry/ferrypath/chooser_test.go
+++ b/ferry/ferrypath/chooser_test.go
@@ -322,13 +322,13 @@
 		next := ferryid.Layer(0)
 		for _, h := range run.Path().Hops() {
 			if h.Layers.From != next || h.Layers.To <= next || !containsRange(h.Upstream.Layers, h.Layers) {
-				rt.Fatalf("path %s", text(run.Path()))
+				rt.Fatalf("path %s does not run layers in order on engines that hold them", text(run.Path()))
 			}
 			next = h.Layers.To
 			running[h.Upstream]++
 		}
 		if next != 8 {
-			rt.Fatalf("path %s", text(run.Path()))
+			rt.Fatalf("path %s does not end at layer 8", text(run.Path()))
 		}
 	}
 	for _, e := range m.c.engines {
