--- a/ferry/ferryrelay/relay_test.go
+++ b/ferry/ferryrelay/relay_test.go
@@ -30,7 +30,7 @@
 	unresponsive map[ferryid.EntryName]bool
 }
 
-// platformLink is one entry's connection to the platform; it counts calls and can be shut.
+// platformLink is one entry's connection to the platform. It counts calls and fails them while it is shut.
 type platformLink struct {
 	ferryplatform.Store
 	shut  bool
@@ -262,8 +262,8 @@
 	})
 }
 
-// TestNewReaderThatHasNotReadYet guards against a reader that reports the platform as lost although
-// it only has not read anything yet, to an entry whose own calls had failed before.
+// TestNewReaderThatHasNotReadYet guards against failed reads of an entry whose own calls had failed before: a new
+// reader that has not read anything yet must not report the platform as lost.
 func TestNewReaderThatHasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
