--- a/ferry/ferryexchange/client_test.go
+++ b/ferry/ferryexchange/client_test.go
@@ -160,10 +160,10 @@
 			}
 		})
 		c := newClient(t)
-		do := func(alone bool) {
+		do := func(wantNewConn bool) {
 			t.Helper()
 			r := newPost("1")
-			r.NewConn = alone
+			r.NewConn = wantNewConn
 			assert.Equal(t, exchangeResult(t, c, address, r), "complete ")
 		}
 		do(false)
@@ -191,14 +191,14 @@
 			_, _ = br.ReadByte()
 			ended <- time.Since(began)
 		})
-		left := errors.New("caller disconnected")
+		disconnected := errors.New("caller disconnected")
 		ctx, cancel := context.WithCancelCause(t.Context())
-		time.AfterFunc(time.Second, func() { cancel(left) })
+		time.AfterFunc(time.Second, func() { cancel(disconnected) })
 		a, err := newClient(t).Do(ctx, address, newPost("1"))
 		assert.NilError(t, err)
 		_, err = io.ReadAll(a)
 		a.Close()
-		assert.ErrorIs(t, err, left)
+		assert.ErrorIs(t, err, disconnected)
 		assert.Assert(t, <-ended < 1100*time.Millisecond)
 	})
 }
