--- a/ferry/ferryfollow/follower.go
+++ b/ferry/ferryfollow/follower.go
@@ -14,7 +14,7 @@
 
 const (
 	minBackoff = 100 * time.Millisecond
-	maxBackoff = time.Second // lets views of instances recover within 2 s after an outage
+	maxBackoff = time.Second // instances register again within 2 s after an outage
 	// watchGrace is the time beyond its wait after which an unanswered watch times out.
 	watchGrace = 700 * time.Millisecond
 	// listTimeout is the timeout of a list, which is read in pages.
