--- a/ferry/ferryplacement/coverage.go
+++ b/ferry/ferryplacement/coverage.go
@@ -62,7 +62,7 @@
 
 // best returns the range of at most the given length with the highest value in a domain.
 //
-// It is either the first part or a range behind it; among equals the highest range.
+// It is the first part, or else the highest of the equally valued ranges behind it.
 func (c *coverage) best(d ferryid.DomainName, length, first int) (ferryid.LayerRange, float64) {
 	length = min(length, c.layers)
 	head := ferryid.LayerRange{To: ferryid.Layer(min(first, length))}
