--- a/ferry/ferryfollow/follower.go
+++ b/ferry/ferryfollow/follower.go
@@ -14,7 +14,7 @@
 
 const (
 	minBackoff = 100 * time.Millisecond
-	maxBackoff = time.Second // lets views of instances recover within 2 s after an outage
+	maxBackoff = time.Second // instances register again within 2 s after an outage
 	// watchGrace is the time beyond its wait after which an unanswered watch times out.
 	watchGrace = 700 * time.Millisecond
 	// listTimeout is the timeout of a list, which is read in pages.
@@ -121,8 +121,8 @@
 	return len(changes.Objects), nil
 }
 
-// recordFailure records a failed call. If the platform no longer has the history, the next step lists and the view
-// does not count as lost.
+// recordFailure records a failed call. If the platform no longer has the history, the next step lists and the
+// view does not count as lost.
 func (f *Follower) recordFailure(err error) {
 	f.failures++
 	var gone *ferryplatform.HistoryGoneError
--- a/ferry/ferryforward/service.go
+++ b/ferry/ferryforward/service.go
@@ -15,7 +15,8 @@
 	"cactusferry.dev/ferry/ferrypath"
 )
 
-// service is the forwarding state of one service; chooser is nil unless its upstreams are engines that hold layers.
+// service is the forwarding state of one service; chooser is nil unless its upstreams are engines that hold
+// layers.
 type service struct {
 	name       ferryid.ServiceName
 	balancer   *ferrybalance.Balancer
@@ -29,10 +30,10 @@
 	Clock clockwork.Clock
 	// Domain is the failure domain of this entry.
 	Domain ferryid.DomainName
-	// RepeatWindow, RepeatRatio and RepeatAllowance define the retry budget that all entries share.
-	RepeatWindow    time.Duration
-	RepeatRatio     float64
-	RepeatAllowance float64
+	// RetryWindow, RetryRatio and RetryAllowance define the retry budget that all entries share.
+	RetryWindow    time.Duration
+	RetryRatio     float64
+	RetryAllowance float64
 	// Resumed is set if entries were already serving before this process started.
 	Resumed bool
 }
@@ -60,8 +61,8 @@
 	return (*s.current.Load())[name]
 }
 
-// SetEntries sets the number of entries in each failure domain that share the upstreams and the retry budgets, and
-// the delay with which their reports reach each other.
+// SetEntries sets the number of entries in each failure domain that share the upstreams and the retry
+// budgets, and the delay with which their reports reach each other.
 func (s *Services) SetEntries(byDomain map[ferryid.DomainName]int, reportDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +103,8 @@
 	return out
 }
 
-// RetryUsage returns this entry's use of the retry budgets in the last window, for the services where it exceeds what
-// may go unreported.
+// RetryUsage returns this entry's use of the retry budgets in the last window, for the services where it
+// exceeds what may go unreported.
 func (s *Services) RetryUsage() map[ferryid.ServiceName]ferrybudget.Usage {
 	out := map[ferryid.ServiceName]ferrybudget.Usage{}
 	for name, sv := range *s.current.Load() {
@@ -166,7 +167,7 @@
 		name:     c.Name,
 		balancer: ferrybalance.New(ferrybalance.Options{Clock: s.cfg.Clock, Domain: s.cfg.Domain}),
 		budget: ferrybudget.New(ferrybudget.Config{
-			Clock: s.cfg.Clock, Window: s.cfg.RepeatWindow, Ratio: s.cfg.RepeatRatio, Allowance: s.cfg.RepeatAllowance, Resumed: s.cfg.Resumed,
+			Clock: s.cfg.Clock, Window: s.cfg.RetryWindow, Ratio: s.cfg.RetryRatio, Allowance: s.cfg.RetryAllowance, Resumed: s.cfg.Resumed,
 		}),
 	}
 	if layered {
--- a/ferry/ferrypath/chooser_test.go
+++ b/ferry/ferrypath/chooser_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// TestRunsAreDistributedEvenly checks that unfinished runs are distributed evenly over engines with the same layers.
+// TestRunsAreDistributedEvenly checks that unfinished runs are distributed evenly over engines with the same
+// layers.
 func TestRunsAreDistributedEvenly(t *testing.T) {
 	c, _ := chooser(twoDomains()[:3])
 	first := map[string]int{}
@@ -173,7 +174,7 @@
 	assert.Equal(t, c.byName["a4"].held, int64(0))
 }
 
-func TestQuietSlowAndLeavingEngines(t *testing.T) {
+func TestEnginesWithoutProgressSlowOrLeaving(t *testing.T) {
 	c, clock := chooser(twoDomains()[:3])
 	run, err := c.Pick(small)
 	assert.NilError(t, err)
@@ -321,13 +322,13 @@
 		next := ferryid.Layer(0)
 		for _, h := range run.Path().Hops() {
 			if h.Layers.From != next || h.Layers.To <= next || !containsRange(h.Upstream.Layers, h.Layers) {
-				rt.Fatalf("path %s", text(run.Path()))
+				rt.Fatalf("path %s does not run layers in order on engines that hold them", text(run.Path()))
 			}
 			next = h.Layers.To
 			running[h.Upstream]++
 		}
 		if next != 8 {
-			rt.Fatalf("path %s", text(run.Path()))
+			rt.Fatalf("path %s does not end at layer 8", text(run.Path()))
 		}
 	}
 	for _, e := range m.c.engines {
@@ -337,8 +338,9 @@
 	}
 }
 
-// TestConcurrentEntriesDoNotOverfillAnEngine guards against an engine that runs out of memory because all entries
-// of a domain prefer it between two of its reports: it is the fastest of its layers and already rather full.
+// TestConcurrentEntriesDoNotOverfillAnEngine guards against an engine that runs out of memory because all
+// entries of a domain prefer it between two of its reports: it is the fastest of its layers and already
+// rather full.
 func TestConcurrentEntriesDoNotOverfillAnEngine(t *testing.T) {
 	const entries, each = 25, 3
 	list := append(twoDomains()[:3], upstream("a4", "a", 4, 8))
--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -26,7 +26,7 @@
 	Seeds []string
 	// Servers are additional listeners, for example for readiness checks.
 	Servers []Server
-	// First is set if the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time.
 	FirstStart bool
 	// MaxConns is the maximum number of callers' connections.
 	MaxConns int
@@ -73,10 +73,10 @@
 	Grace time.Duration
 	// AnswerLifetime is the maximum time for which callers keep a steering answer.
 	AnswerLifetime time.Duration
-	// RepeatWindow, RepeatRatio and RepeatAllowance configure the retry budget over all entries.
-	RepeatWindow    time.Duration
-	RepeatRatio     float64
-	RepeatAllowance float64
+	// RetryWindow, RetryRatio and RetryAllowance configure the retry budget over all entries.
+	RetryWindow    time.Duration
+	RetryRatio     float64
+	RetryAllowance float64
 }
 
 // Server is an additional listener with its handler.
