--- a/ferry/ferrypeer/conn.go
+++ b/ferry/ferrypeer/conn.go
@@ -134,7 +134,7 @@
 	n.serve(c, LinkUp{Peer: s.peer, Topics: s.topics})
 }
 
-// rejectConn counts and closes a connection whose hello failed.
+// rejectConn counts and closes a connection whose handshake failed.
 func (n *Node) rejectConn(ws *websocket.Conn, err error) {
 	reason := reasonOf(err)
 	n.counters.increment(string(reason))
@@ -188,7 +188,7 @@
 	defer n.wg.Done()
 	ws, s, err := n.dial(ctx, d.Address, PurposeLink, d)
 	if err != nil {
-		n.cfg.Log.Debug().Err(err).Str("address", d.Address).Msg("dial peer failed")
+		n.cfg.Log.Debug().Err(err).Str("address", d.Address).Msg("failed to dial peer")
 		n.post(DialFailed{Key: d.Key, Reason: reasonOf(err)})
 		return
 	}
@@ -265,8 +265,8 @@
 	c.failPending()
 }
 
-// writeLoop writes queued frames. After the connection was closed it still flushes the queue,
-// so that the Left record of a leaving process reaches its peers.
+// writeLoop writes queued frames until the connection is closed.
+// It then flushes the queue, so that the Left record of a leaving process reaches its peers.
 func (n *Node) writeLoop(c *conn) {
 	for {
 		select {
--- a/ferry/ferrypeer/hello.go
+++ b/ferry/ferrypeer/hello.go
@@ -80,12 +80,12 @@
 	ctx, cancel := clockwork.WithTimeout(ctx, n.cfg.Clock, helloTimeout)
 	defer cancel()
 	ws.SetReadLimit(maxHelloBytes)
-	theirs, theirFrame, err := n.readHello(ctx, ws)
+	peerHello, peerFrame, err := n.readHello(ctx, ws)
 	if err != nil {
 		return session{}, err
 	}
-	own := n.hello(theirs.Purpose, "")
-	own.Refused = n.checkHello(theirs)
+	own := n.hello(peerHello.Purpose, "")
+	own.Refused = n.checkHello(peerHello)
 	ownFrame, err := n.writeMessage(ctx, ws, own)
 	if err != nil {
 		return session{}, err
@@ -97,13 +97,13 @@
 	if err != nil {
 		return session{}, err
 	}
-	if err := n.checkProof(proof, proofOfDialler, theirFrame, ownFrame); err != nil {
+	if err := n.checkProof(proof, proofOfDialler, peerFrame, ownFrame); err != nil {
 		return session{}, err
 	}
-	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfAcceptor, theirFrame, ownFrame)); err != nil {
+	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfAcceptor, peerFrame, ownFrame)); err != nil {
 		return session{}, err
 	}
-	return session{peer: theirs.Member, purpose: theirs.Purpose, topics: theirs.Topics}, nil
+	return session{peer: peerHello.Member, purpose: peerHello.Purpose, topics: peerHello.Topics}, nil
 }
 
 // checkHello returns the reason for refusing a hello, or an empty string.
@@ -127,29 +127,29 @@
 	if err != nil {
 		return session{}, err
 	}
-	theirs, theirFrame, err := n.readHello(ctx, ws)
+	peerHello, peerFrame, err := n.readHello(ctx, ws)
 	if err != nil {
 		return session{}, err
 	}
 	switch {
-	case theirs.Refused != "":
-		return session{}, &HelloError{Reason: theirs.Refused, Detail: "by the far side"}
-	case theirs.MinVersion > Version:
+	case peerHello.Refused != "":
+		return session{}, &HelloError{Reason: peerHello.Refused, Detail: "by the far side"}
+	case peerHello.MinVersion > Version:
 		return session{}, &HelloError{Reason: CloseVersion}
-	case expect != "" && theirs.Member.Name != expect:
-		return session{}, &HelloError{Reason: CloseNotThere, Detail: string(theirs.Member.Name)}
+	case expect != "" && peerHello.Member.Name != expect:
+		return session{}, &HelloError{Reason: CloseNotThere, Detail: string(peerHello.Member.Name)}
 	}
-	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfDialler, ownFrame, theirFrame)); err != nil {
+	if _, err := n.writeMessage(ctx, ws, n.makeProof(proofOfDialler, ownFrame, peerFrame)); err != nil {
 		return session{}, err
 	}
 	proof, err := readProof(ctx, ws)
 	if err != nil {
 		return session{}, err
 	}
-	if err := n.checkProof(proof, proofOfAcceptor, ownFrame, theirFrame); err != nil {
+	if err := n.checkProof(proof, proofOfAcceptor, ownFrame, peerFrame); err != nil {
 		return session{}, err
 	}
-	return session{peer: theirs.Member, purpose: p, topics: theirs.Topics}, nil
+	return session{peer: peerHello.Member, purpose: p, topics: peerHello.Topics}, nil
 }
 
 func (n *Node) writeMessage(ctx context.Context, ws *websocket.Conn, m Message) ([]byte, error) {
--- a/ferry/ferrypeer/hello_test.go
+++ b/ferry/ferrypeer/hello_test.go
@@ -112,7 +112,7 @@
 		a := startNode(t, "entry-a", "domain-1", nil, nil)
 		tap := newTap(t, a.address)
 		startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-		waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) })
+		waitFor(t, "entry-b joined through the tap", func() bool { return hasUsable(a, 2) })
 		var frames [][]byte
 		waitFor(t, "a recorded hello", func() bool {
 			frames = tap.firstFrames(2)
@@ -145,7 +145,7 @@
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				tap := newTap(t, a.address)
 				b := startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-				waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
+				waitFor(t, "entry-b joined through the tap", func() bool { return hasUsable(a, 2) && hasUsable(b, 2) })
 				waitFor(t, "the disconnect is counted", func() bool {
 					tap.inject(tc.frame(b))
 					return a.Counts()[string(ferrypeer.CloseMalformed)] > 0
--- a/ferry/ferrypeer/latest.go
+++ b/ferry/ferrypeer/latest.go
@@ -46,7 +46,7 @@
 	return cmp.Or(e.At.Compare(o.At), cmp.Compare(e.Origin, o.Origin)) > 0
 }
 
-// Latest is a bounded, replicated last-writer-wins map whose entries expire; it is replicated as a Topic.
+// Latest is a bounded last-writer-wins map whose entries expire; it is replicated as a Topic.
 //
 // If the map is full, a new key evicts the entry that expires first. The new key is refused if it would expire first.
 type Latest[V Checker] struct {
@@ -130,7 +130,8 @@
 	return out
 }
 
-// Refused returns the number of entries refused because the map was full or their timestamp was in the future.
+// Refused returns the number of entries refused because the map was full or their timestamp was more than
+// maxClockSkew in the future.
 func (l *Latest[V]) Refused() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ferry/ferrypeer/link.go
+++ b/ferry/ferrypeer/link.go
@@ -469,7 +469,7 @@
 	return out
 }
 
-// pruneDials removes dial histories that have not been used for maxBackoff.
+// pruneDials removes dial histories whose next dial has been due for more than maxBackoff.
 func (o *Overlay) pruneDials() {
 	for k, a := range o.dials {
 		if !a.inProgress && o.now.Sub(a.nextDial) > maxBackoff {
--- a/ferry/ferrypeer/node.go
+++ b/ferry/ferrypeer/node.go
@@ -262,7 +262,7 @@
 	}
 }
 
-// liveCount returns the number of live members, or one while there is no link.
+// liveCount returns the number of live members, or one while there is no link and thus no current membership.
 func (n *Node) liveCount() int {
 	if len(n.Links()) == 0 {
 		return 1
@@ -282,7 +282,7 @@
 	is, err := n.cfg.Lister.Instances(ctx)
 	if err != nil {
 		n.counters.increment("ListFailures")
-		n.cfg.Log.Debug().Err(err).Msg("read of the instance list failed")
+		n.cfg.Log.Debug().Err(err).Msg("failed to read the instance list")
 		return
 	}
 	n.post(Listed{Instances: is})
--- a/ferry/ferrypeer/node_test.go
+++ b/ferry/ferrypeer/node_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func seesUsable(n *realNode, want int) bool {
+func hasUsable(n *realNode, want int) bool {
 	usable := 0
 	for _, m := range n.Members().List {
 		if m.Usable() {
@@ -107,9 +107,9 @@
 		nodes = append(nodes, n)
 		seeds = []string{nodes[0].address}
 	}
-	waitFor(t, "all nine see all nine", func() bool {
+	waitFor(t, "every node has nine usable members", func() bool {
 		for _, n := range nodes {
-			if !seesUsable(n, 9) {
+			if !hasUsable(n, 9) {
 				return false
 			}
 		}
--- a/ferry/ferrypeer/secret_test.go
+++ b/ferry/ferrypeer/secret_test.go
@@ -38,11 +38,11 @@
 				a := startNode(t, "entry-a", "domain-1", nil, with(tt.before))
 				b := startNode(t, "entry-b", "domain-1", []string{a.address}, with(tt.after))
 				if tt.connects {
-					waitFor(t, "both see both", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
+					waitFor(t, "both nodes have two usable members", func() bool { return hasUsable(a, 2) && hasUsable(b, 2) })
 					return
 				}
 				waitFor(t, "the refusal is counted", func() bool { return a.Counts()[string(ferrypeer.CloseUnauthenticated)] > 0 })
-				assert.Assert(t, seesUsable(a, 1) && seesUsable(b, 1))
+				assert.Assert(t, hasUsable(a, 1) && hasUsable(b, 1))
 			})
 		})
 	}
--- a/ferry/ferrypeer/silent_test.go
+++ b/ferry/ferrypeer/silent_test.go
@@ -39,7 +39,7 @@
 		}
 		first := startNode(t, "entry-0", "domain-0", nil, mute)
 		second := startNode(t, "entry-1", "domain-1", []string{first.address}, mute)
-		waitFor(t, "both see both", func() bool { return seesUsable(first, 2) && seesUsable(second, 2) })
+		waitFor(t, "both nodes have two usable members", func() bool { return hasUsable(first, 2) && hasUsable(second, 2) })
 		muted.Store(true)
 		began := time.Now()
 		second.stop()
--- a/ferry/ferrypeer/spread.go
+++ b/ferry/ferrypeer/spread.go
@@ -59,10 +59,10 @@
 	return t.hash
 }
 
-func (o *Overlay) commonTopics(theirs []TopicName) []TopicName {
+func (o *Overlay) commonTopics(peerTopics []TopicName) []TopicName {
 	var out []TopicName
 	for _, n := range o.topicNames {
-		if slices.Contains(theirs, n) {
+		if slices.Contains(peerTopics, n) {
 			out = append(out, n)
 		}
 	}
@@ -255,16 +255,16 @@
 	if o.crossDomain(l) {
 		return l
 	}
-	var far []*link
+	var crossDomainLinks []*link
 	for _, id := range o.linkIDs() {
 		if f := o.links[id]; f.eager && o.crossDomain(f) {
-			far = append(far, f)
+			crossDomainLinks = append(crossDomainLinks, f)
 		}
 	}
-	if len(far) <= minEagerCrossDomain {
+	if len(crossDomainLinks) <= minEagerCrossDomain {
 		return l
 	}
-	return far[0]
+	return crossDomainLinks[0]
 }
 
 // crossDomain reports whether the peer of a link is in another failure domain.
--- a/ferry/ferrypeer/tls_test.go
+++ b/ferry/ferrypeer/tls_test.go
@@ -52,7 +52,7 @@
 		}
 		a := startNode(t, "entry-a", "domain-1", nil, withTLS)
 		b := startNode(t, "entry-b", "domain-1", []string{a.address}, withTLS)
-		waitFor(t, "both see both", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
+		waitFor(t, "both see both", func() bool { return hasUsable(a, 2) && hasUsable(b, 2) })
 
 		client := &http.Client{Transport: &http.Transport{DialContext: ferrynettest.Dial, TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1", MinVersion: tls.VersionTLS13}}}
 		defer client.CloseIdleConnections()
--- a/ferry/ferrypeer/topic.go
+++ b/ferry/ferrypeer/topic.go
@@ -17,10 +17,11 @@
 	Missing func(digest []byte) []Item
 	// Apply merges an item from a peer and reports whether the content changed; on an error the peer is disconnected.
 	Apply func(Item) (bool, error)
-	// Fresh returns the items changed locally since the last call. If it is nil, changes are offered by digest
-	// and pulled once, which suits large items.
+	// TakeChanged removes and returns the items changed locally since the last call. If it is nil, changes are
+	// offered by digest and pulled once, which suits large items.
 	TakeChanged func() []Item
-	// Volatile items are refreshed by their writers, so digests are compared only when a link comes up and every 30 s.
+	// Volatile items are refreshed by their writers. Digests are therefore compared only when a link comes up and
+	// about every 30 s.
 	Volatile bool
 }
 
