--- a/ferry/ferrypeer/hello_test.go
+++ b/ferry/ferrypeer/hello_test.go
@@ -61,7 +61,7 @@
 	for _, tc := range []struct {
 		name    string
 		counted ferrypeer.CloseReason
-		speak   func(*rawClient)
+		send    func(*rawClient)
 	}{
 		{"no hello", ferrypeer.CloseMalformed, func(s *rawClient) { s.write(s.encode(&ferrypeer.Heartbeat{})) }},
 		{"not CBOR", ferrypeer.CloseMalformed, func(s *rawClient) { s.write([]byte("hello")) }},
@@ -97,7 +97,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				s := connect(t, a)
-				tc.speak(s)
+				tc.send(s)
 				s.waitClosed()
 				waitFor(t, "the disconnect is counted", func() bool { return a.Counts()[string(tc.counted)] == 1 })
 				assert.Equal(t, len(a.Members().List), 1)
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -270,11 +270,11 @@
 
 // announce increments the heartbeat count of this process and queues its record: the full record if peers may not
 // know it, a compact one otherwise.
-func (t *table) announce(whole bool) {
+func (t *table) announce(full bool) {
 	t.self.Beat++
 	t.put(t.self)
 	r := t.self
-	if whole {
+	if full {
 		t.changedMembers = append(t.changedMembers, encodeRecord(r))
 		return
 	}
