--- a/ferry/ferrylease/core.go
+++ b/ferry/ferrylease/core.go
@@ -67,11 +67,11 @@
 	backoff         time.Duration
 }
 
-func newCore(self ferryid.Incarnation, ttl, margin time.Duration, gone func(ferryid.Incarnation) bool) *core {
-	if gone == nil {
-		gone = func(ferryid.Incarnation) bool { return false }
+func newCore(self ferryid.Incarnation, ttl, margin time.Duration, holderEnded func(ferryid.Incarnation) bool) *core {
+	if holderEnded == nil {
+		holderEnded = func(ferryid.Incarnation) bool { return false }
 	}
-	return &core{self: self, ttl: ttl, margin: margin, holderEnded: gone}
+	return &core{self: self, ttl: ttl, margin: margin, holderEnded: holderEnded}
 }
 
 // valid reports whether the lease is valid by both the monotonic and the wall clock.
@@ -169,8 +169,8 @@
 	if c.held {
 		at = c.writeStarted.Add(c.ttl / renewals)
 	}
-	if free := c.versionSeen.Add(c.record.ttl() + c.margin); !c.held && free.After(now) && free.Before(at) {
-		at = free
+	if availableAt := c.versionSeen.Add(c.record.ttl() + c.margin); !c.held && availableAt.After(now) && availableAt.Before(at) {
+		at = availableAt
 	}
 	if c.inFlight != nil || c.notBefore.After(now) {
 		at = c.notBefore
--- a/ferry/ferrylease/lease.go
+++ b/ferry/ferrylease/lease.go
@@ -26,7 +26,7 @@
 	// TTL is the lease term, from the start of each write; 0 means 10 s.
 	TTL time.Duration
 	// Gone, if set, reports whether a holder's process has certainly ended, so that
-	// its lease is free at once.
+	// its lease can be acquired before it expires.
 	Gone func(ferryid.Incarnation) bool
 	// Margin is subtracted from the holder's term and added to the successor's wait; 0 means 1 s.
 	Margin time.Duration
