--- a/ferry/ferrydrain/mark.go
+++ b/ferry/ferrydrain/mark.go
@@ -58,15 +58,15 @@
 	case m.Source < SourceList || m.Source > SourceOperator:
 		return merry.Errorf("mark has unknown source %d", m.Source)
 	case m.Source == SourceOperator && m.Incarnation != "":
-		return merry.New("an operator's mark must not name an incarnation")
+		return merry.New("an operator's mark names no incarnation")
 	case m.Incarnation != "" && !m.Leaving:
-		return merry.New("the mark of an incarnation cannot be cleared")
+		return merry.New("an incarnation that leaves never comes back")
 	}
 	return nil
 }
 
-// replaces reports whether m replaces n of the same key: the later mark, or of two at the same
-// time the one that is leaving.
+// replaces reports whether m replaces n of the same key.
+// The later mark does; of two at the same time, the one that excludes the upstream from new work.
 func (m Mark) replaces(n Mark) bool {
 	if m.Incarnation != "" {
 		// An incarnation that leaves does so for good, so the earliest mark is kept.
--- a/ferry/ferrydrain/marks.go
+++ b/ferry/ferrydrain/marks.go
@@ -17,7 +17,7 @@
 
 const (
 	maxMarks = 8192
-	// markRetention is how long the mark of an incarnation is kept at least. Its instance cannot come back after that.
+	// markRetention is the minimum time for which the mark of an incarnation that cannot come back is kept.
 	markRetention = 24 * time.Hour
 	// maxAhead is how far the time of a peer's mark may be ahead of this entry's clock.
 	maxAhead = time.Minute
@@ -25,10 +25,10 @@
 
 // Marks is one entry's set of marks. Sets merge to the same result in any order.
 type Marks struct {
-	clock clockwork.Clock
-	mu    sync.Mutex
-	fresh []Mark
-	seen  map[key]ferryid.Incarnation
+	clock   clockwork.Clock
+	mu      sync.Mutex
+	changed []Mark
+	seen    map[key]ferryid.Incarnation
 	// current is replaced as a whole, so that the selection of an upstream never blocks.
 	current atomic.Pointer[map[key]Mark]
 }
@@ -107,11 +107,11 @@
 		ms.purge(next)
 	}
 	ms.current.Store(&next)
-	ms.fresh = append(ms.fresh, m)
+	ms.changed = append(ms.changed, m)
 	return true
 }
 
-// purge deletes the marks of incarnations and the cleared marks that are older than markRetention.
+// purge deletes marks of incarnations and cleared marks if they are older than markRetention.
 func (ms *Marks) purge(all map[key]Mark) {
 	old := ms.clock.Now().Add(-markRetention).UnixMicro()
 	for k, m := range all {
@@ -176,12 +176,12 @@
 		return false, err
 	}
 	if m.At > ms.clock.Now().Add(maxAhead).UnixMicro() {
-		return false, merry.Errorf("mark of %s is ahead of this entry's clock by more than %s", m.Upstream, maxAhead)
+		return false, merry.Errorf("mark of %s is ahead of our clock by more than %s", m.Upstream, maxAhead)
 	}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	if len(*ms.current.Load()) >= 2*maxMarks {
-		return false, merry.New("too many marks stored; mark not accepted")
+		return false, merry.New("too many marks")
 	}
 	return ms.merge(m), nil
 }
@@ -191,9 +191,9 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	var out [][]byte
-	for _, m := range ms.fresh {
+	for _, m := range ms.changed {
 		out = append(out, m.encode())
 	}
-	ms.fresh = nil
+	ms.changed = nil
 	return out
 }
--- a/ferry/ferrydrain/marks_test.go
+++ b/ferry/ferrydrain/marks_test.go
@@ -17,7 +17,7 @@
 	for _, p := range [][2]*Marks{{a, b}, {b, a}} {
 		for _, m := range p[0].Missing(p[1].Digest()) {
 			if _, err := p[1].Apply(m); err != nil {
-				tb.Fatalf("%v", err)
+				tb.Fatalf("mark from a linked peer refused: %v", err)
 			}
 		}
 	}
@@ -83,8 +83,8 @@
 	assert.Assert(t, ms.Leaving("s", "e", "u1"))
 }
 
-// TestMarkSpreadsOverARingIn5Seconds checks that digests once per second spread a mark within 5 s over nine entries
-// in a ring, the longest overlay, if all pushes are lost.
+// TestMarkSpreadsOverARingIn5Seconds checks that digests once per second spread a mark over nine entries within 5 s.
+// A ring is the worst overlay, and all pushes are lost.
 func TestMarkSpreadsOverARingIn5Seconds(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var views []*Marks
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestMarksHaveATotalOrder checks that the order of marks is total, so that the result does
-// not depend on their arrival.
+// TestMarksHaveATotalOrder checks that of two different marks with one key exactly one replaces the other.
+// The marks of two entries then do not depend on the order of arrival.
 func TestMarksHaveATotalOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(name string) Mark {
