--- a/ferry/ferryorder/core.go
+++ b/ferry/ferryorder/core.go
@@ -9,8 +9,8 @@
 // orderTimeout is how long an order may take to show in the engine's report before it is sent again.
 const orderTimeout = 30 * time.Second
 
-// runner is the state of one engine as known to the core.
-type runner struct {
+// engineState is the state of one engine as known to the core.
+type engineState struct {
 	wanted   Runner
 	report   Report
 	read     bool // a report was received under the current fencing number
@@ -27,7 +27,7 @@
 type Core struct {
 	wanted    Wanted
 	fence     ferryid.Fence
-	runners   map[ferryid.UpstreamName]*runner
+	engines   map[ferryid.UpstreamName]*engineState
 	bucket    bucket
 	pace      Pace     // used if the wanted state has none
 	checksums []uint64 // checksums of the groups, computed on demand
@@ -36,7 +36,7 @@
 
 // NewCore returns a core; it needs a wanted state, a fencing number and reports before it sends orders.
 func NewCore(p Pace) *Core {
-	return &Core{runners: map[ferryid.UpstreamName]*runner{}, bucket: bucket{pace: p}, pace: p}
+	return &Core{engines: map[ferryid.UpstreamName]*engineState{}, bucket: bucket{pace: p}, pace: p}
 }
 
 // SetWanted sets the wanted state; the state of an older generation is ignored.
@@ -50,16 +50,16 @@
 	if w.Pace.LayersPerSecond > 0 {
 		c.bucket.pace = w.Pace
 	}
-	old := c.runners
-	c.runners = map[ferryid.UpstreamName]*runner{}
+	old := c.engines
+	c.engines = map[ferryid.UpstreamName]*engineState{}
 	for i, r := range w.Runners {
-		n := &runner{}
+		n := &engineState{}
 		if o, ok := old[r.Name]; ok && o.wanted.Address == r.Address {
 			n = o
 		}
 		n.wanted = r
 		n.group = i / GroupSize
-		c.runners[r.Name] = n
+		c.engines[r.Name] = n
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	c.fence = f
 	c.turn++
-	for _, r := range c.runners {
+	for _, r := range c.engines {
 		r.read = false
 		r.pending = false
 		r.turn = c.turn
@@ -81,7 +81,7 @@
 
 // ApplyReport records an engine's report. A pending order must show in the report before the next one is sent.
 func (c *Core) ApplyReport(name ferryid.UpstreamName, rep Report, now time.Time) {
-	r, ok := c.runners[name]
+	r, ok := c.engines[name]
 	if !ok {
 		return
 	}
@@ -95,7 +95,7 @@
 
 // OrderRefused records that an order had no effect; the engine is read again before the next order.
 func (c *Core) OrderRefused(name ferryid.UpstreamName) {
-	if r, ok := c.runners[name]; ok {
+	if r, ok := c.engines[name]; ok {
 		r.read = false
 		r.pending = false
 		r.turn = c.turn
@@ -104,7 +104,7 @@
 
 // ReadFailed records that an engine's report could not be read; reads are repeated with exponential backoff.
 func (c *Core) ReadFailed(name ferryid.UpstreamName, now time.Time) {
-	if r, ok := c.runners[name]; ok {
+	if r, ok := c.engines[name]; ok {
 		r.read = false
 		r.interval = min(max(2*r.interval, defaultInterval), c.idleInterval())
 		r.nextRead = now.Add(r.interval)
@@ -148,7 +148,7 @@
 	}
 	cover := c.coverage()
 	for _, w := range c.wanted.Runners {
-		r := c.runners[w.Name]
+		r := c.engines[w.Name]
 		if r.read && !r.pending && r.report.Target == w.Target {
 			continue
 		}
@@ -165,7 +165,7 @@
 }
 
 // recordOrder records that an order is sent to the engine; reads started earlier are ignored from then on.
-func (c *Core) recordOrder(r *runner, now time.Time) {
+func (c *Core) recordOrder(r *engineState, now time.Time) {
 	r.pending = true
 	r.sentAt = now
 	r.sent = r.wanted.Target
@@ -174,7 +174,7 @@
 	r.nextRead = now.Add(r.interval)
 }
 
-func (c *Core) blockReason(r *runner, cover *coverage, now time.Time) Reason {
+func (c *Core) blockReason(r *engineState, cover *coverage, now time.Time) Reason {
 	switch {
 	case r.pending:
 		return ReasonPending
--- a/ferry/ferryorder/cover.go
+++ b/ferry/ferryorder/cover.go
@@ -3,7 +3,7 @@
 import "cactusferry.dev/ferry/ferryid"
 
 // serves reports whether the engine is in service according to its last report.
-func (r *runner) serves() bool {
+func (r *engineState) serves() bool {
 	return r.read && !r.pending && r.report.Ready && r.report.State == StateLive
 }
 
@@ -28,7 +28,7 @@
 // coverage returns the coverage by all engines of the service.
 func (c *Core) coverage() *coverage {
 	v := &coverage{pipelines: map[weights]*pipeline{}, layers: c.wanted.Layers}
-	for _, r := range c.runners {
+	for _, r := range c.engines {
 		if r.serves() {
 			v.add(r)
 		}
@@ -41,7 +41,7 @@
 	return v
 }
 
-func (v *coverage) add(r *runner) {
+func (v *coverage) add(r *engineState) {
 	w := r.report.weights()
 	p, ok := v.pipelines[w]
 	if !ok {
@@ -58,7 +58,7 @@
 }
 
 // remove removes an engine that is about to leave service.
-func (v *coverage) remove(r *runner) {
+func (v *coverage) remove(r *engineState) {
 	if !r.serves() {
 		return
 	}
@@ -78,12 +78,12 @@
 
 // canLeave reports whether the engine can leave service: a complete pipeline remains without it,
 // or there is none even with it.
-func (v *coverage) canLeave(r *runner) bool {
+func (v *coverage) canLeave(r *engineState) bool {
 	return !r.serves() || v.complete == 0 || v.complete > 1 || !v.isRequired(r)
 }
 
 // isRequired reports whether the pipeline with the engine's weights is complete only with this engine.
-func (v *coverage) isRequired(r *runner) bool {
+func (v *coverage) isRequired(r *engineState) bool {
 	p := v.pipelines[r.report.weights()]
 	if !p.isComplete() {
 		return false
--- a/ferry/ferryorder/cover_test.go
+++ b/ferry/ferryorder/cover_test.go
@@ -11,8 +11,8 @@
 
 // anyComplete reports whether the engines in service, except the given one, have all layers with the same weights.
 // It is a brute-force oracle for coverage.
-func (c *Core) anyComplete(without *runner) bool {
-	for _, r := range c.runners {
+func (c *Core) anyComplete(without *engineState) bool {
+	for _, r := range c.engines {
 		if r != without && r.serves() && c.hasAllLayers(r.report.weights(), without) {
 			return true
 		}
@@ -20,9 +20,9 @@
 	return false
 }
 
-func (c *Core) hasAllLayers(w weights, without *runner) bool {
+func (c *Core) hasAllLayers(w weights, without *engineState) bool {
 	held := map[ferryid.Layer]bool{}
-	for _, r := range c.runners {
+	for _, r := range c.engines {
 		if r == without || !r.serves() || r.report.weights() != w {
 			continue
 		}
@@ -46,10 +46,10 @@
 			from := rapid.IntRange(0, 3).Draw(rt, "from")
 			ls := ferryid.LayerRange{From: ferryid.Layer(from), To: ferryid.Layer(rapid.IntRange(from, 4).Draw(rt, "to"))}
 			t := Target{Version: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "version"), Layers: ls, State: StateLive}
-			c.runners[ferryid.UpstreamName(fmt.Sprint(i))] = &runner{read: true, report: Report{Target: t, Ready: rapid.IntRange(0, 4).Draw(rt, "ready") > 0}}
+			c.engines[ferryid.UpstreamName(fmt.Sprint(i))] = &engineState{read: true, report: Report{Target: t, Ready: rapid.IntRange(0, 4).Draw(rt, "ready") > 0}}
 		}
 		cover := c.coverage()
-		for name, r := range c.runners {
+		for name, r := range c.engines {
 			want := !r.serves() || c.anyComplete(r) || !c.anyComplete(nil)
 			if got := cover.canLeave(r); got != want {
 				rt.Fatalf("engine %s can leave service: %v, by brute force %v", name, got, want)
--- a/ferry/ferryorder/due.go
+++ b/ferry/ferryorder/due.go
@@ -12,12 +12,12 @@
 
 // idleInterval returns the interval between reads of an engine without a pending order.
 func (c *Core) idleInterval() time.Duration {
-	d := time.Duration(len(c.runners)) * time.Second / idleReadsPerSecond
+	d := time.Duration(len(c.engines)) * time.Second / idleReadsPerSecond
 	return min(max(d, defaultInterval), maxIdleInterval)
 }
 
 // schedule sets the next read of the engine: after a short backoff while an order is pending, else with its group.
-func (c *Core) schedule(r *runner, now time.Time) {
+func (c *Core) schedule(r *engineState, now time.Time) {
 	if r.pending {
 		r.interval = min(max(2*r.interval, minInterval), defaultInterval)
 		r.nextRead = now.Add(r.interval)
@@ -45,7 +45,7 @@
 	for g, sum := range c.groupChecksums() {
 		a := GroupAsk{Service: c.wanted.Service, Group: g, Sum: sum, turn: c.turn}
 		for i, w := range c.wanted.group(g) {
-			if !now.Before(c.runners[w.Name].nextRead) {
+			if !now.Before(c.engines[w.Name].nextRead) {
 				a.Engines |= 1 << i
 			}
 		}
@@ -59,7 +59,7 @@
 // NextRound returns the time of the next round, between minInterval and defaultInterval from now.
 func (c *Core) NextRound(now time.Time) time.Time {
 	at := now.Add(defaultInterval)
-	for _, r := range c.runners {
+	for _, r := range c.engines {
 		if r.nextRead.Before(at) {
 			at = r.nextRead
 		}
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -135,7 +135,7 @@
 		reports[g.Place] = g.Report
 	}
 	for i, w := range rs {
-		r := c.runners[w.Name]
+		r := c.engines[w.Name]
 		if !a.Engines.has(i) || a.turn <= r.turn {
 			continue
 		}
--- a/ferry/ferryorder/split_rapid_test.go
+++ b/ferry/ferryorder/split_rapid_test.go
@@ -12,8 +12,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// reading is a group read by another entry, whose answer can be delayed.
-type reading struct {
+// groupRead is a group read by another entry, whose answer can be delayed.
+type groupRead struct {
 	from int
 	ask  GroupAsk
 	done bool
@@ -24,18 +24,18 @@
 // groupModel is an orderModel whose engines are read by entries that answer late and may have older documents.
 type groupModel struct {
 	*orderModel
-	readings []*reading
-	elapsed  time.Duration
+	groupReads []*groupRead
+	elapsed    time.Duration
 }
 
 func (w *groupModel) ask(h int) {
 	for _, a := range w.cores[h].Due(w.now) {
-		w.readings = append(w.readings, &reading{from: h, ask: a})
+		w.groupReads = append(w.groupReads, &groupRead{from: h, ask: a})
 	}
 }
 
-// execute runs a reading at a reader that has the document of generation g.
-func (w *groupModel) execute(r *reading, g int, unread bool) {
+// execute runs a group read at a reader that has the document of generation g.
+func (w *groupModel) execute(r *groupRead, g int, unread bool) {
 	r.done = true
 	r.ans, r.err = ReadGroup(context.Background(), wantedAt(g), r.ask, func(_ context.Context, address string) (Report, error) {
 		if unread {
@@ -51,8 +51,8 @@
 }
 
 func (w *groupModel) answer(i int) {
-	r := w.readings[i]
-	w.readings = append(w.readings[:i:i], w.readings[i+1:]...)
+	r := w.groupReads[i]
+	w.groupReads = append(w.groupReads[:i:i], w.groupReads[i+1:]...)
 	if !r.done || r.err != nil {
 		w.cores[r.from].AskFailed(r.ask, w.now)
 		return
@@ -63,15 +63,15 @@
 // splitReads replaces the atomic read of all engines by separate actions for ask, read and answer.
 func (w *groupModel) splitReads(acts map[string]func(*rapid.T), chooseEntry func(*rapid.T) int) {
 	pick := func(rt *rapid.T) int {
-		if len(w.readings) == 0 {
+		if len(w.groupReads) == 0 {
 			rt.Skip()
 		}
-		return rapid.IntRange(0, len(w.readings)-1).Draw(rt, "reading")
+		return rapid.IntRange(0, len(w.groupReads)-1).Draw(rt, "reading")
 	}
 	delete(acts, "read")
 	acts["ask"] = func(rt *rapid.T) { w.ask(chooseEntry(rt)) }
 	acts["carry out"] = func(rt *rapid.T) {
-		r := w.readings[pick(rt)]
+		r := w.groupReads[pick(rt)]
 		if r.done {
 			rt.Skip()
 		}
@@ -82,8 +82,8 @@
 	acts["round"] = func(rt *rapid.T) {
 		h := chooseEntry(rt)
 		w.ask(h)
-		for len(w.readings) > 0 {
-			w.execute(w.readings[0], w.generation, false)
+		for len(w.groupReads) > 0 {
+			w.execute(w.groupReads[0], w.generation, false)
 			w.answer(0)
 		}
 		w.decide(h)
@@ -133,8 +133,8 @@
 	})
 }
 
-// manyRunners returns a wanted state with n engines, each with half of the layers.
-func manyRunners(n int) Wanted {
+// manyEngines returns a wanted state with n engines, each with half of the layers.
+func manyEngines(n int) Wanted {
 	w := Wanted{Service: "herd-llm", Generation: 1, Layers: 4}
 	for i := range n {
 		t := Target{Model: "m", Version: "v1", Layers: halves[i%2], State: StateLive}
@@ -152,7 +152,7 @@
 		t.Run(fmt.Sprint(tc.engines), func(t *testing.T) {
 			now := time.Unix(1_800_000_000, 0)
 			c := NewCore(Pace{})
-			c.SetWanted(manyRunners(tc.engines))
+			c.SetWanted(manyEngines(tc.engines))
 			c.SetFence(1)
 			seen := 0
 			for range 120 {
