--- a/ferryd/ferrynode/claim.go
+++ b/ferryd/ferrynode/claim.go
@@ -106,7 +106,7 @@
 func (n *Node) handOver(ctx context.Context) error {
 	heirs := ferryclaim.HeirOrder(n.self, n.liveIncarnations())
 	if len(heirs) == 0 {
-		return merry.New("no live entry to hand over claims and tickets to")
+		return merry.New("no other live entry to hand over claims and tickets to")
 	}
 	sealed, err := n.claims.HandOver(heirs[0])
 	if err != nil {
--- a/ferryd/ferrynode/document_test.go
+++ b/ferryd/ferrynode/document_test.go
@@ -50,11 +50,11 @@
 func TestDeltaWithoutBaseIsIgnored(t *testing.T) {
 	vs := documentVersions(&testNode{plainAddress: "10.0.0.1:80"})
 	clock := clockwork.NewFakeClock()
-	ahead, behind, fresh := ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil)
+	ahead, behind, empty := ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil), ferrydocument.NewHolder(clock, nil)
 	ahead.Offer(vs[0], "store")
 	behind.Offer(vs[0], "store")
 	ahead.Offer(vs[1], "store")
-	from, to := documentTopic(ahead), documentTopic(fresh)
+	from, to := documentTopic(ahead), documentTopic(empty)
 	item := from.Missing(documentTopic(behind).Digest())[0]
 	changed, err := to.Apply(item)
 	assert.NilError(t, err)
--- a/ferryd/ferrynode/duty.go
+++ b/ferryd/ferrynode/duty.go
@@ -125,7 +125,7 @@
 	}
 	list, err := n.platform.Instances(ctx)
 	if err != nil {
-		n.log.Debug().Err(err).Msg("instance list not read; the last one stays in use")
+		n.log.Debug().Err(err).Msg("failed to read the instance list; the last one stays in use")
 		return
 	}
 	n.list.Store(&list)
--- a/ferryd/ferrynode/engine.go
+++ b/ferryd/ferrynode/engine.go
@@ -21,7 +21,7 @@
 	onLeaving func(ferryid.UpstreamName)
 }
 
-// Run starts an epoch and records its result.
+// Run starts an epoch. It records a failure to start; the returned stream records the rest.
 func (o *observedEngines) Run(ctx context.Context, req ferryengine.RunRequest) (ferryengine.Stream, error) {
 	s := &observedStream{engines: o, ctx: ctx, stages: o.startDispatches(&req)}
 	stream, err := o.Client.Run(ctx, req)
@@ -117,7 +117,7 @@
 	}
 }
 
-// stageFailed records the failure of the stage that is named in it.
+// stageFailed records the failure of the stage named in f.
 // An engine that is draining, refuses or has lost the stream's state does not count as failed.
 func (s *observedStream) stageFailed(f *ferryengine.Failure) {
 	switch f.Kind {
--- a/ferryd/ferrynode/engine_test.go
+++ b/ferryd/ferrynode/engine_test.go
@@ -102,7 +102,7 @@
 
 func TestFailedStreamsMarkEngineDown(t *testing.T) {
 	const live, down = ferryroute.StateLive, ferryroute.StateDown
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	died := ferryengine.Item{Failed: &ferryengine.Failure{Stage: "127.0.0.1:2", Kind: ferryengine.FailureDied}}
 	empty := ferryengine.Item{Failed: &ferryengine.Failure{Stage: "127.0.0.1:2", Kind: ferryengine.FailureEmpty}}
@@ -114,10 +114,10 @@
 		a, b  ferryroute.State
 		slots int
 	}{
-		{"stream breaks off at the first stage", context.Background(), cannedItems{{Text: "x"}}, io.ErrUnexpectedEOF, down, live, 1},
+		{"stream broken at the first stage", context.Background(), cannedItems{{Text: "x"}}, io.ErrUnexpectedEOF, down, live, 1},
 		{"second stage died", context.Background(), cannedItems{{Text: "x"}, died}, io.EOF, live, down, 8},
 		{"second stage lost the stream", context.Background(), cannedItems{{Text: "x"}, empty}, io.EOF, live, live, 8},
-		{"caller cancelled", gone, cannedItems{{Text: "x"}}, context.Canceled, live, live, 8},
+		{"caller cancelled", cancelled, cannedItems{{Text: "x"}}, context.Canceled, live, live, 8},
 		{"stream completed", context.Background(), cannedItems{{Text: "x"}, {Done: true}}, io.EOF, live, live, 8},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -79,9 +79,9 @@
 func (l *limits) awaitDemand(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		quiet := l.shares.Idle()
+		idle := l.shares.Idle()
 		l.mu.Unlock()
-		if !quiet {
+		if !idle {
 			return
 		}
 		select {
--- a/ferryd/ferrynode/load.go
+++ b/ferryd/ferrynode/load.go
@@ -43,7 +43,8 @@
 	Incarnation ferryid.Incarnation  `cbor:"7,keyasint,omitempty"`
 }
 
-// Check validates the names and that the rate is a number; the routing table validates the numbers.
+// Check validates the names and rejects a rate that is not a number.
+// The routing table checks the ranges of the numbers.
 func (l engineLoad) Check() error {
 	if err := ferryid.CheckName(string(l.Service)); err != nil {
 		return fmt.Errorf("load report's service: %w", err)
--- a/ferryd/ferrynode/node_test.go
+++ b/ferryd/ferrynode/node_test.go
@@ -176,7 +176,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("documents are %v", s.Documents)
+		return fmt.Errorf("status lists the documents %v", s.Documents)
 	})
 }
 
--- a/ferryd/ferrynode/order_test.go
+++ b/ferryd/ferrynode/order_test.go
@@ -28,7 +28,7 @@
 		for _, u := range b.urls {
 			l, err := b.node.engines.Load(t.Context(), u)
 			if err != nil || l.Version != "2" {
-				return fmt.Errorf("%s is at %q: %v", u, l.Version, err)
+				return fmt.Errorf("%s has version %q: %v", u, l.Version, err)
 			}
 		}
 		return nil
@@ -107,7 +107,7 @@
 		for _, u := range b.urls {
 			l, err := b.node.engines.Load(t.Context(), u)
 			if err != nil || l.Version != "2" {
-				return fmt.Errorf("%s is at %q: %v", u, l.Version, err)
+				return fmt.Errorf("%s has version %q: %v", u, l.Version, err)
 			}
 		}
 		return nil
--- a/ferryd/ferrynode/subset.go
+++ b/ferryd/ferrynode/subset.go
@@ -21,9 +21,10 @@
 const (
 	// widenDuration is how long an entry uses all engines after no engine of its subset could take a job.
 	widenDuration = 10 * time.Second
-	// lostAfter is the number of consecutive unanswered load reads after which an engine is excluded for lostDuration.
-	lostAfter    = 3
-	lostDuration = 30 * time.Second
+	// unreachableAfter is the number of consecutive unanswered load reads after which an engine counts as unreachable
+	// for unreachableDuration.
+	unreachableAfter    = 3
+	unreachableDuration = 30 * time.Second
 )
 
 // unansweredReads counts the consecutive unanswered load reads of an engine.
@@ -111,7 +112,9 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	times := s.unanswered[key].count + 1
-	maps.DeleteFunc(s.unanswered, func(k string, u unansweredReads) bool { return k == key || !now.Before(u.lastAt.Add(lostDuration)) })
+	maps.DeleteFunc(s.unanswered, func(k string, u unansweredReads) bool {
+		return k == key || !now.Before(u.lastAt.Add(unreachableDuration))
+	})
 	if !ok {
 		s.unanswered[key] = unansweredReads{count: times, lastAt: now}
 	}
@@ -173,7 +176,7 @@
 	for _, c := range all {
 		p.candidates = append(p.candidates, ferrysubset.Candidate{
 			Name: c.Name, Domain: c.FailureDomain, Layers: c.Layers,
-			Excluded: c.State == ferryroute.StateLeaving, Unreachable: s.isLost(d.Service, c.Name),
+			Excluded: c.State == ferryroute.StateLeaving, Unreachable: s.isUnreachable(d.Service, c.Name),
 		})
 	}
 }
@@ -191,21 +194,21 @@
 				c.Domain = e.FailureDomain
 			}
 			c.Excluded = c.Excluded || !ok || e.State == ferryroute.StateLeaving
-			c.Unreachable = c.Unreachable || s.isLost(d.Service, stage)
+			c.Unreachable = c.Unreachable || s.isUnreachable(d.Service, stage)
 		}
 		p.candidates = append(p.candidates, c)
 	}
 }
 
-func (s *services) isLost(service ferryid.ServiceName, name ferryid.UpstreamName) bool {
+func (s *services) isUnreachable(service ferryid.ServiceName, name ferryid.UpstreamName) bool {
 	if len(s.unanswered) == 0 {
 		return false
 	}
 	u := s.unanswered[upstreamKey(service, name)]
-	return u.count >= lostAfter && s.clock.Now().Before(u.lastAt.Add(lostDuration))
+	return u.count >= unreachableAfter && s.clock.Now().Before(u.lastAt.Add(unreachableDuration))
 }
 
-// activeCandidates returns the number of candidates that are not out.
+// activeCandidates returns the number of candidates that are not excluded.
 func (p *subset) activeCandidates() int {
 	n := 0
 	for i := range p.candidates {
--- a/ferryd/ferrynode/subset_test.go
+++ b/ferryd/ferrynode/subset_test.go
@@ -149,11 +149,11 @@
 		plan = b.pick(t, name)
 	}
 	for _, name := range first {
-		assert.Assert(t, plan.Stages[0].Name != name, "%s is suspected", name)
+		assert.Assert(t, plan.Stages[0].Name != name, "the suspected engine %s was picked", name)
 	}
 }
 
-func TestLeavingAndLostEnginesAreReplaced(t *testing.T) {
+func TestLeavingAndUnreachableEnginesAreReplaced(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		remove func(b *subsetNode, engine ferryid.UpstreamName)
@@ -162,8 +162,8 @@
 			b.node.marks.Mark("herd-llm", engine, "", ferrydrain.SourceOperator)
 			b.node.services.setMarks(b.node.marks)
 		}},
-		{"lost", func(b *subsetNode, engine ferryid.UpstreamName) {
-			for range lostAfter {
+		{"unreachable", func(b *subsetNode, engine ferryid.UpstreamName) {
+			for range unreachableAfter {
 				b.node.services.recordRead(upstreamKey("herd-llm", engine), false)
 			}
 			b.node.services.refreshModels()
