--- a/ferryd/ferrykeys/pair_test.go
+++ b/ferryd/ferrykeys/pair_test.go
@@ -113,12 +113,12 @@
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Now())
 	now := clock.Now()
-	ours, theirs := newAuthority(t, now), newAuthority(t, now)
-	own, err := Load(clock, ours.issue(t, t.TempDir(), now, 10))
+	trusted, untrusted := newAuthority(t, now), newAuthority(t, now)
+	own, err := Load(clock, trusted.issue(t, t.TempDir(), now, 10))
 	assert.NilError(t, err)
-	peer, err := Load(clock, ours.issue(t, t.TempDir(), now, 11))
+	peer, err := Load(clock, trusted.issue(t, t.TempDir(), now, 11))
 	assert.NilError(t, err)
-	other, err := Load(clock, theirs.issue(t, t.TempDir(), now, 12))
+	other, err := Load(clock, untrusted.issue(t, t.TempDir(), now, 12))
 	assert.NilError(t, err)
 	for _, tt := range []struct {
 		name   string
@@ -144,12 +144,12 @@
 func TestKeysAreReloaded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Now())
 	now := clock.Now()
-	ours := newAuthority(t, now)
+	trusted := newAuthority(t, now)
 	dir := t.TempDir()
-	cfg := ours.issue(t, dir, now, 10)
+	cfg := trusted.issue(t, dir, now, 10)
 	own, err := Load(clock, cfg)
 	assert.NilError(t, err)
-	peer, err := Load(clock, ours.issue(t, t.TempDir(), now, 11))
+	peer, err := Load(clock, trusted.issue(t, t.TempDir(), now, 11))
 	assert.NilError(t, err)
 	expectSerial := func(want int64) {
 		t.Helper()
@@ -158,14 +158,14 @@
 		assert.NilError(t, clientErr)
 		assert.Equal(t, serial, want)
 	}
-	ours.issue(t, dir, now.Add(time.Second), 20)
+	trusted.issue(t, dir, now.Add(time.Second), 20)
 	expectSerial(10)
 	clock.Advance(checkInterval)
 	expectSerial(20)
 	writePEM(t, cfg.Certificate, "CERTIFICATE", []byte("torn"), now.Add(2*time.Second))
 	clock.Advance(checkInterval)
 	expectSerial(20)
-	ours.issue(t, dir, now.Add(3*time.Second), 30)
+	trusted.issue(t, dir, now.Add(3*time.Second), 30)
 	clock.Advance(checkInterval)
 	expectSerial(30)
 }
