--- a/ferry/ferryroute/choose.go
+++ b/ferry/ferryroute/choose.go
@@ -22,8 +22,8 @@
 
 // The cost functions; the first is the default.
 const (
-	// CostFinish is the time until the call would finish: by its share of the rate, and the wait for
-	// one of this entry's slots.
+	// CostFinish is the time until the call would finish: its duration at its share of the rate, and the wait
+	// for one of this entry's slots.
 	CostFinish Cost = "Finish"
 	// CostShared is CostFinish with the wait for a slot of any entry, as far as known from delayed reports.
 	CostShared Cost = "Shared"
@@ -127,7 +127,7 @@
 // leastCost scans all upstreams from a random index, so that equal costs are distributed evenly.
 func leastCost(s *Snapshot, w *Work, r *Rand, ok func(*row) bool) int {
 	best, least := -1, math.Inf(1)
-	home, homeCost, top := -1, 0.0, uint64(0)
+	affine, affineCost, maxHash := -1, 0.0, uint64(0)
 	n := len(s.rows)
 	i := r.Intn(n)
 	for range n {
@@ -145,12 +145,12 @@
 		if s.opts.NoAffinity || w.Prefix == 0 {
 			continue
 		}
-		if h := mix(u.seed ^ w.Prefix); home < 0 || h > top {
-			home, homeCost, top = i, c, h
+		if h := mix(u.seed ^ w.Prefix); affine < 0 || h > maxHash {
+			affine, affineCost, maxHash = i, c, h
 		}
 	}
-	if home >= 0 && homeCost <= least*(1+affinitySlack) {
-		return home
+	if affine >= 0 && affineCost <= least*(1+affinitySlack) {
+		return affine
 	}
 	return best
 }
--- a/ferry/ferryroute/dispatch.go
+++ b/ferry/ferryroute/dispatch.go
@@ -85,7 +85,7 @@
 	d.table.succeeded(d.up)
 }
 
-// Cancel ends a call that was cancelled for a reason unrelated to the upstream.
+// Cancel ends a call that was cancelled by its caller or by this entry, and not because of the upstream.
 func (d *Dispatch) Cancel(now time.Time) {
 	if d == nil || d.ended {
 		return
--- a/ferry/ferryroute/health.go
+++ b/ferry/ferryroute/health.go
@@ -40,16 +40,16 @@
 
 func (s *speed) observe(r float64, running int) {
 	s.samples++
-	whole := r * float64(max(1, running))
+	total := r * float64(max(1, running))
 	if s.samples == 1 {
-		s.recent, s.allSlots = r, whole
+		s.recent, s.allSlots = r, total
 	}
 	s.recent += recentWeight * (r - s.recent)
 	w := recentWeight
-	if whole > s.allSlots {
+	if total > s.allSlots {
 		w = riseWeight
 	}
-	s.allSlots += w * (whole - s.allSlots)
+	s.allSlots += w * (total - s.allSlots)
 	if s.baseline == 0 {
 		s.baseline = r
 	}
@@ -61,7 +61,7 @@
 }
 
 // relative returns the recent speed of one slot and of all slots, each divided by the expected one.
-func (u *upstream) relative() (slot, whole float64, ok bool) {
+func (u *upstream) relative() (slot, allSlots float64, ok bool) {
 	s := &u.speed
 	want := s.expected
 	if want <= 0 {
@@ -126,8 +126,8 @@
 		if o.health.state == StateSlow {
 			excluded++
 		}
-		if r, whole, ok := o.relative(); ok {
-			all, allSlots = append(all, r), append(allSlots, whole)
+		if r, otherAllSlots, ok := o.relative(); ok {
+			all, allSlots = append(all, r), append(allSlots, otherAllSlots)
 		}
 	}
 	if len(all) < 3 || float64(excluded+1) > maxSlowShare*float64(len(t.upstreams)) {
--- a/ferry/ferryroute/oracle_test.go
+++ b/ferry/ferryroute/oracle_test.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// TestMain sets the seed, unless -rapid.seed does.
+// TestMain sets the default seed and size of the property tests; flags override them.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 20261204, Checks: 300})
 }
--- a/ferry/ferryroute/slots.go
+++ b/ferry/ferryroute/slots.go
@@ -23,8 +23,8 @@
 		slots = ferryservice.DefaultSlots
 	}
 	n := slots / t.entries
-	place := (t.entry + int(u.row.seed%uint64(t.entries))) % t.entries
-	if place < slots%t.entries {
+	rank := (t.entry + int(u.row.seed%uint64(t.entries))) % t.entries
+	if rank < slots%t.entries {
 		n++
 	}
 	return n
@@ -65,7 +65,7 @@
 	return 1
 }
 
-// layers returns the number of layers that the upstreams hold, by the highest one.
+// layers returns one more than the last layer that any upstream holds.
 func (s *Snapshot) layers() ferryid.Layer {
 	last := ferryid.Layer(0)
 	for i := range s.rows {
--- a/ferry/ferryroute/table_test.go
+++ b/ferry/ferryroute/table_test.go
@@ -178,10 +178,10 @@
 	}
 }
 
-// TestUpstreamAsQuickAsExpectedIsNotSlow guards against excluding an upstream at low load. Most
-// streams then have an upstream to themselves; one that shares it with streams of other entries,
-// not yet reported, is slower.
-func TestUpstreamAsQuickAsExpectedIsNotSlow(t *testing.T) {
+// TestUpstreamAtExpectedSpeedIsNotSlow guards against excluding an upstream at low load.
+// Most streams then have an upstream nearly to themselves. An upstream that also serves streams of other
+// entries, which this entry has no report of yet, is slower in comparison.
+func TestUpstreamAtExpectedSpeedIsNotSlow(t *testing.T) {
 	tb := table(6, Options{})
 	for range 3 * minSamples {
 		for i := range 6 {
@@ -288,14 +288,14 @@
 			tb.SetLeaving(s.At(i).Name, true)
 		}
 	}
-	home := Choose(tb.Snapshot(), w, &r)
+	affine := Choose(tb.Snapshot(), w, &r)
 	for range 20 {
-		assert.Equal(t, Choose(tb.Snapshot(), w, &r), home)
+		assert.Equal(t, Choose(tb.Snapshot(), w, &r), affine)
 	}
 	for range 8 {
-		tb.Start(s.At(home).Name, 100, start)
+		tb.Start(s.At(affine).Name, 100, start)
 	}
-	assert.Assert(t, Choose(tb.Snapshot(), w, &r) != home)
+	assert.Assert(t, Choose(tb.Snapshot(), w, &r) != affine)
 }
 
 func TestSplitLayersFollowsTheRates(t *testing.T) {
