--- a/ferry/ferrysubset/main_test.go
+++ b/ferry/ferrysubset/main_test.go
@@ -6,7 +6,7 @@
 	"cactusferry.dev/ferry/ferryrapid"
 )
 
-// TestMain sets the seed and the size of the random tests, unless they are set by flags.
+// TestMain sets the default seed and size of the property tests; flags override them.
 func TestMain(m *testing.M) {
 	ferryrapid.Main(m, ferryrapid.Settings{Seed: 1, Checks: 100})
 }
--- a/ferry/ferrysubset/turns.go
+++ b/ferry/ferrysubset/rotation.go
@@ -7,10 +7,10 @@
 
 // Next appends to out the indices of the next engines in the rotation, at most the
 // given number of the n engines.
-func (t *Rotation) Next(n, most int, out []int) []int {
+func (r *Rotation) Next(n, most int, out []int) []int {
 	for range min(n, most) {
-		out = append(out, t.next%n)
-		t.next = (t.next + 1) % n
+		out = append(out, r.next%n)
+		r.next = (r.next + 1) % n
 	}
 	return out
 }
--- a/ferry/ferrysubset/subset.go
+++ b/ferry/ferrysubset/subset.go
@@ -19,10 +19,10 @@
 	Name   ferryid.UpstreamName
 	Domain ferryid.DomainName
 	Layers ferryid.LayerRange
-	// Out is set if the candidate gets no new work, as all entries know. It does not count
+	// Excluded is set if the candidate gets no new work, as all entries know. It does not count
 	// towards a subset's needs.
 	Excluded bool
-	// Lost is set if this entry cannot reach the candidate. It does not count towards this entry's needs,
+	// Unreachable is set if this entry cannot reach the candidate. It does not count towards this entry's needs,
 	// but towards the sizes on which all entries must agree.
 	Unreachable bool
 }
@@ -48,7 +48,7 @@
 	IdleReadsPerSecond int
 }
 
-// Default is the configuration of all entries, which must be the same for all.
+// Default is the configuration that the entries use; all entries must use the same one.
 var Default = Config{AllUpTo: 24, Size: 24, Entries: 4, PerRange: 3, ReadsPerSecond: 10, IdleReadsPerSecond: 2}
 
 // Grouped returns the configuration for candidates that are pipelines of the given number of engines.
@@ -103,17 +103,17 @@
 // until the subset spans the failure domains and has PerRange candidates of each layer range. A chain of
 // ranges that the whole list has then exists in the subset too.
 func (c *Chooser) Choose(self ferryid.EntryName, entries []ferryid.EntryName, candidates []Candidate, out []int) []int {
-	working := c.load(entries, candidates)
-	if c.cfg.UsesAll(len(entries), working) {
+	active := c.load(entries, candidates)
+	if c.cfg.UsesAll(len(entries), active) {
 		for i := range candidates {
 			out = append(out, i)
 		}
 		return out
 	}
 	own := xxhash.Sum64String(string(self))
-	copies := c.cfg.EntriesPerCandidate(len(entries), working)
+	perCandidate := c.cfg.EntriesPerCandidate(len(entries), active)
 	for i, h := range c.hashes {
-		if c.uses(own, h, int(copies+unit(h))) {
+		if c.uses(own, h, int(perCandidate+unit(h))) {
 			c.add(i)
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // load stores the entries and candidates and returns how many candidates get work.
-func (c *Chooser) load(entries []ferryid.EntryName, candidates []Candidate) (working int) {
+func (c *Chooser) load(entries []ferryid.EntryName, candidates []Candidate) (active int) {
 	c.entries, c.hashes, c.inSubset = c.entries[:0], c.hashes[:0], c.inSubset[:0]
 	c.domains, c.domainOf = c.domains[:0], c.domainOf[:0]
 	c.ranges, c.rangeOf = c.ranges[:0], c.rangeOf[:0]
@@ -142,7 +142,7 @@
 		c.domainOf = append(c.domainOf, c.domain(e.Domain))
 		c.rangeOf = append(c.rangeOf, c.layerRange(e.Layers))
 		if !e.Excluded {
-			working++
+			active++
 		}
 		if e.usable() {
 			r := &c.ranges[c.rangeOf[i]]
@@ -150,7 +150,7 @@
 			r.domains |= bit(c.domainOf[i])
 		}
 	}
-	return working
+	return active
 }
 
 func (c *Chooser) domain(name ferryid.DomainName) int {
--- a/ferry/ferrysubset/subset_test.go
+++ b/ferry/ferrysubset/subset_test.go
@@ -132,7 +132,7 @@
 			f.engines[i].Unreachable = rapid.IntRange(0, 9).Draw(t, "lost") == 0
 		}
 		cfg := ferrysubset.Default
-		worked := make([]int, len(f.engines))
+		entryCounts := make([]int, len(f.engines))
 		mean := float64(len(f.engines))
 		if n := f.withWork(); !cfg.UsesAll(len(f.entries), n) {
 			mean *= max(float64(cfg.Entries)/float64(len(f.entries)), float64(cfg.Size)/float64(n))
@@ -143,10 +143,10 @@
 			f.check(t, s)
 			assert.Assert(t, float64(len(s)) <= most, "subset of %d engines, the mean is %v", len(s), mean)
 			for _, i := range s {
-				worked[i]++
+				entryCounts[i]++
 			}
 		}
-		for i, n := range worked {
+		for i, n := range entryCounts {
 			assert.Assert(t, n >= min(cfg.Entries, len(f.entries)), "engine %d is used by %d entries only", i, n)
 		}
 	})
@@ -189,7 +189,7 @@
 // failure domain of entries, and each entry whole pipelines after the loss of a failure domain of engines.
 func TestPlannedSize(t *testing.T) {
 	f := fleetOf(350, 1600, 4, 8)
-	worked := make([]int, len(f.engines))
+	entryCounts := make([]int, len(f.engines))
 	least, most := math.MaxInt, 0
 	for i, s := range f.subsets() {
 		least, most = min(least, len(s)), max(most, len(s))
@@ -197,11 +197,11 @@
 			continue
 		}
 		for _, e := range s {
-			worked[e]++
+			entryCounts[e]++
 		}
 	}
-	t.Logf("subsets of %d to %d engines; without one of eight domains an engine has %d to %d entries", least, most, slices.Min(worked), slices.Max(worked))
-	assert.Assert(t, slices.Min(worked) >= 1)
+	t.Logf("subsets of %d to %d engines; without one of eight domains an engine has %d to %d entries", least, most, slices.Min(entryCounts), slices.Max(entryCounts))
+	assert.Assert(t, slices.Min(entryCounts) >= 1)
 	before := f.assignments()
 	less := fleetOf(349, 1600, 4, 8)
 	t.Logf("%d assignments, %d of them change when one entry leaves", len(before), differences(before, less.assignments()))
@@ -230,10 +230,10 @@
 	}
 }
 
-func TestTurnsRotate(t *testing.T) {
-	var turns ferrysubset.Rotation
-	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{0, 1, 2})
-	assert.DeepEqual(t, turns.Next(5, 3, nil), []int{3, 4, 0})
-	assert.DeepEqual(t, turns.Next(2, 3, nil), []int{1, 0})
-	assert.Equal(t, len(turns.Next(0, 3, nil)), 0)
+func TestRotation(t *testing.T) {
+	var rotation ferrysubset.Rotation
+	assert.DeepEqual(t, rotation.Next(5, 3, nil), []int{0, 1, 2})
+	assert.DeepEqual(t, rotation.Next(5, 3, nil), []int{3, 4, 0})
+	assert.DeepEqual(t, rotation.Next(2, 3, nil), []int{1, 0})
+	assert.Equal(t, len(rotation.Next(0, 3, nil)), 0)
 }
