--- a/ferry/ferrysteer/steer_test.go
+++ b/ferry/ferrysteer/steer_test.go
@@ -243,18 +243,18 @@
 
 func TestShardIsStable(t *testing.T) {
 	before, after := membersOf(50, 8), membersOf(51, 8)
-	moved, places := 0, 0
+	moved, members := 0, 0
 	for _, c := range customersOf(500, 0) {
 		old := map[ferryid.EntryName]bool{}
 		for _, m := range ferrysteer.Shard(before, c) {
 			old[m.Name] = true
 		}
 		for _, m := range ferrysteer.Shard(after, c) {
-			places++
+			members++
 			if !old[m.Name] {
 				moved++
 			}
 		}
 	}
-	assert.Assert(t, moved*25 < places, "%d of %d shard places changed after one entry was added", moved, places)
+	assert.Assert(t, moved*25 < members, "%d of %d shard members changed after one entry was added", moved, members)
 }
