--- a/ferry/ferryhealth/health.go
+++ b/ferry/ferryhealth/health.go
@@ -36,7 +36,7 @@
 	return !h.tripped || repeatable || now.Sub(h.openUntil) > halfOpenDuration
 }
 
-// Chosen records that the upstream was chosen; a half-open breaker admits one trial call at a time.
+// Chosen records that the upstream was chosen; a half-open breaker then admits no other call for failedBackoff.
 func (h *Health) Chosen(now time.Time) {
 	if h.tripped {
 		h.openUntil = now.Add(failedBackoff)
