--- a/ferry/ferrypeer/link.go
+++ b/ferry/ferrypeer/link.go
@@ -403,8 +403,9 @@
 	o.chooseDirty = true
 }
 
-// probe dials entries that are not live members: seeds while there is no link, and otherwise, at a bounded
-// fleet-wide rate, entries that a network partition may have hidden.
+// probe dials the target of verifyTarget, or else a seed or dead member whose address no live member has.
+// The interval is short while there is no link. Otherwise the probes have a bounded fleet-wide rate; they find
+// entries that a network partition may have hidden.
 func (o *Overlay) probe() {
 	o.pruneDials()
 	if o.now.Before(o.nextProbe) {
--- a/ferry/ferrypeer/message.go
+++ b/ferry/ferrypeer/message.go
@@ -78,7 +78,7 @@
 	Eager bool `cbor:"1,keyasint"`
 }
 
-// Purpose is the purpose of a connection.
+// Purpose distinguishes links from connections for asks.
 type Purpose uint8
 
 // The purposes of a connection.
--- a/ferry/ferrypeer/overlay.go
+++ b/ferry/ferrypeer/overlay.go
@@ -252,8 +252,8 @@
 	o.nextLoad = o.now.Add(interval/2 + o.jitter(interval, t.self.Beat))
 }
 
-// refute refutes a suspicion after a random delay that grows with the number of live members,
-// which avoids a burst of refutations after a network partition has healed.
+// refute publishes a higher heartbeat count after a random delay that grows with the number of live members.
+// The delay avoids a burst of refutations after a network partition has healed.
 func (o *Overlay) refute() {
 	t := o.table
 	if o.nextRefute.IsZero() {
--- a/ferry/ferrypeer/spread.go
+++ b/ferry/ferrypeer/spread.go
@@ -12,7 +12,7 @@
 	mismatchesToRepair = 2
 	minEagerLinks      = 2
 	// smallFleetEagerLinks replaces minEagerLinks in fleets of up to smallFleetMembers members. With so few members,
-	// two eager links each can leave disconnected groups until a repair, and the extra copies are cheap.
+	// two eager links each can leave disconnected groups until a repair, and twice as many copies cost little.
 	smallFleetEagerLinks = 4
 	smallFleetMembers    = 32
 	// minEagerCrossDomain keeps eager links into other failure domains, so that no domain depends on repairs alone.
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -152,7 +152,7 @@
 	t.byTag[r.Tag] = r.Member.Name
 }
 
-// merge merges a record from a peer or from this process's own observation and reports whether the table changed.
+// merge applies a record from a peer or from this process's own observation and reports whether the table changed.
 func (t *table) merge(r Record) bool {
 	if r.Member == nil {
 		return t.mergeCompact(r)
--- a/ferry/ferrypeertest/fault.go
+++ b/ferry/ferrypeertest/fault.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// Cut moves the failure domains into the given network partition; initially all domains are in partition 0.
-func (f *Fleet) Cut(part int, domains ...ferryid.DomainName) {
+// Cut moves the failure domains into the network partition id; initially all domains are in partition 0.
+func (f *Fleet) Cut(id int, domains ...ferryid.DomainName) {
 	for _, d := range domains {
-		f.partition[d] = part
+		f.partition[d] = id
 	}
 }
 
