--- a/ferry/ferrydrain/marks.go
+++ b/ferry/ferrydrain/marks.go
@@ -53,7 +53,7 @@
 	return id != "" && all[key{s, u, id, false}].Leaving
 }
 
-// Mark marks an upstream as leaving. An empty incarnation means the one seen last.
+// Mark records that an upstream is leaving. An empty incarnation means the one seen last.
 func (ms *Marks) Mark(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation, from Source) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// Clear clears an operator's mark.
+// Clear removes the effect of an operator's mark.
 func (ms *Marks) Clear(s ferryid.ServiceName, u ferryid.UpstreamName) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
--- a/ferry/ferrydrain/stop.go
+++ b/ferry/ferrydrain/stop.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Stage is the stage of a planned stop.
+// Stage is the progress of a planned stop.
 type Stage uint8
 
 // The stages of a planned stop, in order.
--- a/ferry/ferrydrain/stop_test.go
+++ b/ferry/ferrydrain/stop_test.go
@@ -20,7 +20,7 @@
 
 var errDown = errors.New("platform away")
 
-// simulate simulates a stop second by second and returns a log of its actions.
+// simulate runs a stop in steps of one second and returns a log of its actions.
 func simulate(cfg StopConfig, open func(second int) Open, fails func(Task) bool, signals ...int) string {
 	var out strings.Builder
 	now := time.Unix(1_800_000_000, 0)
