--- a/ferry/ferryorder/core_rapid_test.go
+++ b/ferry/ferryorder/core_rapid_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// deliver delivers one of the orders in flight.
+// deliver delivers order i of those in flight, however late.
 func (w *orderModel) deliver(i int) {
 	s, h := w.inFlight[i], w.senders[i]
 	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
--- a/ferry/ferryorder/cover.go
+++ b/ferry/ferryorder/cover.go
@@ -25,7 +25,7 @@
 	complete  int
 }
 
-// coverage returns the coverage by all engines of the service.
+// coverage counts the service's engines in service, regardless of their groups.
 func (c *Core) coverage() *coverage {
 	v := &coverage{pipelines: map[weights]*pipeline{}, layers: c.wanted.Layers}
 	for _, r := range c.engines {
@@ -57,7 +57,7 @@
 	}
 }
 
-// remove removes an engine that is about to leave service.
+// remove subtracts an engine that is about to leave service.
 func (v *coverage) remove(r *engineState) {
 	if !r.serves() {
 		return
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -51,7 +51,8 @@
 	Report Report
 }
 
-// GroupError is returned by a reader whose wanted state of the group differs from that of the GroupAsk.
+// GroupError is returned by a reader that has another document than the sender of the GroupAsk, and thus another
+// wanted state of the group.
 type GroupError struct {
 	Service ferryid.ServiceName
 	Group   int
--- a/ferry/ferryorder/pace.go
+++ b/ferry/ferryorder/pace.go
@@ -17,7 +17,7 @@
 	at     time.Time
 }
 
-// take takes the tokens for the layers and reports whether they may be loaded now.
+// take consumes the tokens for the layers and reports whether they may be loaded now.
 // A request larger than the burst is granted when the bucket is full.
 func (b *bucket) take(layers int, now time.Time) bool {
 	if b.pace.LayersPerSecond <= 0 {
