--- a/ferryd/ferrynode/claim.go
+++ b/ferryd/ferrynode/claim.go
@@ -102,7 +102,8 @@
 	return out
 }
 
-// handOver transfers claims and tickets to an heir, so that outcomes become unknown only by a crash.
+// handOver transfers the claims and tickets that only this incarnation knows to an heir.
+// Outcomes then become unknown only by a crash.
 func (n *Node) handOver(ctx context.Context) error {
 	heirs := ferryclaim.HeirOrder(n.self, n.liveIncarnations())
 	if len(heirs) == 0 {
--- a/ferryd/ferrynode/leave.go
+++ b/ferryd/ferrynode/leave.go
@@ -43,7 +43,7 @@
 	return out
 }
 
-// mark marks an upstream as leaving, locally and at the peers.
+// mark records locally and at the peers that an upstream is leaving.
 func (n *Node) mark(s ferryid.ServiceName, u ferryid.UpstreamName, id ferryid.Incarnation, from ferrydrain.Source) {
 	n.marks.Mark(s, u, id, from)
 	n.publishMarks()
--- a/ferryd/ferrynode/order.go
+++ b/ferryd/ferrynode/order.go
@@ -113,7 +113,7 @@
 	return encode(ans), nil
 }
 
-// releaseLeases releases the leases, so that the next holders need not wait for their expiry.
+// releaseLeases waits until all leases are released, so that the next holders need not wait for their expiry.
 func (n *Node) releaseLeases(ctx context.Context) error {
 	n.updateLeases(ctx)
 	for !n.released() {
