--- a/ferry/ferryroute/choose.go
+++ b/ferry/ferryroute/choose.go
@@ -164,7 +164,7 @@
 	return false
 }
 
-// cost returns the cost in seconds.
+// cost returns the cost of the work at an upstream in seconds.
 func (s *Snapshot) cost(r *row, w *Work) float64 {
 	rate := max(r.load.rate(), minRate)
 	outstanding, running := r.load.own.Load(), int(r.load.ownRunning.Load())
--- a/ferry/ferryroute/health.go
+++ b/ferry/ferryroute/health.go
@@ -86,7 +86,7 @@
 	return (h.state == StateSlow || h.state == StateDown) && !now.Before(h.excludedUntil)
 }
 
-// exclude excludes an upstream, for twice as long as the last time.
+// exclude takes an upstream out of selection for twice as long as the last time, up to maxExclusion.
 func (h *health) exclude(s State, now time.Time) {
 	h.exclusion = min(max(2*h.exclusion, minExclusion), maxExclusion)
 	h.state, h.excludedUntil, h.probes = s, now.Add(h.exclusion), 0
--- a/ferry/ferryroute/report.go
+++ b/ferry/ferryroute/report.go
@@ -137,7 +137,7 @@
 	running int64
 }
 
-// record records the current load, at most once per historyPeriod.
+// record adds a sample of the current load, at most once per historyPeriod.
 func (h *history) record(l *load, now time.Time) {
 	if h.n > 0 && now.Sub(h.samples[(h.n-1)%historySize].at) < historyPeriod {
 		return
