--- a/ferry/ferrysubset/rotation.go
+++ b/ferry/ferrysubset/rotation.go
@@ -1,6 +1,6 @@
 package ferrysubset
 
-// Rotation selects engines to be read in rotation. It is not safe for concurrent use.
+// Rotation selects the engines to read next, in round-robin order. It is not safe for concurrent use.
 type Rotation struct {
 	next int
 }
