--- a/ferry/ferrysteer/steer_test.go
+++ b/ferry/ferrysteer/steer_test.go
@@ -57,7 +57,7 @@
 	serial   int
 }
 
-// simulation simulates callers and entries in steps of one second.
+// simulation is a set of callers and entries that advances in steps of one second.
 type simulation struct {
 	members   ferrypeer.Members
 	customers []ferrysteer.Customer
