--- a/ferry/ferrypeer/hello_test.go
+++ b/ferry/ferrypeer/hello_test.go
@@ -61,7 +61,7 @@
 	for _, tc := range []struct {
 		name    string
 		counted ferrypeer.CloseReason
-		speak   func(*rawClient)
+		send    func(*rawClient)
 	}{
 		{"no hello", ferrypeer.CloseMalformed, func(s *rawClient) { s.write(s.encode(&ferrypeer.Heartbeat{})) }},
 		{"not CBOR", ferrypeer.CloseMalformed, func(s *rawClient) { s.write([]byte("hello")) }},
@@ -97,7 +97,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				s := connect(t, a)
-				tc.speak(s)
+				tc.send(s)
 				s.waitClosed()
 				waitFor(t, "the disconnect is counted", func() bool { return a.Counts()[string(tc.counted)] == 1 })
 				assert.Equal(t, len(a.Members().List), 1)
@@ -112,7 +112,7 @@
 		a := startNode(t, "entry-a", "domain-1", nil, nil)
 		tap := newTap(t, a.address)
 		startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-		waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) })
+		waitFor(t, "entry-b joined through the tap", func() bool { return hasUsable(a, 2) })
 		var frames [][]byte
 		waitFor(t, "a recorded hello", func() bool {
 			frames = tap.firstFrames(2)
@@ -145,7 +145,7 @@
 				a := startNode(t, "entry-a", "domain-1", nil, nil)
 				tap := newTap(t, a.address)
 				b := startNode(t, "entry-b", "domain-1", []string{tap.address}, nil)
-				waitFor(t, "entry-b joined through the tap", func() bool { return seesUsable(a, 2) && seesUsable(b, 2) })
+				waitFor(t, "entry-b joined through the tap", func() bool { return hasUsable(a, 2) && hasUsable(b, 2) })
 				waitFor(t, "the disconnect is counted", func() bool {
 					tap.inject(tc.frame(b))
 					return a.Counts()[string(ferrypeer.CloseMalformed)] > 0
--- a/ferry/ferrypeer/spread.go
+++ b/ferry/ferrypeer/spread.go
@@ -12,7 +12,7 @@
 	mismatchesToRepair = 2
 	minEagerLinks      = 2
 	// smallFleetEagerLinks replaces minEagerLinks in fleets of up to smallFleetMembers members. With so few members,
-	// two eager links each can leave disconnected groups until a repair, and the extra copies are cheap.
+	// two eager links each can leave disconnected groups until a repair, and twice as many copies cost little.
 	smallFleetEagerLinks = 4
 	smallFleetMembers    = 32
 	// minEagerCrossDomain keeps eager links into other failure domains, so that no domain depends on repairs alone.
@@ -59,10 +59,10 @@
 	return t.hash
 }
 
-func (o *Overlay) commonTopics(theirs []TopicName) []TopicName {
+func (o *Overlay) commonTopics(peerTopics []TopicName) []TopicName {
 	var out []TopicName
 	for _, n := range o.topicNames {
-		if slices.Contains(theirs, n) {
+		if slices.Contains(peerTopics, n) {
 			out = append(out, n)
 		}
 	}
@@ -255,16 +255,16 @@
 	if o.crossDomain(l) {
 		return l
 	}
-	var far []*link
+	var crossDomainLinks []*link
 	for _, id := range o.linkIDs() {
 		if f := o.links[id]; f.eager && o.crossDomain(f) {
-			far = append(far, f)
+			crossDomainLinks = append(crossDomainLinks, f)
 		}
 	}
-	if len(far) <= minEagerCrossDomain {
+	if len(crossDomainLinks) <= minEagerCrossDomain {
 		return l
 	}
-	return far[0]
+	return crossDomainLinks[0]
 }
 
 // crossDomain reports whether the peer of a link is in another failure domain.
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -152,7 +152,7 @@
 	t.byTag[r.Tag] = r.Member.Name
 }
 
-// merge merges a record from a peer or from this process's own observation and reports whether the table changed.
+// merge applies a record from a peer or from this process's own observation and reports whether the table changed.
 func (t *table) merge(r Record) bool {
 	if r.Member == nil {
 		return t.mergeCompact(r)
@@ -270,11 +270,11 @@
 
 // announce increments the heartbeat count of this process and queues its record: the full record if peers may not
 // know it, a compact one otherwise.
-func (t *table) announce(whole bool) {
+func (t *table) announce(full bool) {
 	t.self.Beat++
 	t.put(t.self)
 	r := t.self
-	if whole {
+	if full {
 		t.changedMembers = append(t.changedMembers, encodeRecord(r))
 		return
 	}
--- a/ferryd/ferrynode/claim.go
+++ b/ferryd/ferrynode/claim.go
@@ -102,11 +102,12 @@
 	return out
 }
 
-// handOver transfers claims and tickets to an heir, so that outcomes become unknown only by a crash.
+// handOver transfers the claims and tickets that only this incarnation knows to an heir.
+// Outcomes then become unknown only by a crash.
 func (n *Node) handOver(ctx context.Context) error {
 	heirs := ferryclaim.HeirOrder(n.self, n.liveIncarnations())
 	if len(heirs) == 0 {
-		return merry.New("no live entry to hand over claims and tickets to")
+		return merry.New("no other live entry to hand over claims and tickets to")
 	}
 	sealed, err := n.claims.HandOver(heirs[0])
 	if err != nil {
