--- a/ferrybench/ferrycapacity/doc.go
+++ b/ferrybench/ferrycapacity/doc.go
@@ -1,2 +1,3 @@
-// Package ferrycapacity measures what the entries spend on acting together, at several fleet sizes, and fits slopes to it.
+// Package ferrycapacity measures the control traffic, processor time and memory of entries at several fleet sizes
+// and extrapolates them to the planned size with linear fits.
 package ferrycapacity
--- a/ferrybench/ferrycapacity/documents.go
+++ b/ferrybench/ferrycapacity/documents.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	documentOf  = "parlour-api"
-	changeAfter = 3 * time.Second
+	changedService = "parlour-api"
+	changeWindow   = 3 * time.Second
 )
 
-// ChangePoint is what an edit of one line costs an entry on the average.
+// ChangePoint is the mean cost per entry of a change of one line of a document.
 type ChangePoint struct {
 	Entries int
-	// Size is the document's.
+	// Size is the size of the document in bytes.
 	Size int
-	// Whole are the bytes sent and received of documents as a whole, Difference those of differences; headers, acknowledgements and offers included.
+	// Whole is the bytes sent and received if documents are sent in full, Difference if they are sent as deltas.
+	// Both include headers, acknowledgements and offers.
 	Whole, Difference float64
-	// Everywhere is the time until every entry holds the change as a difference.
-	Everywhere time.Duration
-	// CPU is the processor time that the change takes at one entry as a whole and as a difference.
+	// Propagation is the time until every entry holds the change, sent as a delta.
+	Propagation time.Duration
+	// WholeCPU and DifferenceCPU are the processor time of the change at one entry.
 	WholeCPU, DifferenceCPU time.Duration
 }
 
-// documentFleet spreads documents in force as ferryd does.
+// documentFleet distributes accepted documents between entries as ferryd does.
 type documentFleet struct {
 	*ferrypeertest.Fleet
 	holders []*ferrydocument.Holder
@@ -45,9 +46,9 @@
 func (f *documentFleet) topic(h *ferrydocument.Holder) ferrypeer.Topic {
 	return ferrypeer.Topic{
 		Name:    topicDocuments,
-		Digest:  func() []byte { return cborOf(f.digestOf(h)) },
-		Missing: func(b []byte) []ferrypeer.Item { return missingOf(h, b) },
-		Apply:   func(it ferrypeer.Item) (bool, error) { return takeItem(h, it) },
+		Digest:  func() []byte { return encodeCBOR(f.digestOf(h)) },
+		Missing: func(b []byte) []ferrypeer.Item { return missingItems(h, b) },
+		Apply:   func(it ferrypeer.Item) (bool, error) { return applyItem(h, it) },
 	}
 }
 
@@ -59,19 +60,19 @@
 	return d
 }
 
-func missingOf(h *ferrydocument.Holder, b []byte) []ferrypeer.Item {
+func missingItems(h *ferrydocument.Holder, b []byte) []ferrypeer.Item {
 	var d ferrydocument.Digest
 	if err := cbor.Unmarshal(b, &d); err != nil {
 		d = nil
 	}
 	var items []ferrypeer.Item
 	for _, u := range h.Updates(d) {
-		items = append(items, cborOf(u))
+		items = append(items, encodeCBOR(u))
 	}
 	return items
 }
 
-func takeItem(h *ferrydocument.Holder, it ferrypeer.Item) (bool, error) {
+func applyItem(h *ferrydocument.Holder, it ferrypeer.Item) (bool, error) {
 	var u ferrydocument.Update
 	if err := cbor.Unmarshal(it, &u); err != nil {
 		return false, err
@@ -81,7 +82,7 @@
 }
 
 func newDocumentFleet(entries int, whole bool) *documentFleet {
-	f := &documentFleet{Fleet: ferrypeertest.New(startOfTime), whole: whole}
+	f := &documentFleet{Fleet: ferrypeertest.New(startTime), whole: whole}
 	for i := range entries {
 		h := ferrydocument.NewHolder(f.Clock, nil)
 		m := f.MemberOf(fmt.Sprintf("entry-%03d", i), domainName(i, entries), 1)
@@ -89,24 +90,25 @@
 		f.holders = append(f.holders, h)
 		f.names = append(f.names, m.Name)
 	}
-	f.Run(settleFor)
+	f.Run(settleTime)
 	f.Measure = true
 	return f
 }
 
-// change has an entry accept the text and returns the time until all hold it, and the bytes of all entries in the seconds after.
+// change has an entry accept the text. It returns the time until all entries hold the text, and the bytes sent and
+// received by all entries within changeWindow.
 func (f *documentFleet) change(at int, text string) (time.Duration, float64) {
 	for _, c := range f.Cores() {
 		c.Traffic = ferrypeertest.Traffic{}
 	}
 	next := f.last.Successor()
-	next.Service, next.Source = documentOf, text
+	next.Service, next.Source = changedService, text
 	next.ApplyID = fmt.Sprintf("0192f3aa-0000-7000-8000-%012d", next.Generation)
 	f.last = next
 	f.holders[at].Offer(next, "apply")
 	f.Core(f.names[at]).Step(ferrypeer.Published{Topic: topicDocuments})
-	took, _ := f.RunUntil(time.Millisecond, healWithin, f.everywhere)
-	f.Run(changeAfter - min(took, changeAfter))
+	took, _ := f.RunUntil(time.Millisecond, convergeTimeout, f.converged)
+	f.Run(changeWindow - min(took, changeWindow))
 	bytes := 0.0
 	for _, c := range f.Cores() {
 		bytes += float64(c.Traffic.Bytes)
@@ -114,21 +116,21 @@
 	return took, bytes
 }
 
-func (f *documentFleet) everywhere() bool {
+func (f *documentFleet) converged() bool {
 	for _, h := range f.holders {
-		if in, ok := h.Get(documentOf); !ok || in.Accepted.Generation != f.last.Generation {
+		if in, ok := h.Get(changedService); !ok || in.Accepted.Generation != f.last.Generation {
 			return false
 		}
 	}
 	return true
 }
 
-// rest returns the bytes of all entries in as long as a change is looked at, with nothing changing.
-func (f *documentFleet) rest() float64 {
+// idleBytes returns the bytes sent and received by all entries within changeWindow if no document changes.
+func (f *documentFleet) idleBytes() float64 {
 	for _, c := range f.Cores() {
 		c.Traffic = ferrypeertest.Traffic{}
 	}
-	f.Run(changeAfter)
+	f.Run(changeWindow)
 	bytes := 0.0
 	for _, c := range f.Cores() {
 		bytes += float64(c.Traffic.Bytes)
@@ -136,38 +138,38 @@
 	return bytes
 }
 
-// documentText is a document of about the size, of customers with one key each.
+// documentText returns a document of about the given size, made of customers with one key each.
 func documentText(bytes int) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "Service = %q\nTeam = \"parlour\"\nKind = \"Plain\"\n[[Upstreams]]\nName = \"robots-1\"\nAddress = \"10.0.0.1:80\"\nFailureDomain = \"ruse-a\"\nSlots = 8\n"+
-		"[[Routes]]\nMethod = \"POST\"\nPath = \"/rations/*\"\nIdempotent = false\n", documentOf)
+		"[[Routes]]\nMethod = \"POST\"\nPath = \"/rations/*\"\nIdempotent = false\n", changedService)
 	for i := 0; s.Len() < bytes; i++ {
-		key := fmt.Sprintf("%016x%016x%016x%016x", hashOf(4*i), hashOf(4*i+1), hashOf(4*i+2), hashOf(4*i+3))
+		key := fmt.Sprintf("%016x%016x%016x%016x", pseudoRandom(4*i), pseudoRandom(4*i+1), pseudoRandom(4*i+2), pseudoRandom(4*i+3))
 		fmt.Fprintf(&s, "[[Customers]]\nName = \"farm-%d\"\nKeySHA256 = [%q]\nShare = 1.0\n", i, key)
 	}
 	return s.String()
 }
 
-// hashOf is a number that does not compress.
-func hashOf(i int) uint64 {
+// pseudoRandom returns a pseudo-random number, so that keys made from it do not compress.
+func pseudoRandom(i int) uint64 {
 	x := uint64(i+1) * 0x9E3779B97F4A7C15
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
 	x = (x ^ x>>27) * 0x94D049BB133111EB
 	return x ^ x>>31
 }
 
-// edited changes one line near the middle.
-func edited(text string, share int) string {
+// changeLine returns the text with one line near the middle changed.
+func changeLine(text string, share int) string {
 	const line = "Share = 1.0\n"
 	i := len(text)/2 + strings.Index(text[len(text)/2:], line)
 	return text[:i] + fmt.Sprintf("Share = %d.5\n", share) + text[i+len(line):]
 }
 
-// MeasureChange has one line of a document changed, spread whole and as a difference.
+// MeasureChange measures the change of one line of a document, sent in full and as a delta.
 func MeasureChange(entries, size int) ChangePoint {
 	p := ChangePoint{Entries: entries, Size: size}
 	p.Whole, _, p.WholeCPU = measureChange(entries, size, true)
-	p.Difference, p.Everywhere, p.DifferenceCPU = measureChange(entries, size, false)
+	p.Difference, p.Propagation, p.DifferenceCPU = measureChange(entries, size, false)
 	return p
 }
 
@@ -176,10 +178,10 @@
 	f := newDocumentFleet(entries, whole)
 	text := documentText(size)
 	f.change(0, text)
-	rest := f.rest()
+	rest := f.idleBytes()
 	for i := range tries {
 		began := processorTime()
-		d, b := f.change(i*31%entries, edited(text, i+1))
+		d, b := f.change(i*31%entries, changeLine(text, i+1))
 		cpu += (processorTime() - began) / time.Duration(tries*entries)
 		bytes += (b - rest) / float64(tries*entries)
 		took = max(took, d)
@@ -187,13 +189,13 @@
 	return bytes, took, cpu
 }
 
-// PrintChanges writes a table of the points.
+// PrintChanges writes the points as a Markdown table.
 func PrintChanges(w io.Writer, ps []ChangePoint) {
 	fmt.Fprintln(w, "| entries | document | B a change, whole | as a difference | B/s at 1,100 a day, whole | as a difference | everywhere | processor time, whole | as a difference |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|")
 	const perDay = float64(planChangesPerDay) / secondsPerDay
 	for _, p := range ps {
 		fmt.Fprintf(w, "| %d | %d KiB | %.0f | %.0f | %.0f | %.0f | %s | %s | %s |\n", p.Entries, p.Size>>10, p.Whole, p.Difference,
-			p.Whole*perDay, p.Difference*perDay, p.Everywhere, p.WholeCPU.Round(100*time.Microsecond), p.DifferenceCPU.Round(100*time.Microsecond))
+			p.Whole*perDay, p.Difference*perDay, p.Propagation, p.WholeCPU.Round(100*time.Microsecond), p.DifferenceCPU.Round(100*time.Microsecond))
 	}
 }
--- a/ferrybench/ferrycapacity/documents_test.go
+++ b/ferrybench/ferrycapacity/documents_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAChangedLineCostsLittle(t *testing.T) {
+func TestOneLineChangeIsSentAsSmallDelta(t *testing.T) {
 	p := MeasureChange(9, 64<<10)
-	assert.Assert(t, p.Difference < p.Whole/10, "%.0f bytes, %.0f whole", p.Difference, p.Whole)
-	assert.Assert(t, p.Difference < 5<<10, "%.0f bytes", p.Difference)
-	assert.Assert(t, p.Everywhere < time.Second, "%s", p.Everywhere)
+	assert.Assert(t, p.Difference < p.Whole/10, "delta takes %.0f bytes, full document %.0f", p.Difference, p.Whole)
+	assert.Assert(t, p.Difference < 5<<10, "delta takes %.0f bytes, want less than 5 KiB", p.Difference)
+	assert.Assert(t, p.Propagation < time.Second, "propagation took %s, want less than 1 s", p.Propagation)
 }
--- a/ferrybench/ferrycapacity/fit.go
+++ b/ferrybench/ferrycapacity/fit.go
@@ -2,14 +2,15 @@
 
 // Line is a straight line through measured points.
 type Line struct {
-	// Base is the value at no nodes, and Slope what each node adds.
+	// Base is the value at zero nodes, and Slope the increase per node.
 	Base, Slope float64
 }
 
-// Fit returns the line of least squares through what of gives for each point with as many failure domains as are planned for, or for all points if fewer than two have.
+// Fit returns the least-squares line through the values of the points that have the planned number of failure domains.
+// If fewer than two points have it, all points are used.
 func (ps Points) Fit(of func(Point) float64) Line {
 	var n, sx, sy, sxx, sxy float64
-	for _, p := range ps.alike() {
+	for _, p := range ps.atPlannedDomains() {
 		x, y := float64(p.Nodes), of(p)
 		n++
 		sx += x
@@ -30,10 +31,10 @@
 	return l.Base + l.Slope*float64(nodes)
 }
 
-func (ps Points) alike() Points {
+func (ps Points) atPlannedDomains() Points {
 	var out Points
 	for _, p := range ps {
-		if domainsOf(p.Nodes) == domains {
+		if domainCount(p.Nodes) == plannedDomains {
 			out = append(out, p)
 		}
 	}
--- a/ferrybench/ferrycapacity/fleet.go
+++ b/ferrybench/ferrycapacity/fleet.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	domains        = 8
-	fewDomains     = 3
-	fewNodes       = 12
-	settleFor      = 45 * time.Second
-	measureFor     = 60 * time.Second
-	healWithin     = 3 * time.Minute
-	cutFor         = 3 * time.Minute
-	step           = 100 * time.Millisecond
-	documentChange = 16 << 10
-	largeDocument  = 512 << 10
-	loadsPerSecond = 10
-	loadStep       = 137
-	maxPermille    = 1000
-	leastLoadEvery = 2 * time.Second
-	topicLoads     = "loads"
-	topicDocuments = "documents"
+	plannedDomains  = 8
+	fewDomains      = 3
+	fewNodes        = 12
+	settleTime      = 45 * time.Second
+	measureTime     = 60 * time.Second
+	convergeTimeout = 3 * time.Minute
+	partitionTime   = 3 * time.Minute
+	step            = 100 * time.Millisecond
+	documentChange  = 16 << 10
+	largeDocument   = 512 << 10
+	loadsPerSecond  = 10
+	loadStep        = 137
+	maxPermille     = 1000
+	minLoadInterval = 2 * time.Second
+	topicLoads      = "loads"
+	topicDocuments  = "documents"
 )
 
-var startOfTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
 
-// RunnerLoad is one runner's load summary as it is spread.
+// RunnerLoad is the load summary of one runner, in the form that entries exchange.
 type RunnerLoad struct {
 	_           struct{} `cbor:",toarray"`
 	Runner      uint32
@@ -42,7 +42,7 @@
 	Rate        uint16
 }
 
-// RunnerLoads are the load summaries of the runners that one entry asks.
+// RunnerLoads are the load summaries of the runners that one entry polls.
 type RunnerLoads struct {
 	Loads []RunnerLoad `cbor:"1,keyasint"`
 }
@@ -50,7 +50,7 @@
 // Check accepts any load.
 func (RunnerLoads) Check() error { return nil }
 
-// document stands for the accepted documents: the highest generation wins and is pulled once.
+// document models the set of accepted documents: the highest generation wins and is fetched once.
 type document struct {
 	generation uint64
 	bytes      int
@@ -75,7 +75,7 @@
 
 func (d *document) apply(it ferrypeer.Item) (bool, error) {
 	if len(it) < 8 {
-		return false, fmt.Errorf("document of %d bytes", len(it))
+		return false, fmt.Errorf("document item is %d bytes long, want at least 8", len(it))
 	}
 	n := binary.BigEndian.Uint64(it)
 	if n <= d.generation {
@@ -89,7 +89,7 @@
 	return ferrypeer.Topic{Name: topicDocuments, Digest: d.digest, Missing: d.missing, Apply: d.apply}
 }
 
-// fleet is a measured fleet of cores with a document and load summaries to spread.
+// fleet is a simulated fleet of overlay cores that exchange a document and load summaries.
 type fleet struct {
 	*ferrypeertest.Fleet
 	names     []ferryid.EntryName
@@ -102,25 +102,25 @@
 
 func newFleet(nodes, runners int) *fleet {
 	f := &fleet{
-		Fleet: ferrypeertest.New(startOfTime), documents: map[ferryid.EntryName]*document{},
+		Fleet: ferrypeertest.New(startTime), documents: map[ferryid.EntryName]*document{},
 		loads: map[ferryid.EntryName]*ferrypeer.Latest[RunnerLoads]{}, runners: runners,
 	}
 	for i := range nodes {
 		f.start(i, nodes)
 	}
-	f.RunUntil(step, settleFor, func() bool { return f.apartBy() == "" })
-	f.Run(settleFor)
+	f.RunUntil(step, settleTime, func() bool { return f.incompleteView() == "" })
+	f.Run(settleTime)
 	return f
 }
 
-func domainsOf(nodes int) int {
+func domainCount(nodes int) int {
 	if nodes <= fewNodes {
 		return fewDomains
 	}
-	return domains
+	return plannedDomains
 }
 
-func domainName(i, nodes int) string { return fmt.Sprintf("domain-%d", i%domainsOf(nodes)) }
+func domainName(i, nodes int) string { return fmt.Sprintf("domain-%d", i%domainCount(nodes)) }
 
 func (f *fleet) start(i, nodes int) {
 	name := fmt.Sprintf("entry-%03d", i)
@@ -135,8 +135,8 @@
 	f.documents[m.Name], f.loads[m.Name] = d, l
 }
 
-// apartBy says what keeps the fleet from holding one membership, or nothing.
-func (f *fleet) apartBy() string {
+// incompleteView describes an entry whose membership view is incomplete, or returns an empty string if all views agree.
+func (f *fleet) incompleteView() string {
 	n := len(f.Cores())
 	for name, c := range f.Cores() {
 		alive := 0
@@ -158,10 +158,10 @@
 	name := f.names[at%len(f.names)]
 	*f.documents[name] = document{generation: f.newest, bytes: bytes}
 	f.Core(name).Step(ferrypeer.Published{Topic: topicDocuments})
-	return f.RunUntil(time.Millisecond, healWithin, f.everywhere)
+	return f.RunUntil(time.Millisecond, convergeTimeout, f.converged)
 }
 
-func (f *fleet) everywhere() bool {
+func (f *fleet) converged() bool {
 	for name := range f.Cores() {
 		if f.documents[name].generation != f.newest {
 			return false
@@ -170,27 +170,28 @@
 	return true
 }
 
-// loadsEvery is how often an entry spreads the summaries of the runners it asks.
-func loadsEvery(nodes int) time.Duration {
-	return max(leastLoadEvery, time.Duration(nodes)*time.Second/loadsPerSecond)
+// loadInterval returns the interval at which an entry publishes the load summaries of the runners that it polls.
+func loadInterval(nodes int) time.Duration {
+	return max(minLoadInterval, time.Duration(nodes)*time.Second/loadsPerSecond)
 }
 
-// refreshLoads lets the entries in turn spread load summaries of their runners, where all work all, and a load of their own that moves each time.
+// refreshLoads has the entries publish, in turn, a new load of their own. If every entry uses all runners,
+// the entries publish load summaries of the runners too.
 func (f *fleet) refreshLoads(d time.Duration) {
-	each := loadsEvery(len(f.names))
+	each := loadInterval(len(f.names))
 	every := each / time.Duration(len(f.names))
 	for spent := time.Duration(0); spent < d; spent += every {
 		f.nextLoad++
 		i := f.nextLoad % len(f.names)
 		if ferrysubset.Default.UsesAll(len(f.names), f.runners) {
-			f.loads[f.names[i]].Set(string(f.names[i]), f.loadsOf(i), 4*each)
+			f.loads[f.names[i]].Set(string(f.names[i]), f.runnerLoads(i), 4*each)
 		}
 		f.Core(f.names[i]).Step(ferrypeer.SelfChanged{State: ferrypeer.Ready, Load: ferrypeer.Load{Permille: uint16(f.nextLoad*loadStep) % maxPermille}})
 		f.Run(every)
 	}
 }
 
-func (f *fleet) loadsOf(i int) RunnerLoads {
+func (f *fleet) runnerLoads(i int) RunnerLoads {
 	var ls RunnerLoads
 	for r := i; r < f.runners; r += len(f.names) {
 		h := uint32(r+1) * 0x9E3779B1
@@ -199,9 +200,9 @@
 	return ls
 }
 
-// traffic is what a node sends and receives a second, on the average and at the most.
+// traffic is what a node sends and receives per second: the means of bytes and messages, and the maximum of bytes.
 type traffic struct {
-	Bytes, MostBytes, Messages float64
+	Bytes, MaxBytes, Messages float64
 }
 
 func (f *fleet) resetTraffic() {
@@ -217,12 +218,12 @@
 		b := float64(c.Traffic.Bytes) / d.Seconds()
 		t.Bytes += b / float64(len(f.Cores()))
 		t.Messages += float64(c.Traffic.Messages) / d.Seconds() / float64(len(f.Cores()))
-		t.MostBytes = max(t.MostBytes, b)
+		t.MaxBytes = max(t.MaxBytes, b)
 	}
 	return t
 }
 
-func (f *fleet) mostLinks() (mean float64, most int) {
+func (f *fleet) linkCounts() (mean float64, most int) {
 	for _, c := range f.Cores() {
 		n := len(c.Overlay.Links())
 		mean += float64(n) / float64(len(f.Cores()))
@@ -231,7 +232,7 @@
 	return mean, most
 }
 
-// processorTime is the processor time that this process has spent.
+// processorTime returns the user and system time of this process.
 func processorTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/ferrybench/ferrycapacity/limits.go
+++ b/ferrybench/ferrycapacity/limits.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	limitStep       = time.Millisecond
-	limitWarm       = 2 * time.Second
-	limitFor        = 10 * time.Second
-	limitShard      = 16
-	limitTag        = 0x9E3779B97F4A7C15
-	limitAskKind    = ferrypeer.AskKind(4)
-	callsOfActive   = 8.0 // a second, over the fleet
-	activeCustomers = 5   // one of so many is active
+	limitStep     = time.Millisecond
+	limitWarmup   = 2 * time.Second
+	limitTime     = 10 * time.Second
+	limitShard    = 16
+	limitTag      = 0x9E3779B97F4A7C15
+	limitAskKind  = ferrypeer.AskKind(4)
+	callRate      = 8.0 // calls/s per active customer, over the fleet
+	activeDivisor = 5   // one customer in five is active
 )
 
-// limitRates are the limits that customers have in turn, in calls a second.
+// limitRates are the limits of customers in calls/s, assigned in rotation.
 var limitRates = []ferrylimit.Units{10, 50, 200}
 
-// LimitPoint is what was measured of customers' limits, by entry and second.
+// LimitPoint is the cost of enforcing customers' limits, per entry and second.
 type LimitPoint struct {
 	Entries, Customers int
-	// Calls are those of limited customers, Refused the part of them that got no allowance.
+	// Calls is the rate of calls by limited customers, and Refused the share of them that exceeded the limit.
 	Calls   float64
 	Refused float64
-	// Asks are those that go to another entry, and Bytes are sent and received for them, answers, headers and acknowledgements included.
+	// Asks is the rate of requests to other entries. Bytes is the bytes sent and received for them, including answers,
+	// headers and acknowledgements.
 	Asks  float64
 	Bytes float64
-	// Counters is how many other entries an entry asks.
+	// Counters is the number of other entries that an entry asks.
 	Counters float64
-	// Rounds are the wake-ups of the duty.
+	// Rounds is the rate of exchange rounds.
 	Rounds float64
-	// CPU is the share of a core, the harness's own work included.
+	// CPU is the share of a core, including the overhead of the simulation.
 	CPU float64
 }
 
-// limitEntry is one entry's part in the limits.
+// limitEntry is the limiter state of one entry.
 type limitEntry struct {
 	shares  *ferrylimit.Shares
 	counter *ferrylimit.Counter
@@ -52,8 +53,8 @@
 	asked   map[int]bool
 }
 
-// limitBed has entries that admit calls and count for each other, without delay on the way.
-type limitBed struct {
+// limitSimulation simulates entries that admit calls and count for each other, without network delay.
+type limitSimulation struct {
 	now       time.Time
 	r         *rand.Rand
 	entries   []*limitEntry
@@ -65,37 +66,37 @@
 	rounds    int
 }
 
-// limitedCustomer is called at the entries of its shard, and counted at one entry.
+// limitedCustomer is a customer whose calls arrive at the entries of its shard and are counted at one entry.
 type limitedCustomer struct {
 	key     ferrylimit.Key
 	shard   []int
 	counter int
 }
 
-func newLimitBed(entries, customers int) *limitBed {
-	b := &limitBed{now: startOfTime, r: rand.New(rand.NewPCG(1, 2)), point: LimitPoint{Entries: entries, Customers: customers}}
+func newLimitSimulation(entries, customers int) *limitSimulation {
+	b := &limitSimulation{now: startTime, r: rand.New(rand.NewPCG(1, 2)), point: LimitPoint{Entries: entries, Customers: customers}}
 	rates := map[ferrylimit.Key]ferrylimit.Units{}
 	rate := func(k ferrylimit.Key) ferrylimit.Units { return rates[k] }
 	var ids []ferryid.Incarnation
-	places := map[ferryid.Incarnation]int{}
+	indexes := map[ferryid.Incarnation]int{}
 	for i := range entries {
 		id := ferryid.Incarnation(fmt.Sprintf("0192f3aa-%04d-7000-8000-000000000000", i))
 		ids = append(ids, id)
-		places[id] = i
+		indexes[id] = i
 		b.entries = append(b.entries, &limitEntry{next: b.now.Add(ferrylimit.AskInterval * time.Duration(i) / time.Duration(entries)), shares: ferrylimit.NewShares(rate), counter: ferrylimit.NewCounter(rate), asked: map[int]bool{}})
 	}
 	for i := range customers {
 		k := ferrylimit.Key{Service: "herd-llm", Customer: ferryid.CustomerName(fmt.Sprintf("farm-%04d", i))}
 		rates[k] = limitRates[i%len(limitRates)]
-		b.customers = append(b.customers, limitedCustomer{k, b.r.Perm(entries)[:min(limitShard, entries)], places[ferrylimit.CounterOf(k, ids)]})
+		b.customers = append(b.customers, limitedCustomer{k, b.r.Perm(entries)[:min(limitShard, entries)], indexes[ferrylimit.CounterOf(k, ids)]})
 	}
 	return b
 }
 
-// call offers the calls of one step, spread evenly over time for each customer on the average.
-func (b *limitBed) call() {
-	active := max(1, len(b.customers)/activeCustomers)
-	mean := float64(active) * callsOfActive * limitStep.Seconds()
+// call offers the calls of one step; their number has a Poisson distribution.
+func (b *limitSimulation) call() {
+	active := max(1, len(b.customers)/activeDivisor)
+	mean := float64(active) * callRate * limitStep.Seconds()
 	for n := poisson(b.r, mean); n > 0; n-- {
 		cu := &b.customers[b.r.IntN(active)]
 		e := b.entries[cu.shard[b.r.IntN(len(cu.shard))]]
@@ -114,8 +115,8 @@
 	return n
 }
 
-// exchange does one entry's round, if there is something to ask.
-func (b *limitBed) exchange(at int, e *limitEntry) {
+// exchange runs one round of an entry if it is due and has something to ask.
+func (b *limitSimulation) exchange(at int, e *limitEntry) {
 	if e.shares.Idle() || b.now.Before(e.next) {
 		return
 	}
@@ -132,26 +133,26 @@
 			e.shares.Granted(g)
 		}
 		if c != at {
-			b.count(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: cborOf(as)})+
-				wireBytes(&ferrypeer.Answer{ID: limitTag, Body: cborOf(grants)}))
+			b.count(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: encodeCBOR(as)})+
+				wireBytes(&ferrypeer.Answer{ID: limitTag, Body: encodeCBOR(grants)}))
 		}
 	}
 }
 
-func (b *limitBed) counterOf(k ferrylimit.Key) int {
+func (b *limitSimulation) counterOf(k ferrylimit.Key) int {
 	var i int
 	_, _ = fmt.Sscanf(string(k.Customer), "farm-%d", &i)
 	return b.customers[i].counter
 }
 
-func (b *limitBed) count(e *limitEntry, counter, bytes int) {
+func (b *limitSimulation) count(e *limitEntry, counter, bytes int) {
 	b.asks++
 	e.bytes += bytes
 	b.entries[counter].bytes += bytes
 	e.asked[counter] = true
 }
 
-func (b *limitBed) run(d time.Duration) {
+func (b *limitSimulation) run(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(limitStep) {
 		b.call()
 		for i, e := range b.entries {
@@ -160,18 +161,19 @@
 	}
 }
 
-// MeasureLimits has a fifth of the customers call, each 8 times a second at any entry of its shard.
+// MeasureLimits measures the limits with a fifth of the customers active, each with 8 calls/s over the entries of
+// its shard.
 func MeasureLimits(entries, customers int) LimitPoint {
-	b := newLimitBed(entries, customers)
-	b.run(limitWarm)
+	b := newLimitSimulation(entries, customers)
+	b.run(limitWarmup)
 	for _, e := range b.entries {
 		e.bytes = 0
 		clear(e.asked)
 	}
 	b.calls, b.refused, b.asks, b.rounds = 0, 0, 0, 0
 	began := processorTime()
-	b.run(limitFor)
-	each := 1 / limitFor.Seconds() / float64(entries)
+	b.run(limitTime)
+	each := 1 / limitTime.Seconds() / float64(entries)
 	p := b.point
 	p.CPU = (processorTime() - began).Seconds() * each
 	p.Calls = float64(b.calls) * each
@@ -185,7 +187,7 @@
 	return p
 }
 
-// PrintLimits writes a table of the points.
+// PrintLimits writes the points as a Markdown table.
 func PrintLimits(w io.Writer, ps []LimitPoint) {
 	fmt.Fprintln(w, "| entries | customers | calls/s an entry | refused | asks/s | B/s | other entries asked in 10 s | wake-ups/s | core |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|")
--- a/ferrybench/ferrycapacity/orders.go
+++ b/ferrybench/ferrycapacity/orders.go
@@ -14,42 +14,44 @@
 )
 
 const (
-	orderLayers    = 32
-	orderLoadTime  = 3 * time.Second
-	orderWithin    = time.Hour
-	orderRest      = 20 * time.Second
-	orderOldRound  = 2 * time.Second
-	askOverhead    = 112 // of headers and of the acknowledgement, as for all messages
-	orderedService = "herd-llm"
+	orderLayers     = 32
+	orderLoadTime   = 3 * time.Second
+	orderTimeout    = time.Hour
+	orderIdleTime   = 20 * time.Second
+	readAllInterval = 2 * time.Second
+	askOverhead     = 112 // bytes of headers and acknowledgement per message
+	orderedService  = "herd-llm"
 )
 
-// OrderPoint is what was measured of the orders to one service's engines.
+// OrderPoint is the cost of managing the orders to the engines of one service.
 type OrderPoint struct {
 	Engines int
-	// Old is true for reading all engines in each round of 2 s, as it was.
-	Old bool
-	// Takeover is the time from the holder's lease until all engines are as wanted, each loading for 3 s.
+	// ReadAll selects the former design for comparison: every engine is read in each round of 2 s.
+	ReadAll bool
+	// Takeover is the time from the grant of the lease until all engines have the wanted state; each loads for 3 s.
 	Takeover time.Duration
-	// TakeoverReads is the number of readings in that time, TakeoverBytes what the holder and the readers exchange.
+	// TakeoverReads is the number of engine reads in that time. TakeoverBytes is the bytes between the holder and readers.
 	TakeoverReads int
 	TakeoverBytes int
-	// RestReads are readings a second with nothing to do, RestAsks and RestBytes the holder's asks and answers a second.
-	RestReads float64
-	RestAsks  float64
-	RestBytes float64
-	// RestCPU is the share of a core that the holder's core takes with nothing to do, TakeoverCPU what it takes in all.
-	RestCPU     float64
+	// IdleReads is the rate of engine reads while no order is open. IdleAsks and IdleBytes are the holder's asks per
+	// second and the bytes per second of asks and answers.
+	IdleReads float64
+	IdleAsks  float64
+	IdleBytes float64
+	// IdleCPU is the share of a processor core that the holder uses while no order is open, TakeoverCPU its total
+	// processor time during the takeover.
+	IdleCPU     float64
 	TakeoverCPU time.Duration
 }
 
-// orderedEngine is an engine that loads for a while.
+// orderedEngine is a simulated engine that takes orderLoadTime to load a model.
 type orderedEngine struct {
 	report ferryorder.Report
 	ready  time.Time
 }
 
-// orderBed has one holder and engines on a passed-in clock; half a pipeline to an engine.
-type orderBed struct {
+// orderSimulation simulates one lease holder and its engines on a virtual clock; each engine holds half of the layers.
+type orderSimulation struct {
 	now     time.Time
 	wanted  ferryorder.Wanted
 	core    *ferryorder.Core
@@ -75,9 +77,9 @@
 	return w
 }
 
-func newOrderBed(p *OrderPoint) *orderBed {
-	b := &orderBed{
-		now: startOfTime, wanted: orderWanted(p.Engines, 2), core: ferryorder.NewCore(ferryorder.Pace{}),
+func newOrderSimulation(p *OrderPoint) *orderSimulation {
+	b := &orderSimulation{
+		now: startTime, wanted: orderWanted(p.Engines, 2), core: ferryorder.NewCore(ferryorder.Pace{}),
 		engines: map[string]*orderedEngine{}, point: p,
 	}
 	for _, r := range orderWanted(p.Engines, 1).Runners {
@@ -88,24 +90,24 @@
 	return b
 }
 
-func (b *orderBed) report(_ context.Context, address string) (ferryorder.Report, error) {
+func (b *orderSimulation) report(_ context.Context, address string) (ferryorder.Report, error) {
 	b.reads.Add(1)
 	e := b.engines[address]
 	e.report.Ready = !b.now.Before(e.ready)
 	return e.report, nil
 }
 
-// round is one round of the holder and returns when the next one is.
-func (b *orderBed) round() time.Time {
-	next := b.now.Add(orderOldRound)
-	if b.point.Old {
+// round runs one round of the holder and returns the time of the next.
+func (b *orderSimulation) round() time.Time {
+	next := b.now.Add(readAllInterval)
+	if b.point.ReadAll {
 		b.readAll()
 	} else {
 		b.readDue()
 	}
 	began := processorTime()
 	sends, _ := b.core.Next(b.now)
-	if !b.point.Old {
+	if !b.point.ReadAll {
 		next = b.core.NextRound(b.now)
 	}
 	b.spent += processorTime() - began
@@ -117,14 +119,14 @@
 	return next
 }
 
-func (b *orderBed) readAll() {
+func (b *orderSimulation) readAll() {
 	for _, r := range b.wanted.Runners {
 		rep, _ := b.report(context.Background(), r.Address)
 		b.core.ApplyReport(r.Name, rep, b.now)
 	}
 }
 
-func (b *orderBed) readDue() {
+func (b *orderSimulation) readDue() {
 	began := processorTime()
 	asks := b.core.Due(b.now)
 	b.spent += processorTime() - began
@@ -145,10 +147,10 @@
 }
 
 func wireBytes(v any) int {
-	return len(cborOf(v)) + askOverhead
+	return len(encodeCBOR(v)) + askOverhead
 }
 
-func cborOf(v any) []byte {
+func encodeCBOR(v any) []byte {
 	m, err := cbor.Marshal(v)
 	if err != nil {
 		return nil
@@ -156,7 +158,7 @@
 	return m
 }
 
-func (b *orderBed) done() bool {
+func (b *orderSimulation) done() bool {
 	for _, r := range b.wanted.Runners {
 		e := b.engines[r.Address]
 		if e.report.Target != r.Target || b.now.Before(e.ready) {
@@ -166,42 +168,42 @@
 	return true
 }
 
-// MeasureOrders has a new holder bring the engines to another version, and then leaves them at rest.
-func MeasureOrders(engines int, old bool) OrderPoint {
-	p := OrderPoint{Engines: engines, Old: old}
-	b := newOrderBed(&p)
-	for !b.done() && b.now.Sub(startOfTime) < orderWithin {
+// MeasureOrders measures a new holder that moves all engines to another version, and the same holder at rest.
+func MeasureOrders(engines int, readAll bool) OrderPoint {
+	p := OrderPoint{Engines: engines, ReadAll: readAll}
+	b := newOrderSimulation(&p)
+	for !b.done() && b.now.Sub(startTime) < orderTimeout {
 		b.now = b.round()
 	}
-	p.Takeover = b.now.Sub(startOfTime)
+	p.Takeover = b.now.Sub(startTime)
 	p.TakeoverReads, p.TakeoverBytes, p.TakeoverCPU = int(b.reads.Load()), b.bytes, b.spent
-	b.until(b.now.Add(orderRest))
+	b.runUntil(b.now.Add(orderIdleTime))
 	b.reads.Store(0)
 	b.asks, b.bytes, b.spent = 0, 0, 0
-	b.until(b.now.Add(orderRest))
-	p.RestReads = float64(b.reads.Load()) / orderRest.Seconds()
-	p.RestAsks = float64(b.asks) / orderRest.Seconds()
-	p.RestBytes = float64(b.bytes) / orderRest.Seconds()
-	p.RestCPU = b.spent.Seconds() / orderRest.Seconds()
+	b.runUntil(b.now.Add(orderIdleTime))
+	p.IdleReads = float64(b.reads.Load()) / orderIdleTime.Seconds()
+	p.IdleAsks = float64(b.asks) / orderIdleTime.Seconds()
+	p.IdleBytes = float64(b.bytes) / orderIdleTime.Seconds()
+	p.IdleCPU = b.spent.Seconds() / orderIdleTime.Seconds()
 	return p
 }
 
-func (b *orderBed) until(end time.Time) {
+func (b *orderSimulation) runUntil(end time.Time) {
 	for b.now.Before(end) {
 		b.now = b.round()
 	}
 }
 
-// PrintOrders writes a table of the points.
+// PrintOrders writes the points as a Markdown table.
 func PrintOrders(w io.Writer, ps []OrderPoint) {
 	fmt.Fprintln(w, "| engines | reading | takeover | readings in it | KB in it | core time in it | readings/s at rest | asks/s at rest | B/s at rest | core at rest |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
 	for _, p := range ps {
 		how := "by groups"
-		if p.Old {
+		if p.ReadAll {
 			how = "all each 2 s"
 		}
 		fmt.Fprintf(w, "| %d | %s | %s | %d | %.1f | %s | %.1f | %.1f | %.0f | %.3f%% |\n", p.Engines, how, p.Takeover, p.TakeoverReads,
-			float64(p.TakeoverBytes)/1024, p.TakeoverCPU.Round(100*time.Microsecond), p.RestReads, p.RestAsks, p.RestBytes, 100*p.RestCPU)
+			float64(p.TakeoverBytes)/1024, p.TakeoverCPU.Round(100*time.Microsecond), p.IdleReads, p.IdleAsks, p.IdleBytes, 100*p.IdleCPU)
 	}
 }
--- a/ferrybench/ferrycapacity/orders_test.go
+++ b/ferrybench/ferrycapacity/orders_test.go
@@ -10,11 +10,11 @@
 func TestOrdersAtThePlannedSize(t *testing.T) {
 	p := MeasureOrders(planRunners, false)
 	assert.Assert(t, p.Takeover <= 4*orderLoadTime, "%s", p.Takeover)
-	assert.Assert(t, p.RestReads <= 160, "%.1f readings a second", p.RestReads)
-	assert.Assert(t, p.RestBytes < 0.4*targetBytes, "%.0f B/s", p.RestBytes)
+	assert.Assert(t, p.IdleReads <= 160, "%.1f reads/s at rest, want at most 160", p.IdleReads)
+	assert.Assert(t, p.IdleBytes < 0.4*targetBytes, "%.0f B/s at rest, want less than 40%% of the target", p.IdleBytes)
 	few := MeasureOrders(4, false)
 	old := MeasureOrders(4, true)
-	assert.Assert(t, few.Takeover < old.Takeover, "%s, and %s before", few.Takeover, old.Takeover)
-	assert.Assert(t, few.RestReads <= old.RestReads && few.RestReads > old.RestReads-0.2, "%.1f readings a second, %.1f before", few.RestReads, old.RestReads)
+	assert.Assert(t, few.Takeover < old.Takeover, "takeover took %s, with the former design %s", few.Takeover, old.Takeover)
+	assert.Assert(t, few.IdleReads <= old.IdleReads && few.IdleReads > old.IdleReads-0.2, "%.1f reads/s at rest, with the former design %.1f", few.IdleReads, old.IdleReads)
 	assert.Assert(t, few.Takeover < 10*time.Second)
 }
--- a/ferrybench/ferrycapacity/platform.go
+++ b/ferrybench/ferrycapacity/platform.go
@@ -7,8 +7,8 @@
 	watchedKinds      = 2
 )
 
-// watchesOf counts the entries that hold a watch by their own computation.
-func watchesOf(f *fleet) int {
+// countWatches counts the platform watches in the fleet. Each entry decides from its own membership view.
+func countWatches(f *fleet) int {
 	n := 0
 	for _, c := range f.Cores() {
 		ms := c.Overlay.Members()
--- a/ferrybench/ferrycapacity/print.go
+++ b/ferrybench/ferrycapacity/print.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The size that the capacity page plans for.
+// The planned size and rates of change; they are those of docs/CAPACITY.md.
 const (
 	planNodes          = 350
 	planRunners        = 1600
@@ -14,34 +14,34 @@
 	planRestartsPerDay = 383
 	secondsPerDay      = 86400
 
-	// The targets for what a node spends on control.
-	targetBytes      = 12 << 10
-	targetCPU        = 0.012
-	targetState      = 64 << 20
-	targetEverywhere = 19 * time.Second
+	// The targets for the control overhead of a node.
+	targetBytes       = 12 << 10
+	targetCPU         = 0.012
+	targetState       = 64 << 20
+	targetPropagation = 19 * time.Second
 )
 
-// Print writes the measured points, and below them the figures at the planned size.
+// Print writes the points as a Markdown table, followed by the figures extrapolated to the planned size.
 func (ps Points) Print(w io.Writer, rs Readings) {
 	fmt.Fprintln(w, "| nodes | runners | links (most) | B/s at rest | messages/s | B/s with loads (most) | messages/s | core with loads | state KB | change everywhere (longest) | B a change of 16 KiB | of 512 KiB | B a restart | domain lost, seen by all | rejoined after a cut | B of rejoining (most in 1 s) | watches |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, p := range ps {
 		fmt.Fprintf(w, "| %d | %d | %.1f (%d) | %.0f | %.1f | %.0f (%.0f) | %.1f | %.3f%% | %.0f | %s (%s) | %.0f | %.0f | %.0f | %s | %s | %.0f (%.0f) | %d |\n",
-			p.Nodes, p.Runners, p.Links, p.MostLinks, p.RestBytes, p.RestMessages, p.LoadBytes, p.MostLoadBytes, p.LoadMessages,
-			100*p.LoadCPU, p.StateBytes/1024, p.Everywhere, p.MostEverywhere, p.ChangeBytes, p.LargeBytes, p.RestartBytes,
-			p.DomainLost, p.Rejoined, p.RejoinBytes, p.MostRejoinBytes, p.Watches)
+			p.Nodes, p.Runners, p.Links, p.MaxLinks, p.IdleBytes, p.IdleMessages, p.LoadBytes, p.MaxLoadBytes, p.LoadMessages,
+			100*p.LoadCPU, p.StateBytes/1024, p.MedianPropagation, p.MaxPropagation, p.ChangeBytes, p.LargeBytes, p.RestartBytes,
+			p.DomainLossDetection, p.RejoinTime, p.RejoinBytes, p.MaxRejoinBytes, p.Watches)
 	}
 	ps.printPlan(w, rs)
 }
 
 func (ps Points) printPlan(w io.Writer, rs Readings) {
-	rest := ps.Fit(func(p Point) float64 { return p.RestBytes })
+	rest := ps.Fit(func(p Point) float64 { return p.IdleBytes })
 	loads := ps.Fit(func(p Point) float64 { return p.LoadBytes })
 	change := ps.Fit(func(p Point) float64 { return p.ChangeBytes })
 	restart := ps.Fit(func(p Point) float64 { return p.RestartBytes })
 	cpu := ps.Fit(func(p Point) float64 { return p.LoadCPU })
 	state := ps.Fit(func(p Point) float64 { return p.StateBytes })
-	everywhere := ps.Fit(func(p Point) float64 { return p.MostEverywhere.Seconds() })
+	everywhere := ps.Fit(func(p Point) float64 { return p.MaxPropagation.Seconds() })
 	changes := change.At(planNodes) * planChangesPerDay / secondsPerDay
 	large := ps.Fit(func(p Point) float64 { return p.LargeBytes })
 	largeChanges := large.At(planNodes) * planChangesPerDay / secondsPerDay
@@ -60,7 +60,7 @@
 	row(w, "B/s together, changes of 16 KiB", Line{}, total, targetBytes)
 	row(w, "share of a core, in %", Line{Base: 100 * cpu.Base, Slope: 100 * cpu.Slope}, 100*cpu.At(planNodes), 100*targetCPU)
 	row(w, "state in KB", Line{Base: state.Base / 1024, Slope: state.Slope / 1024}, state.At(planNodes)/1024, targetState/1024)
-	row(w, "longest time to everywhere in s", everywhere, everywhere.At(planNodes), targetEverywhere.Seconds())
+	row(w, "longest time to everywhere in s", everywhere, everywhere.At(planNodes), targetPropagation.Seconds())
 }
 
 func row(w io.Writer, what string, l Line, value, target float64) {
--- a/ferrybench/ferrycapacity/reading.go
+++ b/ferrybench/ferrycapacity/reading.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	readTries    = 2000
-	readTimeout  = 10 * time.Second
-	readSeconds  = 60
-	partsOfModel = 4
-	layersOfPart = 8
-	// headerBytes and ackBytes are what a message costs below HTTP.
+	readTries     = 2000
+	readTimeout   = 10 * time.Second
+	readSeconds   = 60
+	modelParts    = 4
+	layersPerPart = 8
+	// headerBytes and ackBytes are the overhead of a message below HTTP.
 	headerBytes = 60
 	ackBytes    = 52
-	// passedOnPerSecond is what the fleet says of loads where all entries work all engines.
-	passedOnPerSecond = 20
+	// sharedReportsPerSecond is how many load reports the fleet exchanges per second if all entries use all engines.
+	sharedReportsPerSecond = 20
 )
 
-// ReadCost is what one reading of an engine's load costs.
+// ReadCost is the cost of one read of an engine's load.
 type ReadCost struct {
-	// Bytes are both ways, headers and acknowledgements included.
+	// Bytes counts both directions, including headers and acknowledgements.
 	Bytes float64
-	// CPU is the processor time of both ends together.
+	// CPU is the processor time of client and server together.
 	CPU time.Duration
 }
 
-// countedConn counts what passes.
+// countedConn counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
@@ -63,20 +63,20 @@
 	bytes *atomic.Int64
 }
 
-// Accept counts what passes over the connection.
+// Accept returns a connection that counts its bytes.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return countedConn{c, l.bytes}, err
 }
 
-// MeasureRead reads a stand-in engine over loopback many times, on one connection that is kept.
+// MeasureRead reads the load of a simulated engine over loopback many times, on one kept-alive connection.
 func MeasureRead(ctx context.Context) (ReadCost, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return ReadCost{}, err
 	}
 	var bytes atomic.Int64
-	e := ferrystandengine.New(ferrystandengine.Config{Name: "engine-0001", Service: "herd-llm", Layers: ferryid.LayerRange{To: layersOfPart}})
+	e := ferrystandengine.New(ferrystandengine.Config{Name: "engine-0001", Service: "herd-llm", Layers: ferryid.LayerRange{To: layersPerPart}})
 	defer e.Close()
 	s := &http.Server{Handler: e, ReadHeaderTimeout: readTimeout}
 	defer s.Close()
@@ -94,99 +94,100 @@
 	}, nil
 }
 
-// Reading is what entries spend on the engines' loads at one fleet size, and how old these are.
+// Reading is the cost of reading the engines' loads at one fleet size, and the age of the reports.
 type Reading struct {
 	Nodes, Runners int
-	// PassedOn says that all entries work all engines and read them for each other.
-	PassedOn bool
-	// Engines is how many engines an entry works.
-	Engines     float64
-	MostEngines int
-	// Reads are the readings a second by an entry, and EngineReads those at an engine.
-	Reads, EngineReads, MostEngineReads float64
-	// Age is how old a report is: the mean over engines and seconds, and the most.
-	Age, MostAge time.Duration
-	// The rest is while no entry has calls.
-	RestReads            float64
-	RestAge, MostRestAge time.Duration
-	RestBytes            float64
-	// Bytes are sent and received a second by an entry for its readings; what is passed on comes on top.
+	// Shared is set if all entries use all engines and read them on behalf of each other.
+	Shared bool
+	// Engines is the mean number of engines that an entry uses.
+	Engines    float64
+	MaxEngines int
+	// Reads is the rate of reads by an entry, EngineReads the rate of reads at an engine, both per second.
+	Reads, EngineReads, MaxEngineReads float64
+	// Age is the mean age of a report over engines and seconds, MaxAge the maximum.
+	Age, MaxAge time.Duration
+	// The fields with Idle apply while no entry has calls.
+	IdleReads           float64
+	IdleAge, MaxIdleAge time.Duration
+	IdleBytes           float64
+	// Bytes is the bytes/s that an entry sends and receives for its reads; exchanged reports come on top.
 	Bytes float64
-	// CPU is the share of a core of both ends.
+	// CPU is the share of a core that client and server use together.
 	CPU float64
 }
 
-// Readings are the measured sizes.
+// Readings are the measurements of several fleet sizes.
 type Readings []Reading
 
-// MeasureReading lets the entries of one fleet size choose and take turns on a clock of seconds.
+// MeasureReading simulates how the entries of one fleet size choose engines and read them, in steps of one second.
 func MeasureReading(nodes, runners int, cost ReadCost) Reading {
-	r := Reading{Nodes: nodes, Runners: runners, PassedOn: ferrysubset.Default.UsesAll(nodes, runners)}
-	if r.PassedOn {
-		r.passOn()
+	r := Reading{Nodes: nodes, Runners: runners, Shared: ferrysubset.Default.UsesAll(nodes, runners)}
+	if r.Shared {
+		r.computeShared()
 	} else {
-		r.readOwn()
+		r.simulateReads()
 	}
-	r.RestBytes = r.RestReads * cost.Bytes
+	r.IdleBytes = r.IdleReads * cost.Bytes
 	r.Bytes, r.CPU = r.Reads*cost.Bytes, r.Reads*cost.CPU.Seconds()
 	return r
 }
 
-// passOn works out what ferryd's cap gives.
-func (r *Reading) passOn() {
-	every := max(1, float64(r.Runners)/passedOnPerSecond)
-	r.Engines, r.MostEngines = float64(r.Runners), r.Runners
-	r.EngineReads, r.MostEngineReads = 1/every, 1/every
+// computeShared computes the rates and ages from the limit that ferryd sets for exchanged reports.
+func (r *Reading) computeShared() {
+	every := max(1, float64(r.Runners)/sharedReportsPerSecond)
+	r.Engines, r.MaxEngines = float64(r.Runners), r.Runners
+	r.EngineReads, r.MaxEngineReads = 1/every, 1/every
 	r.Reads = float64(r.Runners) / every / float64(r.Nodes)
-	r.MostAge = time.Duration(every * float64(time.Second))
-	r.Age = r.MostAge / 2
-	r.RestReads, r.RestAge, r.MostRestAge = r.Reads, r.Age, r.MostAge
+	r.MaxAge = time.Duration(every * float64(time.Second))
+	r.Age = r.MaxAge / 2
+	r.IdleReads, r.IdleAge, r.MaxIdleAge = r.Reads, r.Age, r.MaxAge
 }
 
-func (r *Reading) readOwn() {
+func (r *Reading) simulateReads() {
 	var names []ferryid.EntryName
 	for i := range r.Nodes {
 		names = append(names, ferryid.EntryName(fmt.Sprintf("entry-%03d", i)))
 	}
 	var engines []ferrysubset.Candidate
 	for i := range r.Runners {
-		from := ferryid.Layer(i % partsOfModel * layersOfPart)
+		from := ferryid.Layer(i % modelParts * layersPerPart)
 		engines = append(engines, ferrysubset.Candidate{
 			Name:   ferryid.UpstreamName(fmt.Sprintf("engine-%04d", i)),
-			Domain: ferryid.DomainName(domainName(i/partsOfModel, r.Nodes)), Layers: ferryid.LayerRange{From: from, To: from + layersOfPart},
+			Domain: ferryid.DomainName(domainName(i/modelParts, r.Nodes)), Layers: ferryid.LayerRange{From: from, To: from + layersPerPart},
 		})
 	}
 	cfg := ferrysubset.Default
 	chooser := ferrysubset.New(cfg)
-	busy, rest := turnsOf{reads: make([]int, r.Runners), perSecond: cfg.ReadsPerSecond}, turnsOf{reads: make([]int, r.Runners), perSecond: cfg.IdleReadsPerSecond}
+	busy, idle := readStats{reads: make([]int, r.Runners), perSecond: cfg.ReadsPerSecond}, readStats{reads: make([]int, r.Runners), perSecond: cfg.IdleReadsPerSecond}
 	var subset []int
 	for _, name := range names {
 		subset = chooser.Choose(name, names, engines, subset[:0])
 		r.Engines += float64(len(subset)) / float64(r.Nodes)
-		r.MostEngines = max(r.MostEngines, len(subset))
-		busy.take(subset)
-		rest.take(subset)
+		r.MaxEngines = max(r.MaxEngines, len(subset))
+		busy.add(subset)
+		idle.add(subset)
 	}
-	r.Reads, r.RestReads = busy.total/readSeconds/float64(r.Nodes), rest.total/readSeconds/float64(r.Nodes)
-	r.Age, r.MostAge, r.RestAge, r.MostRestAge = busy.age(), busy.most, rest.age(), rest.most
+	r.Reads, r.IdleReads = busy.total/readSeconds/float64(r.Nodes), idle.total/readSeconds/float64(r.Nodes)
+	r.Age, r.MaxAge, r.IdleAge, r.MaxIdleAge = busy.meanAge(), busy.maxAge, idle.meanAge(), idle.maxAge
 	for _, n := range busy.reads {
 		r.EngineReads += float64(n) / readSeconds / float64(r.Runners)
-		r.MostEngineReads = max(r.MostEngineReads, float64(n)/readSeconds)
+		r.MaxEngineReads = max(r.MaxEngineReads, float64(n)/readSeconds)
 	}
 }
 
-// turnsOf are the readings of all entries at one rate.
-type turnsOf struct {
+// readStats accumulates the reads of all entries at one rate.
+type readStats struct {
 	perSecond int
 	reads     []int
 	total     float64
 	ages      int
 	samples   int
-	most      time.Duration
+	maxAge    time.Duration
 }
 
-// take lets one entry read its subset for a while; ages count from when all have been read.
-func (t *turnsOf) take(subset []int) {
+// add simulates one entry that reads its subset for readSeconds. Ages are sampled in the second half, when every engine
+// has been read.
+func (t *readStats) add(subset []int) {
 	last := make([]int, len(subset))
 	var turns ferrysubset.Rotation
 	var turn []int
@@ -203,33 +204,33 @@
 		for _, at := range last {
 			t.ages += second - at
 			t.samples++
-			t.most = max(t.most, time.Duration(second-at+1)*time.Second)
+			t.maxAge = max(t.maxAge, time.Duration(second-at+1)*time.Second)
 		}
 	}
 }
 
-// age is the mean over engines and time.
-func (t *turnsOf) age() time.Duration {
+// meanAge returns the mean age over engines and time.
+func (t *readStats) meanAge() time.Duration {
 	return time.Duration((float64(t.ages)/float64(t.samples) + 0.5) * float64(time.Second))
 }
 
-// Print writes the sizes as a table.
+// Print writes the measurements as a Markdown table.
 func (rs Readings) Print(w io.Writer, cost ReadCost) {
 	fmt.Fprintf(w, "\nA reading of an engine's load: %.0f B, %s of processor time at both ends together.\n\n", cost.Bytes, cost.CPU.Round(time.Microsecond))
 	fmt.Fprintln(w, "| nodes | runners | engines an entry (most) | loads come | readings/s an entry | at an engine (most) | age of a report (most) | B/s an entry | core, both ends | without calls: readings/s | age (most) | B/s |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, r := range rs {
 		way := "by reading"
-		if r.PassedOn {
+		if r.Shared {
 			way = "passed on"
 		}
-		fmt.Fprintf(w, "| %d | %d | %.1f (%d) | %s | %.2f | %.2f (%.2f) | %s (%s) | %.0f | %.3f%% | %.2f | %s (%s) | %.0f |\n", r.Nodes, r.Runners, r.Engines, r.MostEngines, way,
-			r.Reads, r.EngineReads, r.MostEngineReads, r.Age.Round(10*time.Millisecond), r.MostAge.Round(10*time.Millisecond), r.Bytes, 100*r.CPU,
-			r.RestReads, r.RestAge.Round(10*time.Millisecond), r.MostRestAge.Round(10*time.Millisecond), r.RestBytes)
+		fmt.Fprintf(w, "| %d | %d | %.1f (%d) | %s | %.2f | %.2f (%.2f) | %s (%s) | %.0f | %.3f%% | %.2f | %s (%s) | %.0f |\n", r.Nodes, r.Runners, r.Engines, r.MaxEngines, way,
+			r.Reads, r.EngineReads, r.MaxEngineReads, r.Age.Round(10*time.Millisecond), r.MaxAge.Round(10*time.Millisecond), r.Bytes, 100*r.CPU,
+			r.IdleReads, r.IdleAge.Round(10*time.Millisecond), r.MaxIdleAge.Round(10*time.Millisecond), r.IdleBytes)
 	}
 }
 
-// at returns the bytes a second at a number of nodes, or 0 if it was not measured.
+// at returns the bytes/s at a number of nodes, or 0 if that size was not measured.
 func (rs Readings) at(nodes int) float64 {
 	for _, r := range rs {
 		if r.Nodes == nodes {
--- a/ferrybench/ferrycapacity/real.go
+++ b/ferrybench/ferrycapacity/real.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	realJoinWithin = 60 * time.Second
-	realSettle     = 15 * time.Second
-	realPoll       = 5 * time.Millisecond
-	realTries      = 5
+	realTimeout = 60 * time.Second
+	realSettle  = 15 * time.Second
+	realPoll    = 5 * time.Millisecond
+	realTries   = 5
 )
 
-// RealPoint is what was measured of real nodes over loopback in one process.
+// RealPoint holds the measurements of real nodes over loopback in one process.
 type RealPoint struct {
-	Nodes      int
-	Joined     time.Duration
-	CPU        float64
-	HeapBytes  float64
-	Goroutines float64
-	Links      float64
-	Everywhere time.Duration
+	Nodes       int
+	Joined      time.Duration
+	CPU         float64
+	HeapBytes   float64
+	Goroutines  float64
+	Links       float64
+	Propagation time.Duration
 }
 
 type realNode struct {
@@ -43,7 +43,7 @@
 	doc    document
 }
 
-// MeasureReal runs n nodes on 127.0.0.1 in this process and measures them for some seconds.
+// MeasureReal runs n nodes on 127.0.0.1 in this process and measures them for the given number of seconds.
 func MeasureReal(n, seconds int) (RealPoint, error) {
 	p := RealPoint{Nodes: n}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,7 +57,7 @@
 		return p, err
 	}
 	defer closeServers(nodes)
-	if err := waitReal(realJoinWithin, "join", func() bool { return allSee(nodes) }); err != nil {
+	if err := waitUntil(realTimeout, "join", func() bool { return allJoined(nodes) }); err != nil {
 		return p, err
 	}
 	p.Joined = time.Since(began)
@@ -70,7 +70,7 @@
 	for _, r := range nodes {
 		p.Links += float64(len(r.Links())) / float64(n)
 	}
-	p.Everywhere, err = changeReal(nodes)
+	p.Propagation, err = measureRealChange(nodes)
 	return p, err
 }
 
@@ -105,7 +105,7 @@
 	return nodes, nil
 }
 
-// topic guards the document, since the measurement reads it from outside the overlay's goroutine.
+// topic locks the document, because the measurement reads it outside the goroutine of the overlay.
 func (r *realNode) topic() ferrypeer.Topic {
 	return ferrypeer.Topic{
 		Name:    topicDocuments,
@@ -121,7 +121,7 @@
 	}
 }
 
-func allSee(nodes []*realNode) bool {
+func allJoined(nodes []*realNode) bool {
 	for _, r := range nodes {
 		if len(r.Members().Live()) != len(nodes) {
 			return false
@@ -130,17 +130,18 @@
 	return true
 }
 
-func waitReal(limit time.Duration, what string, holds func() bool) error {
+func waitUntil(limit time.Duration, what string, holds func() bool) error {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(realPoll) {
 		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %s", what, limit)
+	return fmt.Errorf("%s: not done within %s", what, limit)
 }
 
-// changeReal publishes documents and returns the median time until every node holds one, to within the polling.
-func changeReal(nodes []*realNode) (time.Duration, error) {
+// measureRealChange publishes documents and returns the median time until every node holds one.
+// The resolution is realPoll.
+func measureRealChange(nodes []*realNode) (time.Duration, error) {
 	var took []time.Duration
 	for i := range realTries {
 		want := uint64(i + 1)
@@ -150,7 +151,7 @@
 		r.mu.Unlock()
 		began := time.Now()
 		r.Publish(topicDocuments)
-		if err := waitReal(realJoinWithin, "document everywhere", func() bool { return allHold(nodes, want) }); err != nil {
+		if err := waitUntil(realTimeout, "distribute document to all nodes", func() bool { return allAtGeneration(nodes, want) }); err != nil {
 			return 0, err
 		}
 		took = append(took, time.Since(began))
@@ -158,7 +159,7 @@
 	return median(took), nil
 }
 
-func allHold(nodes []*realNode, want uint64) bool {
+func allAtGeneration(nodes []*realNode, want uint64) bool {
 	for _, r := range nodes {
 		r.mu.Lock()
 		got := r.doc.generation
@@ -173,5 +174,5 @@
 // Print writes the point as one line.
 func (p RealPoint) Print(w io.Writer) {
 	fmt.Fprintf(w, "real nodes %d: all joined in %s, %.1f links, %.3f%% of a core, %.0f KB of heap and %.0f goroutines a node, a change of 16 KiB everywhere in %s\n",
-		p.Nodes, p.Joined.Round(time.Millisecond), p.Links, 100*p.CPU, p.HeapBytes/1024, p.Goroutines, p.Everywhere.Round(time.Millisecond))
+		p.Nodes, p.Joined.Round(time.Millisecond), p.Links, 100*p.CPU, p.HeapBytes/1024, p.Goroutines, p.Propagation.Round(time.Millisecond))
 }
