--- a/ferrybench/ferryexperiment/call.go
+++ b/ferrybench/ferryexperiment/call.go
@@ -7,7 +7,7 @@
 	"cactusferry.dev/ferry/ferryroute"
 )
 
-// call is one arrival on its way.
+// call is the state of one arrival until its end.
 type call struct {
 	Sample
 	id        ferryid.RequestID
@@ -21,7 +21,7 @@
 	resumes   int
 }
 
-func (c *call) left() float64 {
+func (c *call) remaining() float64 {
 	return max(1, float64(c.predicted)-c.produced)
 }
 
--- a/ferrybench/ferryexperiment/doc.go
+++ b/ferrybench/ferryexperiment/doc.go
@@ -1,2 +1,2 @@
-// Package ferryexperiment drives the pure cores of admission and routing with a workload on a virtual clock.
+// Package ferryexperiment runs the admission and routing code of ferryd with a workload in a discrete-event simulation.
 package ferryexperiment
--- a/ferrybench/ferryexperiment/document.go
+++ b/ferrybench/ferryexperiment/document.go
@@ -7,14 +7,14 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// document is the service document that the workload's fleet would have.
+// document returns the service document of the simulated fleet.
 func (s *simulation) document() *ferryservice.Document {
 	d := &ferryservice.Document{
 		Service: "bench",
 		Kind:    ferryservice.KindModel,
 		Policy:  ferryservice.Policy{Queue: s.policy.Queue, Route: s.policy.Route, ExcessShare: s.policy.ExcessShare},
-		Classes: s.w.Classes,
-		Limits:  ferryservice.Limits{QueueLength: s.w.QueueLength},
+		Classes: s.workload.Classes,
+		Limits:  ferryservice.Limits{QueueLength: s.workload.QueueLength},
 	}
 	for i, u := range s.units {
 		d.Upstreams = append(d.Upstreams, ferryservice.Upstream{
@@ -25,7 +25,7 @@
 			Slots:           u.spec.Slots,
 		})
 	}
-	for _, c := range s.w.Customers {
+	for _, c := range s.workload.Customers {
 		d.Customers = append(d.Customers, ferryservice.Customer{Name: c.Name, Share: c.Share})
 	}
 	return d
--- a/ferrybench/ferryexperiment/entry.go
+++ b/ferrybench/ferryexperiment/entry.go
@@ -10,16 +10,16 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// retryBurstShare is how many retries an entry may make before any first try, as a share of its slots.
+// retryBurstShare is the initial retry budget of an entry as a share of its slots.
 const retryBurstShare = 0.25
 
-// minRetryShare is the share of first tries that may be retried where the workload states none.
+// minRetryShare is the minimum retry budget as a share of first tries; it applies if the workload sets less or none.
 const minRetryShare = 0.1
 
-// maxPreemptsPerTick bounds how many running calls one tick takes off.
+// maxPreemptsPerTick is the maximum number of running calls that one tick preempts.
 const maxPreemptsPerTick = 4
 
-// entry is one entry instance: the cores that the daemon runs, and the calls that are with it.
+// entry is one entry instance: the queue, routing table, predictor and retry budget of ferryd, and its open calls.
 type entry struct {
 	index     int
 	alive     bool
@@ -29,7 +29,7 @@
 	budget    *ferryroute.Budget
 	rand      ferryroute.Rand
 	calls     map[ferryid.RequestID]*call
-	list      []*call
+	waiting   []*call
 }
 
 func newEntry(s *simulation, index int) *entry {
@@ -37,28 +37,28 @@
 	e := &entry{
 		index:     index,
 		alive:     true,
-		table:     ferryroute.NewTable(s.w.Route),
+		table:     ferryroute.NewTable(s.workload.Route),
 		predictor: ferryqueue.NewPredictor(),
-		rand:      ferryroute.Rand(s.w.Seed + uint64(index)),
+		rand:      ferryroute.Rand(s.workload.Seed + uint64(index)),
 		calls:     map[ferryid.RequestID]*call{},
 	}
 	e.table.SetDocument(d)
-	e.table.SetShare(index, s.w.Entries)
+	e.table.SetShare(index, s.workload.Entries)
 	cfg := ferryqueue.ConfigOf(d)
-	cfg.Seed = s.w.Seed + uint64(index)
-	cfg.Length = max(1, cfg.Length/s.w.Entries)
+	cfg.Seed = s.workload.Seed + uint64(index)
+	cfg.Length = max(1, cfg.Length/s.workload.Entries)
 	e.queue = ferryqueue.New(cfg)
-	e.budget = ferryroute.NewBudget(max(s.w.Retry.Share, minRetryShare), retryBurstShare*float64(cfg.Capacity)/float64(s.w.Entries))
+	e.budget = ferryroute.NewBudget(max(s.workload.Retry.Share, minRetryShare), retryBurstShare*float64(cfg.Capacity)/float64(s.workload.Entries))
 	e.setCapacity()
 	return e
 }
 
-// setCapacity gives the entry its part of the slots that can be used now.
+// setCapacity sets the queue's capacity to the entry's share of the slots that are available now.
 func (e *entry) setCapacity() {
 	e.queue.SetCapacity(e.table.Snapshot().Slots())
 }
 
-// predict fills in the expected length in the way the workload asks for.
+// predict returns the expected length of a call by the prediction method of the workload.
 func (e *entry) predict(w *ferryworkload.Workload, c *call) ferryid.Tokens {
 	switch w.Prediction {
 	case ferryworkload.PredictExact:
@@ -73,17 +73,17 @@
 	c.entry, c.Submitted = e, s.now
 	c.attempts++
 	if c.predicted == 0 {
-		c.predicted = e.predict(s.w, c)
+		c.predicted = e.predict(s.workload, c)
 	}
 	if r := e.queue.Enqueue(e.item(s, c), s.time()); r != nil {
-		s.refused(c, r)
+		s.onRefusal(c, r)
 		return
 	}
 	if c.attempts == 1 {
 		e.budget.FirstTry()
 	}
 	e.calls[c.id] = c
-	e.pump(s)
+	e.dispatchReady(s)
 }
 
 func (e *entry) item(s *simulation, c *call) ferryqueue.Item {
@@ -100,14 +100,14 @@
 	return it
 }
 
-// pump starts what may start.
-func (e *entry) pump(s *simulation) {
+// dispatchReady drops expired calls and sends every call that the queue admits.
+func (e *entry) dispatchReady(s *simulation) {
 	for {
 		it, ok := e.queue.Next(s.time(), e.queue.Free())
 		for _, r := range e.queue.Dropped() {
 			c := e.calls[r.Item.ID]
 			delete(e.calls, r.Item.ID)
-			s.refused(c, &r)
+			s.onRefusal(c, &r)
 		}
 		if !ok {
 			return
@@ -121,9 +121,9 @@
 	}
 }
 
-// send tries units until one takes the call; a connection that is refused means that nothing ran.
+// send tries units until one accepts the call. A retry is safe because a refused connection means that nothing ran.
 func (e *entry) send(s *simulation, c *call) {
-	w := &ferryroute.Work{Predicted: ferryid.Tokens(c.left()), Prefix: c.Arrival.Prefix}
+	w := &ferryroute.Work{Predicted: ferryid.Tokens(c.remaining()), Prefix: c.Arrival.Prefix}
 	for {
 		snap := e.table.Snapshot()
 		i := ferryroute.Choose(snap, w, &e.rand)
@@ -149,7 +149,7 @@
 	if s.policy.Queue == ferryservice.QueueFifo {
 		return 0
 	}
-	for _, c := range s.w.Classes {
+	for _, c := range s.workload.Classes {
 		if c.Name == class {
 			return c.Priority
 		}
@@ -157,7 +157,7 @@
 	return 0
 }
 
-// tick is what the shells of the cores do without a message.
+// tick runs the periodic work of ferryd: table and capacity updates, expiry, preemption and admission.
 func (e *entry) tick(s *simulation) {
 	now := s.time()
 	e.table.Tick(now)
@@ -170,24 +170,24 @@
 		}
 		e.preempt(s, e.calls[id])
 	}
-	e.pump(s)
-	e.admitListed(s)
+	e.dispatchReady(s)
+	e.admitWaiting(s)
 }
 
 func (e *entry) preempt(s *simulation, c *call) {
-	s.takeOff(c)
+	s.detach(c)
 	c.dispatch.Cancel(s.time())
 	e.queue.Requeue(c.id, s.time())
 	c.resumes++
-	e.pump(s)
+	e.dispatchReady(s)
 }
 
-// admitListed moves refused calls from the waiting list into the queue as long as it takes them.
-func (e *entry) admitListed(s *simulation) {
-	for len(e.list) > 0 {
-		c := e.list[0]
+// admitWaiting moves refused calls from the waiting list to the queue until the queue refuses one.
+func (e *entry) admitWaiting(s *simulation) {
+	for len(e.waiting) > 0 {
+		c := e.waiting[0]
 		if d := c.deadline(); d > 0 && s.now > d {
-			e.list = e.list[1:]
+			e.waiting = e.waiting[1:]
 			s.finish(c, Refused)
 			continue
 		}
@@ -195,32 +195,33 @@
 		if e.queue.Enqueue(e.item(s, c), s.time()) != nil {
 			return
 		}
-		e.list = e.list[1:]
+		e.waiting = e.waiting[1:]
 		e.calls[c.id] = c
-		e.pump(s)
+		e.dispatchReady(s)
 	}
 }
 
-// progress tells both cores what a running call has produced.
+// progress reports the tokens that a running call has produced to the routing table and the queue.
 func (e *entry) progress(s *simulation, c *call) {
 	n := ferryid.Tokens(c.produced)
 	c.dispatch.Progress(n, s.time())
 	e.queue.Progress(c.id, n, s.time())
 }
 
-func (e *entry) done(s *simulation, c *call) {
+func (e *entry) onDone(s *simulation, c *call) {
 	delete(e.calls, c.id)
 	c.dispatch.Finish(c.Arrival.Tokens, s.time())
 	e.queue.Done(c.id, c.Arrival.Tokens, s.time())
 	e.predictor.Learn(c.Arrival.Customer, c.Arrival.Prompt, c.Arrival.Tokens)
-	e.pump(s)
+	e.dispatchReady(s)
 }
 
-// broken is a unit that died under a call: what may be repeated waits for another slot and goes on from where it was.
-func (e *entry) broken(s *simulation, c *call) {
+// onUnitFailure handles the failure of the unit of a call. Repeatable calls are requeued and resume after the tokens
+// that they have; others fail.
+func (e *entry) onUnitFailure(s *simulation, c *call) {
 	c.dispatch.Fail(ferryroute.FailureConnection, s.time())
 	e.setCapacity()
-	if !c.Arrival.Kind.Repeatable || !e.budgeted(c) {
+	if !c.Arrival.Kind.Repeatable || !e.mayRetry(c) {
 		delete(e.calls, c.id)
 		e.queue.Cancel(c.id)
 		s.finish(c, Failed)
@@ -230,12 +231,13 @@
 	e.queue.Requeue(c.id, s.time())
 }
 
-// budgeted lets streams that had begun resume always; other work is repeated within the budget.
-func (e *entry) budgeted(c *call) bool {
+// mayRetry reports whether a call may be retried. Streams that have begun may always resume; other calls use the
+// retry budget.
+func (e *entry) mayRetry(c *call) bool {
 	return c.produced > 0 || e.budget.Retry()
 }
 
-// deliver takes a late report of the units' loads.
+// deliver passes a delayed report of the units' loads to the routing table.
 func (e *entry) deliver(s *simulation, d deliver) {
 	for i, l := range d.loads {
 		r := ferryroute.Report{
--- a/ferrybench/ferryexperiment/event.go
+++ b/ferrybench/ferryexperiment/event.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something due at a time; seq keeps equal times in order.
+// event is an action due at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	do  action
 }
 
-// action is what an event does.
+// action is the effect of an event.
 type action interface{ isAction() }
 
 type submit struct{ call *call }
--- a/ferrybench/ferryexperiment/result.go
+++ b/ferrybench/ferryexperiment/result.go
@@ -13,32 +13,32 @@
 const (
 	histMax    = int64(2 * time.Hour / time.Microsecond)
 	histDigits = 3
-	// earlyRefusal is the time within which a refusal counts as early.
+	// earlyRefusal is the longest time after submission at which a refusal is not counted as late.
 	earlyRefusal = 100 * time.Millisecond
 )
 
-// Group is what one kind or customer of calls met; times are from the intended arrival, but FirstTry is from the try that
-// was admitted, and Between is between two tokens.
+// Group holds the results of the calls of one kind or customer. Times are measured from the intended arrival, except
+// FirstTry, which starts at the admitted try, and Between, which is the time between two tokens.
 type Group struct {
-	Name     string  `json:"Name"`
-	Offered  int     `json:"Offered"`
-	Admitted int     `json:"Admitted"`
-	InTime   int     `json:"InTime"`
-	Late     int     `json:"Late"`
-	Refused  int     `json:"Refused"`
-	Expired  int     `json:"Expired"`
-	Failed   int     `json:"Failed"`
-	Work     float64 `json:"Work"`
-	Wait     Times   `json:"Wait"`
-	First    Times   `json:"First"`
-	FirstTry Times   `json:"FirstTry"`
-	Answer   Times   `json:"Answer"`
-	Between  Times   `json:"Between"`
-	Stretch  float64 `json:"Stretch"`
-}
-
-// Times is a distribution of times, recorded in microseconds by HdrHistogram.
-type Times struct {
+	Name     string    `json:"Name"`
+	Offered  int       `json:"Offered"`
+	Admitted int       `json:"Admitted"`
+	InTime   int       `json:"InTime"`
+	Late     int       `json:"Late"`
+	Refused  int       `json:"Refused"`
+	Expired  int       `json:"Expired"`
+	Failed   int       `json:"Failed"`
+	Work     float64   `json:"Work"`
+	Wait     Quantiles `json:"Wait"`
+	First    Quantiles `json:"First"`
+	FirstTry Quantiles `json:"FirstTry"`
+	Answer   Quantiles `json:"Answer"`
+	Between  Quantiles `json:"Between"`
+	Stretch  float64   `json:"Stretch"`
+}
+
+// Quantiles are quantiles of durations, recorded in an HdrHistogram with microsecond resolution.
+type Quantiles struct {
 	hist *hdrhistogram.Histogram
 	P50  time.Duration `json:"P50"`
 	P95  time.Duration `json:"P95"`
@@ -46,14 +46,14 @@
 	Max  time.Duration `json:"Max"`
 }
 
-func (t *Times) add(d time.Duration) {
+func (t *Quantiles) add(d time.Duration) {
 	if t.hist == nil {
 		t.hist = hdrhistogram.New(1, histMax, histDigits)
 	}
 	_ = t.hist.RecordValue(min(histMax, max(1, d.Microseconds())))
 }
 
-func (t *Times) close() {
+func (t *Quantiles) close() {
 	if t.hist == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 	t.Max = time.Duration(t.hist.Max()) * time.Microsecond
 }
 
-// Second is one second of a run; the work is in tokens.
+// Second holds the figures of one second of a run; work is in tokens.
 type Second struct {
 	Offered     float64       `json:"Offered"`
 	Bound       float64       `json:"Bound"`
@@ -71,10 +71,10 @@
 	FirstP99    time.Duration `json:"FirstP99"`
 	Waiting     int           `json:"Waiting"`
 	Outstanding []float64     `json:"Outstanding"`
-	firsts      Times
+	firstTokens Quantiles
 }
 
-// Result is what one run gave.
+// Result holds the results of one run.
 type Result struct {
 	Workload       string                   `json:"Workload"`
 	Policy         Policy                   `json:"Policy"`
@@ -122,7 +122,7 @@
 	return &r.Seconds[i]
 }
 
-// Offer counts an intended arrival.
+// Offer counts an arrival at its intended time.
 func (r *Result) Offer(a *ferryworkload.Arrival) {
 	r.second(a.At).Offered += a.Work()
 	if a.At < r.warmup {
@@ -137,12 +137,12 @@
 	return []*Group{&r.All, r.kinds[a.Kind.Name], r.customers[a.Customer]}
 }
 
-// Serve counts work done in a second; work in time is counted again by Record.
+// Serve counts work served in a second. Record counts it again as in time if the call meets its deadline.
 func (r *Result) Serve(now time.Duration, work float64) {
 	r.second(now).Served += work
 }
 
-// Refuse counts a refusal of a try that was submitted some time before.
+// Refuse counts the refusal of a try; after is the time since the try was submitted.
 func (r *Result) Refuse(a *ferryworkload.Arrival, after time.Duration) {
 	if a.At < r.warmup {
 		return
@@ -156,7 +156,7 @@
 // Record counts the end of a call.
 func (r *Result) Record(x *Sample) {
 	if x.Outcome == InTime {
-		for _, p := range x.pieces {
+		for _, p := range x.workBySecond {
 			r.Seconds[p.second].InTime += float64(p.work)
 		}
 	}
@@ -167,7 +167,7 @@
 		g.record(x)
 	}
 	if x.First > 0 && !x.Arrival.Kind.Straggler {
-		r.second(x.Arrival.At).firsts.add(x.First - x.Arrival.At)
+		r.second(x.Arrival.At).firstTokens.add(x.First - x.Arrival.At)
 	}
 }
 
@@ -207,21 +207,21 @@
 	}
 }
 
-// Close works out the quantiles after the last call.
+// Close computes the quantiles; it must be called after the last call.
 func (r *Result) Close() {
 	all := append(append([]*Group{&r.All}, r.Kinds...), r.Customers...)
 	for _, g := range all {
-		for _, t := range []*Times{&g.Wait, &g.First, &g.FirstTry, &g.Answer, &g.Between} {
+		for _, t := range []*Quantiles{&g.Wait, &g.First, &g.FirstTry, &g.Answer, &g.Between} {
 			t.close()
 		}
 	}
 	for i := range r.Seconds {
-		r.Seconds[i].firsts.close()
-		r.Seconds[i].FirstP99 = r.Seconds[i].firsts.P99
+		r.Seconds[i].firstTokens.close()
+		r.Seconds[i].FirstP99 = r.Seconds[i].firstTokens.P99
 	}
 }
 
-// Mean is the mean of a figure of the seconds from one time to another, in tokens/s.
+// Mean returns the mean of a figure over the seconds in [from, to), in tokens/s.
 func (r *Result) Mean(from, to time.Duration, figure func(*Second) float64) float64 {
 	sum, n := 0.0, 0
 	for i := int(from / time.Second); i < int(to/time.Second) && i < len(r.Seconds); i++ {
--- a/ferrybench/ferryexperiment/sample.go
+++ b/ferrybench/ferryexperiment/sample.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// Outcome is how a call ended for its caller.
+// Outcome is the result of a call from the view of its caller.
 type Outcome int
 
 // The outcomes of calls.
@@ -22,36 +22,36 @@
 	Failed
 )
 
-// Sample is one call that has ended; times are from the start of the run, First is zero without any token.
+// Sample is the record of one call. Times are relative to the start of the run; First is zero if no token arrived.
 type Sample struct {
-	Arrival   *ferryworkload.Arrival
-	Outcome   Outcome
-	Started   bool
-	Submitted time.Duration
-	Admitted  time.Duration
-	First     time.Duration
-	End       time.Duration
-	Unloaded  time.Duration
-	pieces    []piece
+	Arrival      *ferryworkload.Arrival
+	Outcome      Outcome
+	Started      bool
+	Submitted    time.Duration
+	Admitted     time.Duration
+	First        time.Duration
+	End          time.Duration
+	Unloaded     time.Duration
+	workBySecond []secondWork
 }
 
-// piece is the work that a call got in one second.
-type piece struct {
+// secondWork is the work of a call that was served in one second.
+type secondWork struct {
 	second int32
 	work   float32
 }
 
-// Serve notes work that the call got, to count as in time if it ends so.
+// Serve records work served for the call, which is counted as in time if the call meets its deadline.
 func (x *Sample) Serve(now time.Duration, work float64) {
 	sec := int32(now / time.Second)
-	if n := len(x.pieces); n > 0 && x.pieces[n-1].second == sec {
-		x.pieces[n-1].work += float32(work)
+	if n := len(x.workBySecond); n > 0 && x.workBySecond[n-1].second == sec {
+		x.workBySecond[n-1].work += float32(work)
 		return
 	}
-	x.pieces = append(x.pieces, piece{second: sec, work: float32(work)})
+	x.workBySecond = append(x.workBySecond, secondWork{second: sec, work: float32(work)})
 }
 
-// unloaded is how long the call takes alone on the mean runner.
+// unloaded returns the duration of the call on an otherwise idle runner of mean speed.
 func (s *simulation) unloaded(c *call) time.Duration {
 	sum := 0.0
 	for _, u := range s.units {
@@ -60,12 +60,12 @@
 	return time.Duration(c.Arrival.Work() / (sum / float64(len(s.units))) * float64(time.Second))
 }
 
-// sample keeps the state of all runners and queues once a second.
+// sample records the state of all units and queues; it runs once per second.
 func (s *simulation) sample() {
 	x := s.result.second(s.now - 1)
 	for _, e := range s.entries {
 		x.Waiting += e.queue.Waiting()
-		s.noteSlow(e)
+		s.recordSlow(e)
 	}
 	for _, u := range s.units {
 		n, _ := u.outstanding()
@@ -76,8 +76,8 @@
 	}
 }
 
-// noteSlow keeps when each upstream was first taken out for slowness by any entry.
-func (s *simulation) noteSlow(e *entry) {
+// recordSlow records when any entry first excluded each upstream as slow.
+func (s *simulation) recordSlow(e *entry) {
 	for _, c := range e.table.Snapshot().All() {
 		if _, ok := s.result.SlowFound[string(c.Name)]; !ok && c.State == ferryroute.StateSlow {
 			s.result.SlowFound[string(c.Name)] = s.now
@@ -85,7 +85,7 @@
 	}
 }
 
-// close adds up what the entries' queues counted.
+// close computes the quantiles and sums the queue counters of all entries.
 func (s *simulation) close() {
 	s.result.Close()
 	sum := &s.result.Queue
--- a/ferrybench/ferryexperiment/simulation.go
+++ b/ferrybench/ferryexperiment/simulation.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	sampleEvery = time.Second
-	// maxOvertime is how long after the last arrival a run is given up.
-	maxOvertime = 15 * time.Minute
-	// noticeEntryLoss is how long callers take to see that their entry is gone and go to another.
-	noticeEntryLoss = 500 * time.Millisecond
+	tickInterval   = 100 * time.Millisecond
+	sampleInterval = time.Second
+	// maxOverrun is the time after the end of the workload at which periodic events stop, so that a run with calls that
+	// never end terminates.
+	maxOverrun = 15 * time.Minute
+	// failoverDelay is the time until callers detect the loss of their entry and fail over to another.
+	failoverDelay = 500 * time.Millisecond
 )
 
-// Policy is what an experiment compares.
+// Policy is a queueing and routing policy under comparison.
 type Policy struct {
 	Name        string                   `json:"Name"`
 	Queue       ferryservice.QueuePolicy `json:"Queue"`
@@ -32,25 +33,25 @@
 // The two policies of every comparison.
 var (
 	Baseline = Policy{Name: "baseline", Queue: ferryservice.QueueFifo, Route: ferryservice.RouteRandom}
-	Now      = Policy{Name: "now", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast}
+	Current  = Policy{Name: "now", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast}
 )
 
-// simulation is one run: arrivals, the cores, and fake runners.
+// simulation is the state of one run: entries, simulated units and pending events.
 type simulation struct {
-	w       *ferryworkload.Workload
-	policy  Policy
-	units   []*unit
-	entries []*entry
-	events  eventHeap
-	seq     int
-	now     time.Duration
-	open    int
-	result  *Result
+	workload  *ferryworkload.Workload
+	policy    Policy
+	units     []*unit
+	entries   []*entry
+	events    eventHeap
+	seq       int
+	now       time.Duration
+	openCalls int
+	result    *Result
 }
 
-// Run plays the arrivals with the policy until all calls have ended.
+// Run simulates the arrivals under the policy and returns when all calls have ended or no event is left.
 func Run(w *ferryworkload.Workload, arrivals []ferryworkload.Arrival, p Policy) *Result {
-	s := &simulation{w: w, policy: p, result: NewResult(w, p)}
+	s := &simulation{workload: w, policy: p, result: NewResult(w, p)}
 	for i, u := range w.UnitList() {
 		s.units = append(s.units, &unit{spec: u, index: i, alive: true, factor: 1})
 	}
@@ -68,42 +69,42 @@
 }
 
 func (s *simulation) schedule(arrivals []ferryworkload.Arrival) {
-	s.open = len(arrivals)
+	s.openCalls = len(arrivals)
 	for i := range arrivals {
 		c := &call{Sample: Sample{Arrival: &arrivals[i]}, id: ferryid.RequestID(fmt.Sprintf("%08d", i))}
 		c.entry = s.entries[(i*7919)%len(s.entries)]
 		s.after(arrivals[i].At, submit{call: c})
 		s.result.Offer(c.Arrival)
 	}
-	for i := range s.w.Faults {
-		s.after(time.Duration(s.w.Faults[i].At), fault{index: i})
+	for i := range s.workload.Faults {
+		s.after(time.Duration(s.workload.Faults[i].At), fault{index: i})
 	}
-	s.after(tickEvery, tick{})
-	s.after(sampleEvery, sample{})
-	if s.w.Reports.Every > 0 {
-		s.after(time.Duration(s.w.Reports.Every), gather{})
+	s.after(tickInterval, tick{})
+	s.after(sampleInterval, sample{})
+	if s.workload.Reports.Every > 0 {
+		s.after(time.Duration(s.workload.Reports.Every), gather{})
 	}
 }
 
 func (s *simulation) handle(a action) {
 	switch a := a.(type) {
 	case submit:
-		s.live(a.call.entry).submit(s, a.call)
+		s.liveEntry(a.call.entry).submit(s, a.call)
 	case wake:
-		s.milestone(a)
+		s.onMilestone(a)
 	case tick:
 		for _, e := range s.entries {
 			if e.alive {
 				e.tick(s)
 			}
 		}
-		s.again(tickEvery, a)
+		s.repeat(tickInterval, a)
 	case sample:
 		s.sample()
-		s.again(sampleEvery, a)
+		s.repeat(sampleInterval, a)
 	case gather:
 		s.gather()
-		s.again(time.Duration(s.w.Reports.Every), a)
+		s.repeat(time.Duration(s.workload.Reports.Every), a)
 	case deliver:
 		for _, e := range s.entries {
 			if e.alive {
@@ -113,13 +114,13 @@
 	case reshare:
 		s.reshare()
 	case fault:
-		s.fault(s.w.Faults[a.index])
+		s.fault(s.workload.Faults[a.index])
 	}
 }
 
-// again repeats an action until the last call has ended or the run is given up.
-func (s *simulation) again(d time.Duration, a action) {
-	if s.open > 0 && s.now < time.Duration(s.w.Duration)+maxOvertime {
+// repeat repeats an action until the last call has ended or maxOverrun has passed.
+func (s *simulation) repeat(d time.Duration, a action) {
+	if s.openCalls > 0 && s.now < time.Duration(s.workload.Duration)+maxOverrun {
 		s.after(d, a)
 	}
 }
@@ -128,8 +129,8 @@
 	return epoch.Add(s.now)
 }
 
-// live is the entry, or the next one that is alive.
-func (s *simulation) live(e *entry) *entry {
+// liveEntry returns the entry, or the next one that is alive.
+func (s *simulation) liveEntry(e *entry) *entry {
 	for range s.entries {
 		if e.alive {
 			return e
@@ -145,35 +146,35 @@
 		tokens, streams := u.outstanding()
 		d.loads = append(d.loads, unitLoad{tokens: tokens, streams: streams})
 	}
-	s.after(time.Duration(s.w.Reports.Delay), d)
+	s.after(time.Duration(s.workload.Reports.Delay), d)
 }
 
-// begin puts a call on a unit.
+// begin starts a call on a unit or queues it there.
 func (s *simulation) begin(u *unit, c *call, priority int) {
 	u.advance(s.now)
-	c.job = &job{call: c, unit: u, priority: priority, at: -1}
+	c.job = &job{call: c, unit: u, priority: priority, heapIndex: -1}
 	u.add(c.job)
-	s.rewake(u)
+	s.scheduleWake(u)
 }
 
-// takeOff takes a call off its unit; what it has produced since the last look is kept by its caller.
-func (s *simulation) takeOff(c *call) {
+// detach removes a call from its unit. The call keeps the tokens produced up to its last milestone.
+func (s *simulation) detach(c *call) {
 	u := c.job.unit
 	u.advance(s.now)
 	u.remove(c.job)
 	c.job = nil
-	s.rewake(u)
+	s.scheduleWake(u)
 }
 
-func (s *simulation) rewake(u *unit) {
+func (s *simulation) scheduleWake(u *unit) {
 	u.version++
 	if len(u.jobs) > 0 {
-		s.after(u.due(s.now)-s.now, wake{unit: u, version: u.version})
+		s.after(u.nextMilestone(s.now)-s.now, wake{unit: u, version: u.version})
 	}
 }
 
-// milestone handles the job of a unit that is due: its prompt is read, or it has produced more.
-func (s *simulation) milestone(w wake) {
+// onMilestone handles the due job of a unit: the prefill is complete, or another step of tokens was produced.
+func (s *simulation) onMilestone(w wake) {
 	u := w.unit
 	if w.version != u.version {
 		return
@@ -193,15 +194,15 @@
 	}
 	left := float64(c.Arrival.Tokens) - c.produced
 	if left <= 0 {
-		s.takeOff(c)
-		c.entry.done(s, c)
+		s.detach(c)
+		c.entry.onDone(s, c)
 		s.finish(c, s.inTime(c))
 		return
 	}
 	j.step = min(progressStep, left)
 	j.next = u.served + j.step
-	heap.Fix(&u.jobs, j.at)
-	s.rewake(u)
+	heap.Fix(&u.jobs, j.heapIndex)
+	s.scheduleWake(u)
 	c.entry.progress(s, c)
 }
 
@@ -214,22 +215,23 @@
 
 func (s *simulation) finish(c *call, o Outcome) {
 	c.Outcome, c.End = o, s.now
-	s.open--
+	s.openCalls--
 	s.result.Resumes += c.resumes
 	c.Unloaded = s.unloaded(c)
 	s.result.Record(&c.Sample)
-	c.pieces = nil
+	c.workBySecond = nil
 }
 
-// refused sends a call's caller away, to come back when it was told to if it still cares.
-func (s *simulation) refused(c *call, r *ferryqueue.Refusal) {
+// onRefusal handles a refusal: the call is put on the waiting list, retried after Retry-After within the caller's
+// patience, or ended.
+func (s *simulation) onRefusal(c *call, r *ferryqueue.Refusal) {
 	s.result.Refuse(c.Arrival, s.now-c.Submitted)
 	if s.policy.WaitingList && c.deadline() > s.now {
-		c.entry.list = append(c.entry.list, c)
+		c.entry.waiting = append(c.entry.waiting, c)
 		return
 	}
 	back := s.now + r.RetryAfter
-	if c.attempts <= s.w.Retry.Attempts && back < c.Arrival.At+time.Duration(s.w.Retry.Patience) {
+	if c.attempts <= s.workload.Retry.Attempts && back < c.Arrival.At+time.Duration(s.workload.Retry.Patience) {
 		s.after(r.RetryAfter, submit{call: c})
 		return
 	}
@@ -242,7 +244,7 @@
 
 func (s *simulation) fault(f ferryworkload.Fault) {
 	for i := f.First; i < f.First+f.Count; i++ {
-		// On the virtual clock what is frozen or drained is gone at once.
+		// Freezes and drains are simulated as immediate losses.
 		switch f.Kind {
 		case ferryworkload.FaultKill, ferryworkload.FaultFreeze:
 			s.kill(s.units[i])
@@ -260,7 +262,7 @@
 func (s *simulation) setFactor(u *unit, f float64) {
 	u.advance(s.now)
 	u.factor = f
-	s.rewake(u)
+	s.scheduleWake(u)
 }
 
 func (s *simulation) kill(u *unit) {
@@ -271,39 +273,40 @@
 	u.version++
 	for _, j := range jobs {
 		j.call.job = nil
-		j.call.entry.broken(s, j.call)
+		j.call.entry.onUnitFailure(s, j.call)
 	}
 	for _, e := range s.entries {
 		if e.alive {
-			e.pump(s)
+			e.dispatchReady(s)
 		}
 	}
 }
 
-// killEntry loses an entry: its callers come to another one, and streams resume from what they have.
+// killEntry removes an entry. Its callers fail over to another entry, and streams resume after the tokens that they
+// have.
 func (s *simulation) killEntry(e *entry) {
 	e.alive = false
 	ids := sortedIDs(e.calls)
 	for _, id := range ids {
 		c := e.calls[id]
 		if c.job != nil {
-			s.takeOff(c)
+			s.detach(c)
 			c.resumes++
 		}
 		if c.produced == 0 || c.Arrival.Kind.Repeatable {
-			s.after(noticeEntryLoss, submit{call: c})
+			s.after(failoverDelay, submit{call: c})
 			continue
 		}
 		s.finish(c, Failed)
 	}
-	for _, c := range e.list {
-		s.after(noticeEntryLoss, submit{call: c})
+	for _, c := range e.waiting {
+		s.after(failoverDelay, submit{call: c})
 	}
-	e.calls, e.list = map[ferryid.RequestID]*call{}, nil
-	s.after(noticeEntryLoss, reshare{})
+	e.calls, e.waiting = map[ferryid.RequestID]*call{}, nil
+	s.after(failoverDelay, reshare{})
 }
 
-// reshare gives the slots of a lost entry to those that are left.
+// reshare distributes the slots of a lost entry over the live entries.
 func (s *simulation) reshare() {
 	var left []*entry
 	for _, e := range s.entries {
--- a/ferrybench/ferryexperiment/simulation_test.go
+++ b/ferrybench/ferryexperiment/simulation_test.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-func small() *ferryworkload.Workload {
+func smallWorkload() *ferryworkload.Workload {
 	return &ferryworkload.Workload{
 		Name: "small", Seed: 3, Duration: ferryworkload.Duration(30 * time.Second), Entries: 1, QueueLength: 50,
 		Runners:   ferryworkload.Runners{{Name: "a", Count: 3, Rate: 100, StreamRate: 20, Slots: 8}, {Name: "b", Count: 3, Rate: 50, StreamRate: 20, Slots: 4}},
@@ -26,58 +26,59 @@
 	}
 }
 
-// checkSums checks that every call ended once and that no unit did more than it can.
-func checkSums(t assert.TestingT, w *ferryworkload.Workload, n int, r *Result) {
+// checkTotals checks that every call ended exactly once and that no second served much more work than the bound.
+func checkTotals(t assert.TestingT, w *ferryworkload.Workload, n int, r *Result) {
 	g := r.All
 	assert.Equal(t, g.InTime+g.Late+g.Refused+g.Expired+g.Failed, n)
 	for i := range r.Seconds {
-		assert.Assert(t, r.Seconds[i].Served <= 1.25*w.Bound()+200, "second %d: %v", i, r.Seconds[i].Served)
+		assert.Assert(t, r.Seconds[i].Served <= 1.25*w.Bound()+200, "second %d: served %v tokens, more than the bound allows", i, r.Seconds[i].Served)
 	}
 }
 
 func TestRunsAreRepeatable(t *testing.T) {
-	for _, p := range []Policy{Baseline, Now} {
-		w := small()
+	for _, p := range []Policy{Baseline, Current} {
+		w := smallWorkload()
 		a, b := Run(w, w.Arrivals(), p), Run(w, w.Arrivals(), p)
 		assert.Equal(t, a.All.InTime, b.All.InTime)
 		assert.Equal(t, a.All.Answer.P99, b.All.Answer.P99)
-		checkSums(t, w, len(w.Arrivals()), a)
+		checkTotals(t, w, len(w.Arrivals()), a)
 	}
 }
 
-func TestUnitSharesItsRateAmongItsStreams(t *testing.T) {
+func TestStreamsOfUnitShareItsRate(t *testing.T) {
 	u := &unit{spec: ferryworkload.Unit{Rate: 100, StreamRate: 40, Slots: 4}, alive: true, factor: 1}
-	s := &simulation{w: small()}
+	s := &simulation{workload: smallWorkload()}
 	for _, want := range []float64{40, 40, 100.0 / 3, 25, 25} {
-		s.begin(u, &call{Sample: Sample{Arrival: &ferryworkload.Arrival{Kind: &s.w.Kinds[0], Tokens: 10}}}, 0)
+		s.begin(u, &call{Sample: Sample{Arrival: &ferryworkload.Arrival{Kind: &s.workload.Kinds[0], Tokens: 10}}}, 0)
 		assert.Equal(t, u.speed(), want)
 	}
 	assert.Equal(t, len(u.queue), 1)
 }
 
-func TestPrefixesTakeLimitedMemory(t *testing.T) {
+func TestPrefixCacheIsBounded(t *testing.T) {
 	u := &unit{spec: ferryworkload.Unit{Prefixes: 2}}
 	k := &ferryworkload.Kind{Shared: 80}
 	read := func(p uint64) int {
-		return int(u.unread(&call{Sample: Sample{Arrival: &ferryworkload.Arrival{Kind: k, Prompt: 100, Prefix: p}}}))
+		return int(u.prefillTokens(&call{Sample: Sample{Arrival: &ferryworkload.Arrival{Kind: k, Prompt: 100, Prefix: p}}}))
 	}
 	got := []int{read(1), read(1), read(2), read(3), read(1), read(3)}
 	assert.DeepEqual(t, got, []int{100, 20, 100, 100, 100, 20})
 }
 
 func TestNonRepeatableWorkIsNeverSentTwice(t *testing.T) {
-	w := small()
+	w := smallWorkload()
 	w.Kinds[1].Weight = 5
 	w.Faults = ferryworkload.Faults{{At: ferryworkload.Duration(10 * time.Second), Kind: ferryworkload.FaultKill, Count: 3}}
-	r := Run(w, w.Arrivals(), Now)
+	r := Run(w, w.Arrivals(), Current)
 	assert.Assert(t, r.Kind("change").Failed > 0)
 	assert.Equal(t, r.Kind("long").Failed, 0)
 }
 
-// TestAnyFaultsKeepTheSums checks the experiment's book-keeping under random faults.
-func TestAnyFaultsKeepTheSums(t *testing.T) {
+// TestTotalsUnderRandomFaults checks under random faults that each call is counted once and that no bound is
+// exceeded.
+func TestTotalsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := small()
+		w := smallWorkload()
 		w.Seed = uint64(rapid.IntRange(1, 1000).Draw(t, "seed"))
 		w.Entries = rapid.IntRange(1, 3).Draw(t, "entries")
 		w.Phases[0].Load = rapid.Float64Range(0.2, 3).Draw(t, "load")
@@ -95,7 +96,7 @@
 			w.Faults = append(w.Faults, ferryworkload.Fault{At: ferryworkload.Duration(15 * time.Second), Kind: ferryworkload.FaultKillEntry, Count: 1})
 		}
 		as := w.Arrivals()
-		p := rapid.SampledFrom([]Policy{Baseline, Now, {Name: "list", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast, WaitingList: true}}).Draw(t, "policy")
-		checkSums(t, w, len(as), Run(w, as, p))
+		p := rapid.SampledFrom([]Policy{Baseline, Current, {Name: "list", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast, WaitingList: true}}).Draw(t, "policy")
+		checkTotals(t, w, len(as), Run(w, as, p))
 	})
 }
--- a/ferrybench/ferryexperiment/unit.go
+++ b/ferrybench/ferryexperiment/unit.go
@@ -11,32 +11,34 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// progressStep is how many tokens a stream produces between two looks at it.
+// progressStep is the number of tokens that a stream produces between two events.
 const progressStep = 8
 
-// unit is a fake runner or pipeline: continuous batching in slots, whose streams share its rate equally.
+// unit is a simulated runner or pipeline with continuous batching. Its running streams share its rate equally, and
+// served is the cumulative number of tokens that each of them was served.
 type unit struct {
 	spec     ferryworkload.Unit
 	index    int
 	alive    bool
 	factor   float64
 	served   float64
-	last     time.Duration
+	advanced time.Duration
 	jobs     jobHeap
 	queue    []*job
 	version  int
 	prefixes []uint64
 }
 
-// job is one call on a unit; next is the value of unit.served at which it reaches its next milestone.
+// job is one call on a unit. next is the value of unit.served at the next milestone; heapIndex is its index in the
+// heap, or -1.
 type job struct {
-	call     *call
-	unit     *unit
-	priority int
-	prefill  bool
-	step     float64
-	next     float64
-	at       int
+	call      *call
+	unit      *unit
+	priority  int
+	prefill   bool
+	step      float64
+	next      float64
+	heapIndex int
 }
 
 type jobHeap []*job
@@ -46,13 +48,13 @@
 
 func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push adds a job.
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
-	j.at = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 
@@ -61,11 +63,11 @@
 	last := len(*h) - 1
 	j := (*h)[last]
 	*h = (*h)[:last]
-	j.at = -1
+	j.heapIndex = -1
 	return j
 }
 
-// speed is what each running stream gets, in tokens/s.
+// speed returns the rate of each running stream in tokens/s.
 func (u *unit) speed() float64 {
 	k := float64(max(1, len(u.jobs)))
 	alone := u.spec.StreamRate
@@ -77,23 +79,23 @@
 }
 
 func (u *unit) advance(now time.Duration) {
-	u.served += u.speed() * (now - u.last).Seconds()
-	u.last = now
+	u.served += u.speed() * (now - u.advanced).Seconds()
+	u.advanced = now
 }
 
-// due is when the first milestone is reached.
-func (u *unit) due(now time.Duration) time.Duration {
+// nextMilestone returns the time of the next milestone.
+func (u *unit) nextMilestone(now time.Duration) time.Duration {
 	left := max(0, u.jobs[0].next-u.served)
 	return now + time.Duration(math.Ceil(left/u.speed()*float64(time.Second)))
 }
 
-// add starts a job, or queues it by priority while all slots are taken.
+// add starts a job, or queues it by priority if all slots are in use.
 func (u *unit) add(j *job) {
 	if len(u.jobs) < u.spec.Slots {
 		u.begin(j)
 		return
 	}
-	j.at = -1
+	j.heapIndex = -1
 	i, _ := slices.BinarySearchFunc(u.queue, j, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), -1)
 	})
@@ -102,13 +104,14 @@
 
 func (u *unit) begin(j *job) {
 	j.prefill = true
-	j.step = ferryworkload.PrefillShare * float64(u.unread(j.call))
+	j.step = ferryworkload.PrefillShare * float64(u.prefillTokens(j.call))
 	j.next = u.served + j.step
 	heap.Push(&u.jobs, j)
 }
 
-// unread is how much of the history has to be read, less the prompt prefix the unit still holds.
-func (u *unit) unread(c *call) ferryid.Tokens {
+// prefillTokens returns the number of tokens to prefill: the prompt and the produced tokens, less a cached prompt
+// prefix. It marks the prefix as the most recently used.
+func (u *unit) prefillTokens(c *call) ferryid.Tokens {
 	n := c.Arrival.Prompt + ferryid.Tokens(c.produced)
 	if u.spec.Prefixes == 0 || c.Arrival.Prefix == 0 {
 		return n
@@ -125,16 +128,16 @@
 	return max(0, n)
 }
 
-// remove takes a job off, running or queued, and starts the next in its slot.
+// remove removes a running or queued job and starts the next queued job in a slot that becomes free.
 func (u *unit) remove(j *job) {
-	if j.at < 0 {
+	if j.heapIndex < 0 {
 		if i := slices.Index(u.queue, j); i >= 0 {
 			u.queue = slices.Delete(u.queue, i, i+1)
 		}
 		return
 	}
-	heap.Remove(&u.jobs, j.at)
-	j.at = -1
+	heap.Remove(&u.jobs, j.heapIndex)
+	j.heapIndex = -1
 	if len(u.queue) > 0 && len(u.jobs) < u.spec.Slots {
 		next := u.queue[0]
 		u.queue = u.queue[1:]
@@ -142,13 +145,13 @@
 	}
 }
 
-// outstanding is what the unit would report: the predicted rest of its work.
+// outstanding returns the unit's load report: the predicted remaining tokens and the number of streams.
 func (u *unit) outstanding() (tokens float64, streams int) {
 	for _, j := range u.jobs {
-		tokens += j.call.left()
+		tokens += j.call.remaining()
 	}
 	for _, j := range u.queue {
-		tokens += j.call.left()
+		tokens += j.call.remaining()
 	}
 	return tokens, len(u.jobs) + len(u.queue)
 }
--- a/ferrybench/point.go
+++ b/ferrybench/point.go
@@ -46,7 +46,7 @@
 		return nil, nil, err
 	}
 	base, baseResult := p.measure(w, ferryexperiment.Baseline)
-	now, nowResult := p.measure(w, ferryexperiment.Now)
+	now, nowResult := p.measure(w, ferryexperiment.Current)
 	var out []figure
 	for i, m := range now {
 		out = append(out, figure{
--- a/ferrybench/policy.go
+++ b/ferrybench/policy.go
@@ -65,7 +65,7 @@
 		}
 		as := w.Arrivals()
 		var rs []*ferryexperiment.Result
-		for _, p := range []ferryexperiment.Policy{ferryexperiment.Baseline, ferryexperiment.Now} {
+		for _, p := range []ferryexperiment.Policy{ferryexperiment.Baseline, ferryexperiment.Current} {
 			r := ferryexperiment.Run(w, as, p)
 			rs = append(rs, r)
 			if err := ferryreport.WriteText(os.Stdout, r); err != nil {
--- a/ferrybench/target_test.go
+++ b/ferrybench/target_test.go
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprintf("%d-%s", p.number, p.workload), func(t *testing.T) {
 			w, err := readWorkload(p.workload)
 			assert.NilError(t, err)
-			ms, _ := p.measure(w, ferryexperiment.Now)
+			ms, _ := p.measure(w, ferryexperiment.Current)
 			for _, m := range ms {
 				met := m.target.met(m.value)
 				assert.Equal(t, met, !missed[m.name], "%s: %s, target %s", m.name, amount(m.value, m.unit), m.target.text(m.unit))
--- a/ferrybench/weigh.go
+++ b/ferrybench/weigh.go
@@ -160,7 +160,7 @@
 	fmt.Fprintln(tw, "| way\t| served, of bound\t| in time, of offered\t| first token p95\t| p99\t| answer p99\t| work done twice\t|")
 	fmt.Fprintln(tw, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range vs {
-		w, p := *base, ferryexperiment.Now
+		w, p := *base, ferryexperiment.Current
 		v.change(&w, &p)
 		r := ferryexperiment.Run(&w, as, p)
 		g := &r.All
