--- a/ferrybench/ferrychoice/choice.go
+++ b/ferrybench/ferrychoice/choice.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	layersOfPart = 16
-	medianTokens = 200
-	spreadTokens = 0.7
-	// spreadPrediction is how far the predicted length may be off, as the deviation of its logarithm.
-	spreadPrediction = 0.3
-	leastTokensRate  = 300
-	rateSteps        = 4
-	warmup           = 15 * time.Second
-	passedOnPerSec   = 20
+	layersPerPart = 16
+	medianTokens  = 200
+	tokensSigma   = 0.7
+	// predictionSigma is the standard deviation of the logarithm of the error of predicted lengths.
+	predictionSigma      = 0.3
+	minTokensRate        = 300
+	rateLevels           = 4
+	warmup               = 15 * time.Second
+	sharedReadsPerSecond = 20
 )
 
-var startOfTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
 
-// Reports names how entries hear of the engines' load.
+// Reports is the way in which entries learn the load of engines.
 type Reports string
 
-// The ways of hearing.
+// The ways to learn the load of engines.
 const (
-	// None leaves an entry with its own account.
+	// None leaves an entry with its own accounting.
 	None Reports = "None"
-	// PassedOn has one entry read each engine and tell all others, 20 reports a second over the fleet.
-	PassedOn Reports = "PassedOn"
-	// Direct has each entry read its own engines in turn.
+	// Shared has one entry read each engine and send the report to all others, at most 20 reports/s over the fleet.
+	Shared Reports = "PassedOn"
+	// Direct has each entry read the engines of its subset in turn.
 	Direct Reports = "Direct"
 )
 
@@ -50,37 +50,37 @@
 	Parts, Domains int
 	Subset         ferrysubset.Config
 	Reports        Reports
-	// ReadsPerSecond is how many engines an entry reads a second where Reports is Direct.
+	// ReadsPerSecond is the number of engines that an entry reads per second if Reports is Direct.
 	ReadsPerSecond float64
-	// Skew is how unevenly arrivals come to the entries, as the deviation of the logarithm of their parts.
+	// Skew is the standard deviation of the logarithm of the entries' shares of the arrivals; 0 distributes them evenly.
 	Skew float64
-	// Load is the arrivals' share of the capacity; 0 keeps Slots answers a chain open at all times.
+	// Load is the offered load as a share of the capacity; 0 keeps Slots answers per chain open at all times.
 	Load  float64
 	Slots int
-	// Credit is how many streams an engine takes at once, shared by the entries that work it; 0 leaves the pools without a bound.
+	// Credit is the number of concurrent streams of an engine, shared by the entries that use it; 0 means no limit.
 	Credit   int
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Result is what a run gave.
+// Result holds the results of one run.
 type Result struct {
-	// Subset is the mean number of engines of an entry, and Least and Most the extremes.
-	Subset      float64
-	Least, Most int
-	// LeastEntries is the least number of entries that any engine has.
-	LeastEntries int
-	// Share is the tokens served as a share of what the engines can.
-	Share float64
-	// Median and P99 are times from arrival to the last token.
+	// Subset is the mean number of engines of an entry; MinSubset and MaxSubset are the extremes.
+	Subset               float64
+	MinSubset, MaxSubset int
+	// MinEntries is the minimum number of entries that use an engine.
+	MinEntries int
+	// Utilization is the tokens served as a share of the capacity of the engines.
+	Utilization float64
+	// Median and P99 are quantiles of the time from arrival to the last token.
 	Median, P99 time.Duration
-	// Age is the mean age of what an entry knows of an engine when it is replaced by a newer report.
-	Age time.Duration
-	// Failed counts calls that found no chain.
+	// ReportAge is the mean age of a load report at the time that a newer one replaces it.
+	ReportAge time.Duration
+	// Failed is the number of calls for which no chain of engines was available.
 	Failed int
 }
 
-// clock is the virtual time; the pools only ask for it.
+// clock is the virtual clock; the pools use only Now.
 type clock struct {
 	clockwork.Clock
 	now time.Time
@@ -89,26 +89,26 @@
 // Now returns the virtual time.
 func (c *clock) Now() time.Time { return c.now }
 
-// engine serves its work in turn at its rate.
+// engine is a simulated engine that serves its work in order of arrival at a fixed rate.
 type engine struct {
 	candidate   ferrypipeline.Candidate
 	rate        float64
-	free        time.Time
+	freeAt      time.Time
 	outstanding ferryid.Tokens
 }
 
 type entry struct {
-	pool    *ferrypipeline.Pool
-	engines []int
-	next    int
-	heard   []time.Time
+	pool     *ferrypipeline.Pool
+	engines  []int
+	next     int
+	reported []time.Time
 }
 
-// event is a thing due: an answer's end, an arrival or a reading.
+// event is an action due at a time: the end of an answer, an arrival or a read. seq orders events of the same time.
 type event struct {
-	at   time.Time
-	seq  int
-	what func()
+	at     time.Time
+	seq    int
+	action func()
 }
 
 type events []event
@@ -136,39 +136,39 @@
 	rand    *rand.Rand
 	engines []*engine
 	entries []*entry
-	// parts are the sums of the entries' parts of the arrivals, up to each.
-	parts   []float64
-	events  events
-	seq     int
-	index   map[ferryid.UpstreamName]int
-	tokens  float64
-	times   []time.Duration
-	ages    time.Duration
-	reports int
-	result  Result
+	// parts are the cumulative weights of the entries for arrivals.
+	cumulativeWeights []float64
+	events            events
+	seq               int
+	index             map[ferryid.UpstreamName]int
+	tokens            float64
+	latencies         []time.Duration
+	ages              time.Duration
+	reports           int
+	result            Result
 }
 
-// Run plays one run.
+// Run simulates one run; the first 15 s of virtual time are a warm-up and not measured.
 func Run(cfg Config) (Result, error) {
-	r := &run{cfg: cfg, clock: clock{now: startOfTime}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), index: map[ferryid.UpstreamName]int{}}
+	r := &run{cfg: cfg, clock: clock{now: startTime}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), index: map[ferryid.UpstreamName]int{}}
 	r.addEngines()
 	if err := r.addEntries(); err != nil {
 		return Result{}, err
 	}
-	r.begin()
-	end := startOfTime.Add(warmup + cfg.Duration)
+	r.start()
+	end := startTime.Add(warmup + cfg.Duration)
 	for len(r.events) > 0 && r.events[0].at.Before(end) {
 		e := heap.Pop(&r.events).(event)
 		r.clock.now = e.at
-		e.what()
+		e.action()
 	}
-	r.result.Share = r.tokens / cfg.Duration.Seconds() / r.capacity()
-	slices.Sort(r.times)
-	if n := len(r.times); n > 0 {
-		r.result.Median, r.result.P99 = r.times[n/2], r.times[n*99/100]
+	r.result.Utilization = r.tokens / cfg.Duration.Seconds() / r.capacity()
+	slices.Sort(r.latencies)
+	if n := len(r.latencies); n > 0 {
+		r.result.Median, r.result.P99 = r.latencies[n/2], r.latencies[n*99/100]
 	}
 	if r.reports > 0 {
-		r.result.Age = r.ages / time.Duration(r.reports)
+		r.result.ReportAge = r.ages / time.Duration(r.reports)
 	}
 	return r.result, nil
 }
@@ -176,21 +176,21 @@
 func (r *run) addEngines() {
 	for i := range r.cfg.Engines {
 		part := i % r.cfg.Parts
-		from := ferryid.Layer(part * layersOfPart)
+		from := ferryid.Layer(part * layersPerPart)
 		name := ferryid.UpstreamName(fmt.Sprintf("engine-%04d", i))
 		r.index[name] = i
 		r.engines = append(r.engines, &engine{
-			rate: float64(leastTokensRate * (1 + r.rand.IntN(rateSteps))),
-			free: startOfTime,
+			rate:   float64(minTokensRate * (1 + r.rand.IntN(rateLevels))),
+			freeAt: startTime,
 			candidate: ferrypipeline.Candidate{
 				Name: name, Address: string(name), Domain: ferryid.DomainName(fmt.Sprintf("domain-%d", i/r.cfg.Parts%r.cfg.Domains)),
-				Layers: ferryid.LayerRange{From: from, To: from + layersOfPart},
+				Layers: ferryid.LayerRange{From: from, To: from + layersPerPart},
 			},
 		})
 	}
 }
 
-// capacity is what the engines can serve, by the part that can least.
+// capacity returns the tokens/s that the engines can serve, which is limited by the part with the lowest total rate.
 func (r *run) capacity() float64 {
 	parts := make([]float64, r.cfg.Parts)
 	for i, e := range r.engines {
@@ -209,15 +209,15 @@
 		candidates[i] = ferrysubset.Candidate{Name: e.candidate.Name, Domain: e.candidate.Domain, Layers: e.candidate.Layers}
 	}
 	chooser := ferrysubset.New(r.cfg.Subset)
-	worked := make([]int, len(r.engines))
-	r.result.Least = len(r.engines)
+	entriesOf := make([]int, len(r.engines))
+	r.result.MinSubset = len(r.engines)
 	for _, name := range names {
 		e := &entry{engines: chooser.Choose(name, names, candidates, nil)}
-		e.heard = make([]time.Time, len(e.engines))
-		cfg := ferrypipeline.PlannerConfig{Layers: ferryid.Layer(r.cfg.Parts * layersOfPart)}
+		e.reported = make([]time.Time, len(e.engines))
+		cfg := ferrypipeline.PlannerConfig{Layers: ferryid.Layer(r.cfg.Parts * layersPerPart)}
 		var loads []ferrypipeline.Load
 		for _, i := range e.engines {
-			worked[i]++
+			entriesOf[i]++
 			cfg.Candidates = append(cfg.Candidates, r.engines[i].candidate)
 			loads = append(loads, ferrypipeline.Load{Rate: ferryid.TokensPerSecond(r.engines[i].rate), Slots: r.credit()})
 		}
@@ -228,26 +228,26 @@
 		e.pool = pool
 		r.entries = append(r.entries, e)
 		r.result.Subset += float64(len(e.engines)) / float64(len(names))
-		r.result.Least, r.result.Most = min(r.result.Least, len(e.engines)), max(r.result.Most, len(e.engines))
+		r.result.MinSubset, r.result.MaxSubset = min(r.result.MinSubset, len(e.engines)), max(r.result.MaxSubset, len(e.engines))
 	}
-	r.result.LeastEntries = slices.Min(worked)
+	r.result.MinEntries = slices.Min(entriesOf)
 	return nil
 }
 
-func (r *run) after(d time.Duration, what func()) {
+func (r *run) after(d time.Duration, action func()) {
 	r.seq++
-	heap.Push(&r.events, event{at: r.clock.now.Add(d), seq: r.seq, what: what})
+	heap.Push(&r.events, event{at: r.clock.now.Add(d), seq: r.seq, action: action})
 }
 
-func (r *run) begin() {
+func (r *run) start() {
 	switch r.cfg.Reports {
 	case Direct:
 		for _, e := range r.entries {
-			r.readAgain(e, r.within(time.Second))
+			r.scheduleRead(e, r.randomDelay(time.Second))
 		}
-	case PassedOn:
+	case Shared:
 		for i := range r.engines {
-			r.tellAgain(i, r.within(r.tellEvery()))
+			r.scheduleSharedRead(i, r.randomDelay(r.sharedReadInterval()))
 		}
 	case None:
 	}
@@ -255,71 +255,71 @@
 		sum := 0.0
 		for range r.entries {
 			sum += math.Exp(r.cfg.Skew * r.rand.NormFloat64())
-			r.parts = append(r.parts, sum)
+			r.cumulativeWeights = append(r.cumulativeWeights, sum)
 		}
-		r.arrive()
+		r.scheduleArrival()
 		return
 	}
 	for i := range len(r.engines) / r.cfg.Parts * r.cfg.Slots {
 		e := r.entries[i%len(r.entries)]
-		r.after(r.within(time.Second), func() { r.submit(e) })
+		r.after(r.randomDelay(time.Second), func() { r.submit(e) })
 	}
 }
 
-func (r *run) within(d time.Duration) time.Duration {
+func (r *run) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(r.rand.Float64() * float64(d))
 }
 
-func (r *run) tellEvery() time.Duration {
-	return max(time.Second, time.Duration(len(r.engines))*time.Second/passedOnPerSec)
+func (r *run) sharedReadInterval() time.Duration {
+	return max(time.Second, time.Duration(len(r.engines))*time.Second/sharedReadsPerSecond)
 }
 
-func (r *run) readAgain(e *entry, in time.Duration) {
+func (r *run) scheduleRead(e *entry, in time.Duration) {
 	r.after(in, func() {
-		r.hear(e, e.next%len(e.engines))
+		r.applyReport(e, e.next%len(e.engines))
 		e.next++
 		rate := min(r.cfg.ReadsPerSecond, float64(len(e.engines)))
-		r.readAgain(e, time.Duration(float64(time.Second)/rate))
+		r.scheduleRead(e, time.Duration(float64(time.Second)/rate))
 	})
 }
 
-func (r *run) tellAgain(engine int, in time.Duration) {
+func (r *run) scheduleSharedRead(engine int, in time.Duration) {
 	r.after(in, func() {
 		for _, e := range r.entries {
 			if at, ok := slices.BinarySearch(e.engines, engine); ok {
-				r.hear(e, at)
+				r.applyReport(e, at)
 			}
 		}
-		r.tellAgain(engine, r.tellEvery())
+		r.scheduleSharedRead(engine, r.sharedReadInterval())
 	})
 }
 
-func (r *run) hear(e *entry, at int) {
+func (r *run) applyReport(e *entry, at int) {
 	n := r.engines[e.engines[at]]
 	_ = e.pool.Report(ferryengine.Load{
 		Name: n.candidate.Name, State: ferryengine.StateLive, OutstandingTokens: n.outstanding,
 		TokensPerSecond: ferryid.TokensPerSecond(n.rate), At: r.clock.now,
 	})
-	if !e.heard[at].IsZero() {
-		r.ages += r.clock.now.Sub(e.heard[at])
+	if !e.reported[at].IsZero() {
+		r.ages += r.clock.now.Sub(e.reported[at])
 		r.reports++
 	}
-	e.heard[at] = r.clock.now
+	e.reported[at] = r.clock.now
 }
 
-func (r *run) arrive() {
-	mean := medianTokens * math.Exp(spreadTokens*spreadTokens/2)
+func (r *run) scheduleArrival() {
+	mean := medianTokens * math.Exp(tokensSigma*tokensSigma/2)
 	rate := r.cfg.Load * r.capacity() / mean
 	r.after(time.Duration(r.rand.ExpFloat64()/rate*float64(time.Second)), func() {
-		i, _ := slices.BinarySearch(r.parts, r.rand.Float64()*r.parts[len(r.parts)-1])
+		i, _ := slices.BinarySearch(r.cumulativeWeights, r.rand.Float64()*r.cumulativeWeights[len(r.cumulativeWeights)-1])
 		r.submit(r.entries[i])
-		r.arrive()
+		r.scheduleArrival()
 	})
 }
 
 func (r *run) submit(e *entry) {
-	tokens := medianTokens * math.Exp(spreadTokens*r.rand.NormFloat64())
-	predicted := int(max(1, tokens*math.Exp(spreadPrediction*r.rand.NormFloat64())))
+	tokens := medianTokens * math.Exp(tokensSigma*r.rand.NormFloat64())
+	predicted := int(max(1, tokens*math.Exp(predictionSigma*r.rand.NormFloat64())))
 	plan, err := e.pool.Pick(&ferrypipeline.Job{MaxTokens: predicted}, nil)
 	if err != nil {
 		r.result.Failed++
@@ -329,20 +329,20 @@
 	for _, s := range plan.Stages {
 		n := r.engines[r.index[s.Name]]
 		n.outstanding += ferryid.Tokens(predicted)
-		if n.free.Before(began) {
-			n.free = began
+		if n.freeAt.Before(began) {
+			n.freeAt = began
 		}
-		n.free = n.free.Add(time.Duration(tokens / n.rate * float64(time.Second)))
-		if n.free.After(end) {
-			end = n.free
+		n.freeAt = n.freeAt.Add(time.Duration(tokens / n.rate * float64(time.Second)))
+		if n.freeAt.After(end) {
+			end = n.freeAt
 		}
-		r.after(n.free.Sub(began), func() { n.outstanding -= ferryid.Tokens(predicted) })
+		r.after(n.freeAt.Sub(began), func() { n.outstanding -= ferryid.Tokens(predicted) })
 	}
 	r.after(end.Sub(began), func() {
 		e.pool.Done(plan, ferryid.Tokens(tokens))
-		if r.clock.now.Sub(startOfTime) >= warmup {
+		if r.clock.now.Sub(startTime) >= warmup {
 			r.tokens += tokens
-			r.times = append(r.times, r.clock.now.Sub(began))
+			r.latencies = append(r.latencies, r.clock.now.Sub(began))
 		}
 		if r.cfg.Load == 0 {
 			r.submit(e)
@@ -350,7 +350,7 @@
 	})
 }
 
-// credit is an entry's part of an engine's streams, at least one.
+// credit returns an entry's share of the streams of an engine, at least one, or 0 for no limit.
 func (r *run) credit() int {
 	if r.cfg.Credit == 0 {
 		return 0
--- a/ferrybench/ferrychoice/doc.go
+++ b/ferrybench/ferrychoice/doc.go
@@ -1,2 +1,3 @@
-// Package ferrychoice measures what choosing among a subset of the engines costs against one entry that knows all, with the pools that ferryd uses on a virtual clock.
+// Package ferrychoice simulates how entries choose engines, with the engine pools of ferryd on a virtual clock. It
+// compares subsets of the engines with a single entry that has a complete view of the load.
 package ferrychoice
--- a/ferrybench/subset.go
+++ b/ferrybench/subset.go
@@ -67,7 +67,7 @@
 	}
 	one, all := base, base
 	one.Entries = 1
-	all.Reports = ferrychoice.PassedOn
+	all.Reports = ferrychoice.Shared
 	out := []way{{"one entry that knows all", one}, {"all, no reports", base}, {"all, reports passed on", all}}
 	out = append(out, c.read("all", base)...)
 	for _, size := range c.Sizes {
@@ -106,8 +106,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("| %d | %d | %s | %.1f (%d, %d) | %d | %s | %.1f%% | %s, %s |\n", entries, w.cfg.Engines, w.name, full.Subset, full.Least, full.Most,
-		full.LeastEntries, full.Age.Round(100*time.Millisecond), 100*full.Share, open.Median.Round(10*time.Millisecond), open.P99.Round(10*time.Millisecond))
+	fmt.Printf("| %d | %d | %s | %.1f (%d, %d) | %d | %s | %.1f%% | %s, %s |\n", entries, w.cfg.Engines, w.name, full.Subset, full.MinSubset, full.MaxSubset,
+		full.MinEntries, full.ReportAge.Round(100*time.Millisecond), 100*full.Utilization, open.Median.Round(10*time.Millisecond), open.P99.Round(10*time.Millisecond))
 	if n := full.Failed + open.Failed; n > 0 {
 		return fmt.Errorf("%d calls found no chain", n)
 	}
