--- a/ferrybench/ferryworkload/arrival.go
+++ b/ferrybench/ferryworkload/arrival.go
@@ -8,10 +8,10 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// PrefillShare is the work of reading one token of a prompt, as a share of generating one.
+// PrefillShare is the work of prefilling one prompt token as a share of the work of generating one token.
 const PrefillShare = 0.05
 
-// Arrival is one call of an experiment; Tokens is its true length, which policies do not know beforehand.
+// Arrival is one call of an experiment. At is relative to the start; Tokens is the true length, unknown to policies.
 type Arrival struct {
 	At       time.Duration
 	Customer ferryid.CustomerName
@@ -21,12 +21,12 @@
 	Prefix   uint64
 }
 
-// Work is the whole work of the call in tokens generated.
+// Work returns the total work of the call in generated tokens, including the prefill.
 func (a *Arrival) Work() float64 {
 	return PrefillShare*float64(a.Prompt) + float64(a.Tokens)
 }
 
-// Load is the offered load at a time, as a share of the capacity.
+// Load returns the offered load at a time as a share of the capacity.
 func (ps Phases) Load(at time.Duration) float64 {
 	load := 0.0
 	for _, p := range ps {
@@ -43,7 +43,7 @@
 	return load
 }
 
-func (ps Phases) most() float64 {
+func (ps Phases) peakLoad() float64 {
 	m := 0.0
 	for _, p := range ps {
 		m = max(m, p.Load)
@@ -51,7 +51,8 @@
 	return m
 }
 
-// meanWork is the expected work of a call; a log-normal's mean is its median times exp(spread^2/2).
+// meanWork returns the expected work of a call; the mean of a log-normal distribution is its median times
+// exp(spread^2/2).
 func (ks Kinds) meanWork() float64 {
 	sum, weights := 0.0, 0.0
 	for _, k := range ks {
@@ -62,15 +63,16 @@
 	return sum / weights
 }
 
-func (w *Workload) expected() float64 {
-	if len(w.Kinds) == 0 || w.Duration <= 0 || !w.sized() {
+func (w *Workload) expectedRequests() float64 {
+	if len(w.Kinds) == 0 || w.Duration <= 0 || !w.withinLimits() {
 		return 0
 	}
-	return w.Phases.most() * w.Bound() / w.Kinds.meanWork() * time.Duration(w.Duration).Seconds()
+	return w.Phases.peakLoad() * w.Bound() / w.Kinds.meanWork() * time.Duration(w.Duration).Seconds()
 }
 
-// sized reports whether the runners and stages are sound enough to work the bound out.
-func (w *Workload) sized() bool {
+// withinLimits reports whether the numbers of runners, stages and layers are within limits, so that the bound can be
+// computed.
+func (w *Workload) withinLimits() bool {
 	if w.Layout.Layers > maxLayers {
 		return false
 	}
@@ -89,28 +91,29 @@
 	return n > 0 && n <= maxRunners
 }
 
-// Arrivals draws the calls of the workload by its seed, in order of time; load is relative to the stated bound.
+// Arrivals generates the calls of the workload in order of time, as a Poisson process that is determined by the seed.
+// The load of the phases is relative to Bound.
 func (w *Workload) Arrivals() []Arrival {
 	rng := rand.New(rand.NewPCG(w.Seed, 2))
-	most := w.Phases.most() * w.Bound() / w.Kinds.meanWork()
+	maxRate := w.Phases.peakLoad() * w.Bound() / w.Kinds.meanWork()
 	var out []Arrival
 	at := time.Duration(0)
-	for most > 0 {
-		at += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
+	for maxRate > 0 {
+		at += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= time.Duration(w.Duration) {
 			break
 		}
-		if rng.Float64()*w.Phases.most() > w.Phases.Load(at) {
+		if rng.Float64()*w.Phases.peakLoad() > w.Phases.Load(at) {
 			continue
 		}
-		out = append(out, w.draw(rng, at))
+		out = append(out, w.newArrival(rng, at))
 	}
 	return out
 }
 
-func (w *Workload) draw(rng *rand.Rand, at time.Duration) Arrival {
-	k := &w.Kinds[pick(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
-	cu := w.Customers[pick(rng, len(w.Customers), func(i int) float64 { return w.Customers[i].Load })]
+func (w *Workload) newArrival(rng *rand.Rand, at time.Duration) Arrival {
+	k := &w.Kinds[weightedIndex(rng, len(w.Kinds), func(i int) float64 { return w.Kinds[i].Weight })]
+	cu := w.Customers[weightedIndex(rng, len(w.Customers), func(i int) float64 { return w.Customers[i].Load })]
 	factor := math.Exp(k.Spread * rng.NormFloat64())
 	a := Arrival{At: at, Customer: cu.Name, Kind: k}
 	a.Prompt = ferryid.Tokens(math.Ceil(float64(k.Prompt) * math.Exp(k.Spread*rng.NormFloat64())))
@@ -125,7 +128,7 @@
 	return a
 }
 
-func pick(rng *rand.Rand, n int, weight func(int) float64) int {
+func weightedIndex(rng *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
--- a/ferrybench/ferryworkload/doc.go
+++ b/ferrybench/ferryworkload/doc.go
@@ -1,2 +1,3 @@
-// Package ferryworkload holds the workloads of experiments: who asks for what and when, on which runners, with which faults.
+// Package ferryworkload decodes and validates workloads and generates their arrivals. A workload describes the
+// customers, kinds of calls, offered load, runners and injected faults of an experiment.
 package ferryworkload
--- a/ferrybench/ferryworkload/unit.go
+++ b/ferrybench/ferryworkload/unit.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferryroute"
 )
 
-// Unit is what a call is sent to: a runner with the whole model, or a pipeline of runners with a range of layers each.
+// Unit is a destination of calls: a runner with the whole model, or a pipeline of runners with a range of layers each.
 type Unit struct {
 	Name       ferryid.UpstreamName
 	Rate       float64
@@ -19,7 +19,8 @@
 	Curve      Curve
 }
 
-// UnitList works the units out; a pipeline is as fast as its slowest stage and adds every stage's time to each token.
+// UnitList returns the units of the workload. The rate of a pipeline is that of its slowest stage; the time per token
+// of one stream is the sum over all stages and links.
 func (w *Workload) UnitList() []Unit {
 	var all []Runner
 	for _, r := range w.Runners {
@@ -28,7 +29,7 @@
 		}
 	}
 	if len(w.Layout.Stages) == 0 {
-		return single(all)
+		return wholeModelUnits(all)
 	}
 	var out []Unit
 	stride := coprimeStride(len(all))
@@ -44,7 +45,7 @@
 	return out
 }
 
-// coprimeStride mixes the groups of runners over the pipelines.
+// coprimeStride returns a stride that visits all n runners and distributes the groups of runners over the pipelines.
 func coprimeStride(n int) int {
 	for s := n/3 + 1; ; s++ {
 		if gcd(s, n) == 1 {
@@ -60,7 +61,7 @@
 	return a
 }
 
-func single(all []Runner) []Unit {
+func wholeModelUnits(all []Runner) []Unit {
 	var out []Unit
 	for i, r := range all {
 		out = append(out, Unit{
@@ -100,7 +101,7 @@
 	return u
 }
 
-// Bound is the most work a second that all units can do, in tokens/s.
+// Bound returns the maximum throughput of all units in tokens/s.
 func (w *Workload) Bound() float64 {
 	sum := 0.0
 	for _, u := range w.UnitList() {
@@ -109,7 +110,7 @@
 	return sum
 }
 
-// IdealBound is the bound of the same runners with no loss to stages that wait for slower ones.
+// IdealBound returns the sum of the runners' rates in tokens/s, which pipelines of equally fast stages would reach.
 func (w *Workload) IdealBound() float64 {
 	sum := 0.0
 	for _, r := range w.Runners {
--- a/ferrybench/ferryworkload/workload.go
+++ b/ferrybench/ferryworkload/workload.go
@@ -24,7 +24,7 @@
 // Duration is a time.Duration written as text such as "1m30s".
 type Duration = ferryservice.Duration
 
-// Workload is one experiment's input.
+// Workload is the input of one experiment.
 type Workload struct {
 	Name        string               `toml:"Name" json:"Name"`
 	Seed        uint64               `toml:"Seed" json:"Seed"`
@@ -45,30 +45,31 @@
 	Faults      Faults               `toml:"Faults" json:"Faults"`
 }
 
-// Prediction names where predicted lengths come from.
+// Prediction is the source of predicted lengths.
 type Prediction string
 
-// The predictions; Learned is the product's, the others show what wrong ones cost.
+// The sources of predicted lengths. ferryd uses Learned; the others show the effect of perfect and missing predictions.
 const (
 	PredictLearned Prediction = "Learned"
 	PredictExact   Prediction = "Exact"
 	PredictNone    Prediction = "None"
 )
 
-// Retry says how callers come back after a refusal.
+// Retry is the callers' behaviour after a refusal: the maximum number of retries, the time from the arrival within
+// which callers retry, and the retry budget as a share of first tries.
 type Retry struct {
 	Attempts int      `toml:"Attempts" json:"Attempts"`
 	Patience Duration `toml:"Patience" json:"Patience"`
 	Share    float64  `toml:"Share" json:"Share"`
 }
 
-// Reports says how often runners report their load and how late it arrives; Every 0 means never.
+// Reports is the interval at which runners report their load, and the delay of a report; no reports if Every is 0.
 type Reports struct {
 	Every Duration `toml:"Every" json:"Every"`
 	Delay Duration `toml:"Delay" json:"Delay"`
 }
 
-// Layout says how runners form pipelines; without stages each runner holds the whole model.
+// Layout is the arrangement of runners in pipelines; without Stages each runner holds the whole model.
 type Layout struct {
 	Layers    ferryid.Layer `toml:"Layers" json:"Layers"`
 	Stages    []int         `toml:"Stages" json:"Stages"`
@@ -76,7 +77,8 @@
 	LinkDelay Duration      `toml:"LinkDelay" json:"LinkDelay"`
 }
 
-// Runner is a group of equal runners; Rate is for the whole model with all slots busy, StreamRate bounds one stream.
+// Runner is a group of identical runners. Rate is the throughput for the whole model with all slots in use, StreamRate
+// the maximum rate of one stream, both in tokens/s.
 type Runner struct {
 	Name       string  `toml:"Name" json:"Name"`
 	Count      int     `toml:"Count" json:"Count"`
@@ -87,10 +89,11 @@
 	Curve      Curve   `toml:"Curve" json:"Curve"`
 }
 
-// Curve names how a runner's streams slow each other down.
+// Curve is the dependence of a stream's rate on the number of concurrent streams of a runner.
 type Curve string
 
-// The curves: with Knee streams run at their own rate until the runner's is used up, with Line each adds the same time.
+// The curves. With Knee, streams run at StreamRate until the sum reaches Rate. With Line, each stream adds the same
+// time per token.
 const (
 	CurveKnee Curve = "Knee"
 	CurveLine Curve = "Line"
@@ -99,7 +102,7 @@
 // Runners are the groups of runners.
 type Runners []Runner
 
-// Customer is one customer; Load is its part of the arrivals, Share its part of the service.
+// Customer is one customer; Load is its weight in the arrivals, Share its weight in the service.
 type Customer struct {
 	Name  ferryid.CustomerName `toml:"Name" json:"Name"`
 	Share float64              `toml:"Share" json:"Share"`
@@ -109,8 +112,8 @@
 // Customers are the customers of a workload.
 type Customers []Customer
 
-// Kind is one kind of call; lengths are drawn from a log-normal distribution with the given median.
-// One with a Path is a call to the plain service when the workload is played against live entries.
+// Kind is one kind of call. Lengths have a log-normal distribution with the medians Prompt and Tokens and the standard
+// deviation Spread of the logarithm. If Path is set, the load generator sends the call to the plain service.
 type Kind struct {
 	Name       string         `toml:"Name" json:"Name"`
 	Weight     float64        `toml:"Weight" json:"Weight"`
@@ -130,7 +133,7 @@
 // Kinds are the kinds of calls of a workload.
 type Kinds []Kind
 
-// Phase sets the load from its time on, as a share of the capacity, reached in a straight line over Ramp.
+// Phase sets the offered load from a time on as a share of the capacity; it is reached linearly over Ramp.
 type Phase struct {
 	At   Duration `toml:"At" json:"At"`
 	Load float64  `toml:"Load" json:"Load"`
@@ -140,7 +143,7 @@
 // Phases are the phases of a workload in order of time.
 type Phases []Phase
 
-// FaultKind names what happens to runners or entries.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
 // The kinds of faults.
@@ -153,7 +156,8 @@
 	FaultDrainEntry FaultKind = "DrainEntry"
 )
 
-// Fault happens at a time to Count runners or entries, from the index First on.
+// Fault is injected at a time into Count runners or entries, starting with index First. Factor is the remaining share
+// of the rate for FaultSlow.
 type Fault struct {
 	At     Duration  `toml:"At" json:"At"`
 	Kind   FaultKind `toml:"Kind" json:"Kind"`
@@ -165,7 +169,7 @@
 // Faults are the faults of a workload.
 type Faults []Fault
 
-// Decode reads a workload and returns a *ferrytoml.FaultsError with all its faults.
+// Decode decodes and validates a workload; the error is a *ferrytoml.FaultsError that lists all invalid fields.
 func Decode(name string, data []byte) (*Workload, error) {
 	w := &Workload{Entries: 1, QueueLength: 4000, Prediction: PredictLearned}
 	if err := ferrytoml.Decode(name, data, w); err != nil {
@@ -174,7 +178,7 @@
 	return w, nil
 }
 
-// Check records every fault of the workload.
+// Check records every invalid field of the workload.
 func (w *Workload) Check(c *ferrytoml.Check) {
 	inRange(c, "Duration", time.Duration(w.Duration).Seconds(), 1, maxDuration.Seconds())
 	inRange(c, "Warmup", time.Duration(w.Warmup).Seconds(), 0, time.Duration(w.Duration).Seconds())
@@ -196,12 +200,12 @@
 	w.Kinds.check(c)
 	w.Phases.check(c)
 	w.Faults.check(c, w)
-	if n := w.expected(); n > maxRequests {
-		c.Fault("Duration", "makes about %.0f requests, more than %d", n, maxRequests)
+	if n := w.expectedRequests(); n > maxRequests {
+		c.Fault("Duration", "gives about %.0f requests, must be at most %d", n, maxRequests)
 	}
 }
 
-// inRange also refuses NaN.
+// inRange records a value outside the range; NaN is outside.
 func inRange(c *ferrytoml.Check, field string, v, least, most float64) {
 	if !(v >= least && v <= most) {
 		c.Fault(field, "must be from %v to %v, is %v", least, most, v)
@@ -227,7 +231,7 @@
 	}
 }
 
-// Count is the number of runners in all groups.
+// Count returns the number of runners in all groups.
 func (rs Runners) Count() int {
 	n := 0
 	for _, r := range rs {
@@ -244,12 +248,12 @@
 		f := fmt.Sprintf("Layout.Stages[%d]", i)
 		inRange(c, f, float64(s), 1, 64)
 		if s > int(l.Layers) {
-			c.Fault(f, "has more stages than the model has layers")
+			c.Fault(f, "must not exceed the number of layers")
 		}
 		n += s
 	}
 	if len(l.Stages) > 0 && n != rs.Count() {
-		c.Fault("Layout.Stages", "add up to %d, there are %d runners", n, rs.Count())
+		c.Fault("Layout.Stages", "must add up to the number of runners: sum is %d, runners are %d", n, rs.Count())
 	}
 }
 
@@ -284,7 +288,7 @@
 			c.Fault(f+"Path", "must start with /, is %q", k.Path)
 		}
 		if (k.Path == "") != (k.Method == "") {
-			c.Fault(f+"Method", "must be given with Path, and only then")
+			c.Fault(f+"Method", "must be set if and only if Path is set")
 		}
 		inRange(c, f+"Deadline", time.Duration(k.Deadline).Seconds(), 0, maxDuration.Seconds())
 	}
@@ -299,7 +303,7 @@
 		inRange(c, f+"Load", p.Load, 0, maxLoad)
 		inRange(c, f+"Ramp", time.Duration(p.Ramp).Seconds(), 0, maxDuration.Seconds())
 		if i > 0 && p.At <= ps[i-1].At {
-			c.Fault(f+"At", "must be later than that of the phase before")
+			c.Fault(f+"At", "must be later than At of the previous phase")
 		}
 	}
 }
@@ -319,12 +323,12 @@
 			c.Fault(f+"Kind", "must be Kill, Freeze, Slow, Heal, KillEntry or DrainEntry, is %q", x.Kind)
 		}
 		if x.First < 0 || x.Count < 1 || x.First+x.Count > most {
-			c.Fault(f+"Count", "must name 1 or more of the %d there are, from First on", most)
+			c.Fault(f+"Count", "must be at least 1, and First + Count at most %d", most)
 		}
 	}
 }
 
-// Units is the number of pipelines, or of runners where each holds the whole model.
+// Units returns the number of pipelines, or of runners if each holds the whole model.
 func (w *Workload) Units() int {
 	if len(w.Layout.Stages) > 0 {
 		return len(w.Layout.Stages)
--- a/ferrybench/ferryworkload/workload_test.go
+++ b/ferrybench/ferryworkload/workload_test.go
@@ -12,7 +12,7 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-const faulty = `Name = ""
+const invalidWorkload = `Name = ""
 Duration = "0s"
 Prediction = "Guess"
 Colour = 3
@@ -46,7 +46,7 @@
 Count = 90
 `
 
-const sound = `Name = "small"
+const validWorkload = `Name = "small"
 Seed = 1
 Duration = "20s"
 [[Runners]]
@@ -74,10 +74,10 @@
 Ramp = "2s"
 `
 
-func TestEveryFaultIsReportedAtOnce(t *testing.T) {
+func TestDecodeReportsAllErrors(t *testing.T) {
 	tests := []struct{ name, text string }{
-		{"unknown field", faulty},
-		{"values", strings.Replace(faulty, "Colour = 3\n", "", 1)},
+		{"unknown field", invalidWorkload},
+		{"values", strings.Replace(invalidWorkload, "Colour = 3\n", "", 1)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -89,8 +89,8 @@
 	}
 }
 
-func TestArrivalsFollowTheLoadAndTheSeed(t *testing.T) {
-	w, err := Decode("small.toml", []byte(sound))
+func TestArrivalsFollowLoadAndSeed(t *testing.T) {
+	w, err := Decode("small.toml", []byte(validWorkload))
 	assert.NilError(t, err)
 	as, again := w.Arrivals(), w.Arrivals()
 	assert.Equal(t, len(as), len(again))
@@ -108,7 +108,7 @@
 	assert.Assert(t, early/10 < w.Bound() && late/8 > w.Bound(), "%v %v of %v", early/10, late/8, w.Bound())
 }
 
-func TestPhasesRampInAStraightLine(t *testing.T) {
+func TestPhasesRampLinearly(t *testing.T) {
 	ps := Phases{{Load: 0.3}, {At: Duration(10 * time.Second), Load: 3.3, Ramp: Duration(2 * time.Second)}}
 	for _, tt := range []struct {
 		at   time.Duration
@@ -126,25 +126,25 @@
 Layers = 40
 Stages = [2]
 LinkDelay = "2ms"
-`+sound[len("Name = \"small\"\nSeed = 1\nDuration = \"20s\"\n"):]))
+`+validWorkload[len("Name = \"small\"\nSeed = 1\nDuration = \"20s\"\n"):]))
 	assert.NilError(t, err)
 	w.Runners = Runners{{Name: "f", Count: 1, Rate: 300, StreamRate: 30, Slots: 100}, {Name: "s", Count: 1, Rate: 100, StreamRate: 10, Slots: 100}}
-	placed := w.Bound()
+	byRate := w.Bound()
 	w.Layout.Equal = true
-	assert.Assert(t, placed > 399 && placed < 401, "%v", placed)
+	assert.Assert(t, byRate > 399 && byRate < 401, "%v", byRate)
 	assert.Assert(t, w.Bound() > 199 && w.Bound() < 201, "%v", w.Bound())
 }
 
-func TestAModelOfTooManyLayersIsRefused(t *testing.T) {
-	text := strings.Replace(sound, "[[Runners]]", "[Layout]\nLayers = 65535\nStages = [2]\n[[Runners]]", 1)
+func TestTooManyLayersAreRejected(t *testing.T) {
+	text := strings.Replace(validWorkload, "[[Runners]]", "[Layout]\nLayers = 65535\nStages = [2]\n[[Runners]]", 1)
 	_, err := Decode("deep.toml", []byte(text))
 	assert.ErrorContains(t, err, "line 5: Layout.Layers: must be from 0 to 1024")
 }
 
-// FuzzDecode checks that no workload file makes the decoder panic or run long.
+// FuzzDecode checks that no input makes the decoder panic or run long.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(faulty))
-	f.Add([]byte(sound))
+	f.Add([]byte(invalidWorkload))
+	f.Add([]byte(validWorkload))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = Decode("fuzz.toml", b)
 	})
