--- a/ferrybench/ferryload/doc.go
+++ b/ferrybench/ferryload/doc.go
@@ -1,2 +1,2 @@
-// Package ferryload plays a workload against live entries in an open loop.
+// Package ferryload is an open-loop load generator that sends the calls of a workload to running entries.
 package ferryload
--- a/ferrybench/ferryload/entry.go
+++ b/ferrybench/ferryload/entry.go
@@ -18,7 +18,7 @@
 	defaultLifetime = 30 * time.Second
 )
 
-// Steering is the answer of GET /v1/entries: the addresses to use in this order, and for how long.
+// Steering is the answer of GET /v1/entries: the entry addresses in order of preference, and how long to keep them.
 type Steering struct {
 	Entries         []EntryAddress `json:"Entries"`
 	LifetimeSeconds int            `json:"LifetimeSeconds"`
@@ -30,7 +30,7 @@
 	Address string            `json:"Address"`
 }
 
-// DecodeSteering reads a steering answer and checks it.
+// DecodeSteering decodes and validates a steering answer.
 func DecodeSteering(b []byte) (Steering, error) {
 	var s Steering
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -38,11 +38,11 @@
 	}
 	for i, e := range s.Entries {
 		if e.Address == "" {
-			return Steering{}, fmt.Errorf("steering answer: entry %d has no address", i)
+			return Steering{}, fmt.Errorf("decode steering answer: entry %d has no address", i)
 		}
 	}
 	if len(s.Entries) == 0 {
-		return Steering{}, fmt.Errorf("steering answer names no entry")
+		return Steering{}, fmt.Errorf("decode steering answer: list of entries is empty")
 	}
 	return s, nil
 }
@@ -54,44 +54,44 @@
 	return time.Duration(s.LifetimeSeconds) * time.Second
 }
 
-// entries keeps each customer's steering answer for its lifetime, as callers do.
-type entries struct {
-	cfg  Config
-	mu   sync.Mutex
-	kept map[steerKey]*kept
-	next int
+// steeringCache caches the steering answer of each caller for its lifetime.
+type steeringCache struct {
+	cfg     Config
+	mu      sync.Mutex
+	answers map[steerKey]*cachedAnswer
+	next    int
 }
 
-// steerKey names one caller of a customer, each of which keeps an answer of its own.
+// steerKey identifies a caller of a customer and the service that it calls; each key has its own steering answer.
 type steerKey struct {
 	customer ferryid.CustomerName
 	service  ferryid.ServiceName
 	caller   int
 }
 
-type kept struct {
-	addresses []string
-	until     time.Time
-	asking    bool
+type cachedAnswer struct {
+	addresses  []string
+	expires    time.Time
+	refreshing bool
 }
 
-func newEntries(cfg Config) *entries {
-	return &entries{cfg: cfg, kept: map[steerKey]*kept{}}
+func newSteeringCache(cfg Config) *steeringCache {
+	return &steeringCache{cfg: cfg, answers: map[steerKey]*cachedAnswer{}}
 }
 
-// address returns the entry to use; without an answer it is one of the seeds in turn.
-func (e *entries) address(ctx context.Context, key steerKey) string {
+// address returns the address of the preferred entry. Without a steering answer it rotates over the configured entries.
+func (e *steeringCache) address(ctx context.Context, key steerKey) string {
 	e.mu.Lock()
-	k := e.kept[key]
+	k := e.answers[key]
 	if k == nil {
-		k = &kept{}
-		e.kept[key] = k
+		k = &cachedAnswer{}
+		e.answers[key] = k
 	}
-	ask := !k.asking && e.cfg.Clock.Now().After(k.until)
-	k.asking = k.asking || ask
+	refresh := !k.refreshing && e.cfg.Clock.Now().After(k.expires)
+	k.refreshing = k.refreshing || refresh
 	e.mu.Unlock()
-	if ask {
-		e.ask(ctx, key)
+	if refresh {
+		e.refresh(ctx, key)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,30 +102,31 @@
 	return e.cfg.Entries[e.next%len(e.cfg.Entries)]
 }
 
-// failed puts an entry that could not be reached last in a caller's order.
-func (e *entries) failed(key steerKey, address string) {
+// markFailed moves an entry that could not be reached to the end of a caller's list.
+func (e *steeringCache) markFailed(key steerKey, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k := e.kept[key]
+	k := e.answers[key]
 	if k != nil && len(k.addresses) > 1 && k.addresses[0] == address {
 		k.addresses = append(k.addresses[1:], address)
 	}
 }
 
-// ask asks one seed after the other; if none answers, the old answer stays in use.
-func (e *entries) ask(ctx context.Context, key steerKey) {
+// refresh requests a new steering answer from the configured entries in turn; if all fail, the previous answer stays
+// in use.
+func (e *steeringCache) refresh(ctx context.Context, key steerKey) {
 	var s Steering
 	var err error
 	for range e.cfg.Entries {
-		if s, err = e.get(ctx, key); err == nil {
+		if s, err = e.fetch(ctx, key); err == nil {
 			break
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k := e.kept[key]
-	k.asking = false
-	k.until = e.cfg.Clock.Now().Add(max(e.cfg.Keep, s.lifetime()))
+	k := e.answers[key]
+	k.refreshing = false
+	k.expires = e.cfg.Clock.Now().Add(max(e.cfg.MinLifetime, s.lifetime()))
 	if err != nil {
 		return
 	}
@@ -135,7 +136,7 @@
 	}
 }
 
-func (e *entries) get(ctx context.Context, key steerKey) (Steering, error) {
+func (e *steeringCache) fetch(ctx context.Context, key steerKey) (Steering, error) {
 	e.mu.Lock()
 	e.next++
 	seed := e.cfg.Entries[e.next%len(e.cfg.Entries)]
@@ -156,7 +157,7 @@
 		return Steering{}, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return Steering{}, fmt.Errorf("entries: status %d", res.StatusCode)
+		return Steering{}, fmt.Errorf("GET /v1/entries: status is %d, want 200", res.StatusCode)
 	}
 	return DecodeSteering(b)
 }
--- a/ferrybench/ferryload/load.go
+++ b/ferrybench/ferryload/load.go
@@ -13,54 +13,56 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// breakPause is how long callers wait after a break, times the number of breaks.
+// breakPause is the backoff after a broken stream, multiplied by the number of breaks of the call.
 const breakPause = 100 * time.Millisecond
 
-// Config says where a load goes; each customer has Callers callers, one if 0, which keep a steering answer for Keep if that is
-// longer than its lifetime.
+// Config configures a load. Each customer has Callers callers, or one if 0. They keep a steering answer for
+// MinLifetime or its lifetime, whichever is longer.
 type Config struct {
-	Entries []string
-	Model   ferryid.ServiceName
-	Plain   ferryid.ServiceName
-	Keys    map[ferryid.CustomerName]string
-	MaxOpen int
-	Callers int
-	Keep    time.Duration
-	Clock   clockwork.Clock
-	Client  *http.Client
-}
-
-// Load is one load while it runs.
+	Entries     []string
+	Model       ferryid.ServiceName
+	Plain       ferryid.ServiceName
+	Keys        map[ferryid.CustomerName]string
+	MaxOpen     int
+	Callers     int
+	MinLifetime time.Duration
+	Clock       clockwork.Clock
+	Client      *http.Client
+}
+
+// Load is the state of a running load.
 type Load struct {
-	cfg     Config
-	w       *ferryworkload.Workload
-	start   time.Time
-	mu      sync.Mutex
-	sum     Summary
-	entries *entries
+	cfg      Config
+	w        *ferryworkload.Workload
+	start    time.Time
+	mu       sync.Mutex
+	summary  Summary
+	steering *steeringCache
 }
 
-// Summary is what a load gave.
+// Summary holds the results of a load.
 type Summary struct {
 	Result *ferryexperiment.Result `json:"Result"`
-	// Unsent are the arrivals for which too many calls were open, Unknown the failures that may have run.
+	// Unsent is the number of arrivals not sent because MaxOpen calls were open. Unknown is the number of failed calls
+	// that may have run.
 	Unsent  int `json:"Unsent"`
 	Unknown int `json:"Unknown"`
-	// Resumed are the streams that went on after a break, RefusedResumes the refusals that they met before.
+	// Resumed is the number of streams that were resumed after a break, RefusedResumes the number of refused attempts
+	// to resume.
 	Resumed        int `json:"Resumed"`
 	RefusedResumes int `json:"RefusedResumes"`
-	// Uneven are the streams that ended as whole with more or fewer tokens than asked for.
+	// Uneven is the number of streams that ended without an error but with a token count other than the requested one.
 	Uneven int `json:"Uneven"`
-	// Failures counts what failed calls were answered with last.
+	// Failures counts failed calls by the last failure of each.
 	Failures map[string]int `json:"Failures"`
-	// Sent is how many tries each entry got in each second.
+	// Sent is the number of tries by entry and second.
 	Sent map[string][]int `json:"Sent"`
 }
 
-// Run sends every arrival at its time, whatever became of those before, and returns when all have ended.
+// Run sends every arrival at its time without waiting for earlier calls, and returns when all calls have ended.
 func Run(ctx context.Context, cfg Config, w *ferryworkload.Workload, arrivals []ferryworkload.Arrival) *Summary {
-	l := &Load{cfg: cfg, w: w, start: cfg.Clock.Now(), entries: newEntries(cfg)}
-	l.sum = Summary{
+	l := &Load{cfg: cfg, w: w, start: cfg.Clock.Now(), steering: newSteeringCache(cfg)}
+	l.summary = Summary{
 		Result:   ferryexperiment.NewResult(w, ferryexperiment.Policy{Name: "live"}),
 		Failures: map[string]int{}, Sent: map[string][]int{},
 	}
@@ -75,7 +77,7 @@
 		select {
 		case open <- struct{}{}:
 		default:
-			l.leaveOut(a)
+			l.recordUnsent(a)
 			continue
 		}
 		wg.Go(func() {
@@ -84,8 +86,8 @@
 		})
 	}
 	wg.Wait()
-	l.sum.Result.Close()
-	return &l.sum
+	l.summary.Result.Close()
+	return &l.summary
 }
 
 func (l *Load) now() time.Duration {
@@ -108,17 +110,17 @@
 func (l *Load) offer(a *ferryworkload.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sum.Result.Offer(a)
+	l.summary.Result.Offer(a)
 }
 
-func (l *Load) leaveOut(a *ferryworkload.Arrival) {
+func (l *Load) recordUnsent(a *ferryworkload.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sum.Unsent++
-	l.sum.Result.Record(&ferryexperiment.Sample{Arrival: a, Outcome: ferryexperiment.Failed})
+	l.summary.Unsent++
+	l.summary.Result.Record(&ferryexperiment.Sample{Arrival: a, Outcome: ferryexperiment.Failed})
 }
 
-// run tries a call until it has run, its caller has lost patience, or it can't be repeated.
+// run sends a call until it succeeds or may not be retried.
 func (l *Load) run(ctx context.Context, c *call) {
 	for l.try(ctx, c) {
 		c.tries++
@@ -126,12 +128,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.Outcome == ferryexperiment.Failed {
-		l.sum.Failures[c.failure]++
+		l.summary.Failures[c.failure]++
 	}
-	l.sum.Result.Record(c.Sample)
+	l.summary.Result.Record(c.Sample)
 }
 
-// try sends a call once and reports whether it has to be sent again.
+// try sends a call once and reports whether to send it again.
 func (l *Load) try(ctx context.Context, c *call) bool {
 	if c.First == 0 {
 		c.Submitted = l.now()
@@ -142,32 +144,34 @@
 	switch {
 	case ans.ok:
 		c.Outcome = inTime(c.Sample)
-		l.count(c)
+		l.recordSuccess(c)
 		return false
 	case ans.notRun:
-		return l.turnedAway(ctx, c, ans, l.now()-sent)
+		return l.onNotRun(ctx, c, ans, l.now()-sent)
 	}
-	return l.broke(ctx, c, ans)
+	return l.onBreak(ctx, c, ans)
 }
 
-// turnedAway waits as long as a refusal asked for; a stream that has begun is lost if it can't go on.
-func (l *Load) turnedAway(ctx context.Context, c *call, ans answer, after time.Duration) bool {
+// onNotRun handles a try that did not run: it waits for the requested delay and reports whether to retry. A stream
+// that has begun counts as failed if it cannot be resumed.
+func (l *Load) onNotRun(ctx context.Context, c *call, ans answer, after time.Duration) bool {
 	c.failure = ans.text
-	if !ans.unreached {
+	if !ans.noResponse {
 		l.refuse(c, after)
 	}
-	if l.comeBack(ctx, c, ans.retryAfter) {
+	if l.waitToRetry(ctx, c, ans.retryAfter) {
 		return true
 	}
 	c.Outcome = ferryexperiment.Refused
-	if c.last != "" {
+	if c.lastEventID != "" {
 		c.Outcome = ferryexperiment.Failed
 	}
 	return false
 }
 
-// broke sends a call that broke off again: a stream goes on after its last event, a change has the same key.
-func (l *Load) broke(ctx context.Context, c *call, ans answer) bool {
+// onBreak handles a try that broke off: it waits for the backoff and reports whether to retry. A stream resumes after
+// its last event; other calls are sent with the same idempotency key.
+func (l *Load) onBreak(ctx context.Context, c *call, ans answer) bool {
 	c.failure = ans.text
 	c.breaks++
 	if c.breaks <= l.w.Retry.Attempts && l.waitUntil(ctx, l.now()+time.Duration(c.breaks)*breakPause) {
@@ -178,15 +182,15 @@
 	return false
 }
 
-// count notes how a call came to its end.
-func (l *Load) count(c *call) {
+// recordSuccess records a successful call.
+func (l *Load) recordSuccess(c *call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.resumed {
-		l.sum.Resumed++
+		l.summary.Resumed++
 	}
-	if c.Arrival.Kind.Path == "" && c.got != c.Arrival.Tokens {
-		l.sum.Uneven++
+	if c.Arrival.Kind.Path == "" && c.received != c.Arrival.Tokens {
+		l.summary.Uneven++
 	}
 }
 
@@ -202,26 +206,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !ans.ran {
-		l.sum.Unknown++
+		l.summary.Unknown++
 	}
 }
 
 func (l *Load) refuse(c *call, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sum.Result.Refuse(c.Arrival, after)
-	if c.last != "" {
-		l.sum.RefusedResumes++
+	l.summary.Result.Refuse(c.Arrival, after)
+	if c.lastEventID != "" {
+		l.summary.RefusedResumes++
 	}
 }
 
-// comeBack waits as long as the refusal asked for, and reports whether the caller still cares.
-func (l *Load) comeBack(ctx context.Context, c *call, after time.Duration) bool {
+// waitToRetry waits for the requested delay and reports whether the caller retries within its patience.
+func (l *Load) waitToRetry(ctx context.Context, c *call, after time.Duration) bool {
 	if c.tries >= l.w.Retry.Attempts+c.breaks || after <= 0 {
 		return false
 	}
 	back := l.now() + after
-	if c.last == "" && back > c.Arrival.At+time.Duration(l.w.Retry.Patience) {
+	if c.lastEventID == "" && back > c.Arrival.At+time.Duration(l.w.Retry.Patience) {
 		return false
 	}
 	return l.waitUntil(ctx, back)
@@ -231,17 +235,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.sum.Result.Serve(now, tokens)
+	l.summary.Result.Serve(now, tokens)
 	c.Serve(now, tokens)
 }
 
-// sent counts a try.
-func (l *Load) sent(address string) {
+// countTry counts a try by entry and second.
+func (l *Load) countTry(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := int(l.now() / time.Second)
-	for len(l.sum.Sent[address]) <= at {
-		l.sum.Sent[address] = append(l.sum.Sent[address], 0)
+	for len(l.summary.Sent[address]) <= at {
+		l.summary.Sent[address] = append(l.summary.Sent[address], 0)
 	}
-	l.sum.Sent[address][at]++
+	l.summary.Sent[address][at]++
 }
--- a/ferrybench/ferryload/load_test.go
+++ b/ferrybench/ferryload/load_test.go
@@ -18,35 +18,36 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// fakeEntry answers as an entry does, and refuses the first try of each refused prompt length.
+// fakeEntry is an HTTP handler with the API of an entry. It refuses the first refusals streams, and truncates the
+// others if truncate is set.
 type fakeEntry struct {
-	mu       sync.Mutex
-	asked    int
-	keys     map[string]int
-	idem     map[string]int
-	refusals int
-	cut      bool
-	address  string
+	mu               sync.Mutex
+	steeringRequests int
+	authorizations   map[string]int
+	idempotencyKeys  map[string]int
+	refusals         int
+	truncate         bool
+	address          string
 }
 
 func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
-	f.keys[r.Header.Get("Authorization")]++
+	f.authorizations[r.Header.Get("Authorization")]++
 	f.mu.Unlock()
 	switch {
 	case r.URL.Path == "/v1/entries":
 		f.mu.Lock()
-		f.asked++
+		f.steeringRequests++
 		f.mu.Unlock()
 		fmt.Fprintf(w, `{"Entries":[{"Name":"a","Address":%q}],"LifetimeSeconds":3600}`, f.address)
 	case strings.HasPrefix(r.URL.Path, "/v1/services/"):
 		f.mu.Lock()
-		f.idem[r.Header.Get("Idempotency-Key")]++
+		f.idempotencyKeys[r.Header.Get("Idempotency-Key")]++
 		f.mu.Unlock()
 		fmt.Fprint(w, "ok")
 	case f.refuse():
 		ferryoutcome.New(ferryoutcome.KindOverloaded, ferryoutcome.NotRun, "full").Write(w)
-	case f.cut:
+	case f.truncate:
 		fmt.Fprint(w, "data: {\"x\":1}\n\n")
 	default:
 		fmt.Fprint(w, ": ping\n\ndata: {\"x\":1}\n\ndata: {\"x\":2}\n\ndata: [DONE]\n\n")
@@ -60,9 +61,9 @@
 	return f.refusals >= 0
 }
 
-func loaded(t *testing.T, f *fakeEntry, kinds ferryworkload.Kinds) *Summary {
+func runLoad(t *testing.T, f *fakeEntry, kinds ferryworkload.Kinds) *Summary {
 	t.Helper()
-	f.keys, f.idem = map[string]int{}, map[string]int{}
+	f.authorizations, f.idempotencyKeys = map[string]int{}, map[string]int{}
 	srv := httptest.NewServer(f)
 	t.Cleanup(srv.Close)
 	f.address = strings.TrimPrefix(srv.URL, "http://")
@@ -84,63 +85,63 @@
 
 func TestRunStreamsAndPlainCalls(t *testing.T) {
 	f := &fakeEntry{}
-	s := loaded(t, f, ferryworkload.Kinds{{Name: "q", Repeatable: true}, {Name: "set", Method: "POST", Path: "/set"}})
+	s := runLoad(t, f, ferryworkload.Kinds{{Name: "q", Repeatable: true}, {Name: "set", Method: "POST", Path: "/set"}})
 	assert.Equal(t, s.Result.All.InTime, 10)
 	assert.Equal(t, s.Unknown+s.Unsent, 0)
-	assert.Equal(t, f.asked, 2)
-	assert.Equal(t, f.keys["Bearer secret"], 12)
-	assert.Equal(t, len(f.idem), 5)
-	assert.Equal(t, f.idem[""], 0)
+	assert.Equal(t, f.steeringRequests, 2)
+	assert.Equal(t, f.authorizations["Bearer secret"], 12)
+	assert.Equal(t, len(f.idempotencyKeys), 5)
+	assert.Equal(t, f.idempotencyKeys[""], 0)
 }
 
 func TestRefusalsAreCountedAsNotRun(t *testing.T) {
-	s := loaded(t, &fakeEntry{refusals: 4}, ferryworkload.Kinds{{Name: "q", Repeatable: true}})
+	s := runLoad(t, &fakeEntry{refusals: 4}, ferryworkload.Kinds{{Name: "q", Repeatable: true}})
 	assert.Equal(t, s.Result.All.Refused, 4)
 	assert.Equal(t, s.Result.All.InTime, 6)
 	assert.Equal(t, s.Unknown, 0)
 }
 
-func TestCutStreamsAreUnknown(t *testing.T) {
-	s := loaded(t, &fakeEntry{cut: true}, ferryworkload.Kinds{{Name: "q", Repeatable: true}})
+func TestTruncatedStreamsAreUnknown(t *testing.T) {
+	s := runLoad(t, &fakeEntry{truncate: true}, ferryworkload.Kinds{{Name: "q", Repeatable: true}})
 	assert.Equal(t, s.Result.All.Failed, 10)
 	assert.Equal(t, s.Unknown, 10)
 }
 
-// FuzzDecodeSteering checks that no answer makes the decoder panic or name an entry without address.
+// FuzzDecodeSteering checks that no input makes the decoder panic or return an invalid answer.
 func FuzzDecodeSteering(f *testing.F) {
 	f.Add([]byte(`{"Entries":[{"Address":"127.0.0.1:1"}],"LifetimeSeconds":60}`))
 	f.Add([]byte(`{"Entries":[{}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := DecodeSteering(b)
 		if err == nil && (len(s.Entries) == 0 || s.Entries[0].Address == "" || s.lifetime() <= 0) {
-			t.Fatalf("%+v", s)
+			t.Fatalf("decoder accepted an invalid answer: %+v", s)
 		}
 	})
 }
 
-func TestSteeringAnswerIsKeptForItsLifetime(t *testing.T) {
-	f := &fakeEntry{keys: map[string]int{}, idem: map[string]int{}}
+func TestSteeringAnswerIsCachedForItsLifetime(t *testing.T) {
+	f := &fakeEntry{authorizations: map[string]int{}, idempotencyKeys: map[string]int{}}
 	srv := httptest.NewServer(f)
 	t.Cleanup(srv.Close)
 	f.address = strings.TrimPrefix(srv.URL, "http://")
 	clock := clockwork.NewFakeClock()
-	e := newEntries(Config{Entries: []string{f.address}, Clock: clock, Client: srv.Client()})
+	e := newSteeringCache(Config{Entries: []string{f.address}, Clock: clock, Client: srv.Client()})
 	for range 5 {
 		assert.Equal(t, e.address(context.Background(), steerKey{customer: "c", service: "m"}), f.address)
 	}
-	assert.Equal(t, f.asked, 1)
+	assert.Equal(t, f.steeringRequests, 1)
 	clock.Advance(time.Hour + time.Second)
 	e.address(context.Background(), steerKey{customer: "c", service: "m"})
-	assert.Equal(t, f.asked, 2)
+	assert.Equal(t, f.steeringRequests, 2)
 }
 
-// breakingEntry cuts each stream after its first token and goes on after the event that the caller names; it refuses the first resume.
-type breakingEntry struct {
+// truncatingEntry truncates each stream after its first token, refuses the first resumption and completes the next.
+type truncatingEntry struct {
 	mu      sync.Mutex
 	resumed []string
 }
 
-func (f *breakingEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *truncatingEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := r.Header.Get("Last-Event-ID")
@@ -158,8 +159,8 @@
 	}
 }
 
-func TestCutStreamsGoOnAfterTheirLastEvent(t *testing.T) {
-	f := &breakingEntry{}
+func TestTruncatedStreamsResumeAfterLastEvent(t *testing.T) {
+	f := &truncatingEntry{}
 	srv := httptest.NewServer(f)
 	t.Cleanup(srv.Close)
 	w := &ferryworkload.Workload{
@@ -183,7 +184,7 @@
 	assert.DeepEqual(t, f.resumed, []string{"one", "one"})
 }
 
-func TestUnreachedEntriesAreNoRefusals(t *testing.T) {
+func TestUnreachableEntriesAreNotRefusals(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(srv.URL, "http://")
 	srv.Close()
--- a/ferrybench/ferryload/request.go
+++ b/ferrybench/ferryload/request.go
@@ -23,36 +23,36 @@
 const (
 	// maxEventBytes bounds one line of a stream.
 	maxEventBytes = 1 << 20
-	// finished marks the event that gives the reason of the end, and no token.
-	finished = `"finish_reason":"`
-	// promptWords is how many words of three hexadecimal digits there are.
+	// finishReason occurs in the event that carries the finish reason and no token.
+	finishReason = `"finish_reason":"`
+	// promptWords is the number of words of three hexadecimal digits.
 	promptWords = 1 << 12
 )
 
-// answer is how one try ended; text says of a bad one what it was.
+// answer is the result of one try; text describes the failure.
 type answer struct {
 	ok     bool
 	notRun bool
 	ran    bool
-	// unreached says that nothing answered, which is no refusal.
-	unreached  bool
+	// noResponse is set if no answer came; this does not count as a refusal.
+	noResponse bool
 	retryAfter time.Duration
 	text       string
 }
 
-// call is one call from its first try to its end.
+// call is the state of one call over all its tries.
 type call struct {
 	*ferryexperiment.Sample
 	key steerKey
-	// id is the idempotency key of all tries.
-	id ferryid.RequestID
-	// last is the id of the last event that came, and got how many tokens did.
-	last    string
-	got     ferryid.Tokens
-	tries   int
-	breaks  int
-	resumed bool
-	failure string
+	// idempotencyKey is the Idempotency-Key header, the same for all tries.
+	idempotencyKey ferryid.RequestID
+	// lastEventID is the ID of the last event received, received the number of tokens received.
+	lastEventID string
+	received    ferryid.Tokens
+	tries       int
+	breaks      int
+	resumed     bool
+	failure     string
 }
 
 func (l *Load) newCall(a *ferryworkload.Arrival, index int) *call {
@@ -61,7 +61,7 @@
 		service = l.cfg.Plain
 	}
 	key := steerKey{customer: a.Customer, service: service, caller: index % max(1, l.cfg.Callers)}
-	return &call{Sample: &ferryexperiment.Sample{Arrival: a}, key: key, id: ferryid.NewRequestID()}
+	return &call{Sample: &ferryexperiment.Sample{Arrival: a}, key: key, idempotencyKey: ferryid.NewRequestID()}
 }
 
 // completion is the body of POST /v1/completions.
@@ -73,16 +73,16 @@
 }
 
 func (l *Load) send(ctx context.Context, c *call) answer {
-	address := l.entries.address(ctx, c.key)
+	address := l.steering.address(ctx, c.key)
 	req, err := l.request(ctx, c, address)
 	if err != nil {
 		return answer{notRun: true, text: err.Error()}
 	}
-	l.sent(address)
+	l.countTry(address)
 	res, err := l.cfg.Client.Do(req)
 	if err != nil {
-		l.entries.failed(c.key, address)
-		return answer{notRun: notConnected(err), unreached: true, retryAfter: time.Millisecond, text: "no answer"}
+		l.steering.markFailed(c.key, address)
+		return answer{notRun: dialFailed(err), noResponse: true, retryAfter: time.Millisecond, text: "no answer"}
 	}
 	defer res.Body.Close()
 	if res.StatusCode >= http.StatusBadRequest {
@@ -114,17 +114,17 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	if k.Path != "" && !k.Repeatable {
-		req.Header.Set("Idempotency-Key", string(c.id))
+		req.Header.Set("Idempotency-Key", string(c.idempotencyKey))
 	}
-	if c.last != "" {
-		req.Header.Set("Last-Event-ID", c.last)
+	if c.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", c.lastEventID)
 	}
 	authorize(req, l.cfg, c.Arrival.Customer)
 	return req, nil
 }
 
-// prompt is a text of as many words of four bytes as the call has prompt tokens, the shared ones first and the next unlike any
-// other call's.
+// prompt returns one word per prompt token. The words of the shared prefix come first, the next word depends on the
+// arrival time and so differs between calls.
 func prompt(x *ferryexperiment.Sample) string {
 	var b strings.Builder
 	a := x.Arrival
@@ -141,8 +141,8 @@
 	return b.String()
 }
 
-// notConnected reports whether an error came before a byte of the call was written.
-func notConnected(err error) bool {
+// dialFailed reports whether the connection failed, so that no byte of the call was written.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -171,7 +171,7 @@
 	return answer{ok: true}
 }
 
-// readStream counts the tokens of a stream; one that ends without [DONE] was cut off.
+// readStream counts the tokens of a stream; a stream that ends without [DONE] is truncated.
 func (l *Load) readStream(c *call, r io.Reader) answer {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxEventBytes)
@@ -184,25 +184,25 @@
 			id = value
 		case field == "event" && value == "error":
 			return answer{text: "error event"}
-		case field != "data" || strings.Contains(value, finished):
+		case field != "data" || strings.Contains(value, finishReason):
 		case value == "[DONE]":
 			return answer{ok: true}
 		default:
-			l.token(c, id)
+			l.onToken(c, id)
 		}
 	}
 	return answer{text: "cut off"}
 }
 
-// token takes one token; the first one stands for the reading of the prompt, too.
-func (l *Load) token(c *call, id string) {
+// onToken records one token; the first one includes the work of the prefill.
+func (l *Load) onToken(c *call, id string) {
 	work := 1.0
 	if c.First == 0 {
 		c.First = l.now()
 		work += ferryworkload.PrefillShare * float64(c.Arrival.Prompt)
 	}
-	c.resumed = c.resumed || c.breaks > 0 && c.last != ""
-	c.last = id
-	c.got++
+	c.resumed = c.resumed || c.breaks > 0 && c.lastEventID != ""
+	c.lastEventID = id
+	c.received++
 	l.serve(c, work)
 }
--- a/ferrybench/live.go
+++ b/ferrybench/live.go
@@ -162,7 +162,7 @@
 		load.Entries = append(load.Entries, e.Callers)
 	}
 	cfg := load.config(l.w)
-	cfg.Callers, cfg.Keep = liveCallers, keep
+	cfg.Callers, cfg.MinLifetime = liveCallers, keep
 	return cfg
 }
 
