--- a/ferrybench/ferryrelay/doc.go
+++ b/ferrybench/ferryrelay/doc.go
@@ -1,2 +1,2 @@
-// Package ferryrelay measures what passing tokens on costs one live ferryd.
+// Package ferryrelay measures the resources that ferryd processes use to relay streams, and while idle.
 package ferryrelay
--- a/ferrybench/ferryrelay/idle.go
+++ b/ferrybench/ferryrelay/idle.go
@@ -11,26 +11,26 @@
 	"cactusferry.dev/ferrystand/ferrydemo"
 )
 
-const idleSettle = 5 * time.Second
+const idleSettleTime = 5 * time.Second
 
-// Idle is what the entries of a fleet spend while no caller asks for anything.
+// Idle is the resource use of the entries of a fleet without calls.
 type Idle struct {
 	Entries int
 	// CoreShare is the mean share of one core that an entry uses, from 0 to 1.
 	CoreShare float64
 	// Bytes is the mean resident memory of an entry.
 	Bytes int64
-	// PlatformCalls is the number of calls a second that all entries together make to the platform.
+	// PlatformCalls is the rate of calls per second from all entries together to the platform.
 	PlatformCalls float64
-	// Engines is how many engines an entry works, on the average.
+	// Engines is the mean number of engines that an entry uses.
 	Engines float64
-	// LoadAge is how old what an entry knows of an engine's load is, on the average over entries and engines.
+	// LoadAge is the mean age of the entries' load reports over entries and engines.
 	LoadAge time.Duration
-	// LoadReads is how many engines an entry reads a second, on the average.
+	// LoadReads is the mean number of engines that an entry reads per second.
 	LoadReads float64
 }
 
-// MeasureIdle starts a fleet of real processes and watches its entries for a while.
+// MeasureIdle starts a fleet of processes and measures its entries for d without calls.
 func MeasureIdle(ctx context.Context, programs string, engines, entries int, d time.Duration) (Idle, error) {
 	out := Idle{Entries: entries}
 	f, err := ferrydemo.New(ferrydemo.Config{Dir: programs, Engines: engines, Entries: entries})
@@ -49,7 +49,7 @@
 	if err := f.Accept(ctx, ferrydemo.ModelService, f.ModelDocument(128)); err != nil {
 		return out, err
 	}
-	time.Sleep(idleSettle)
+	time.Sleep(idleSettleTime)
 	before, err := fleetCPU(f)
 	if err != nil {
 		return out, err
@@ -58,7 +58,7 @@
 	if err != nil {
 		return out, err
 	}
-	reads, err := gauges(ctx, f, "ferryd_load_reads")
+	reads, err := sumMetric(ctx, f, "ferryd_load_reads")
 	if err != nil {
 		return out, err
 	}
@@ -75,11 +75,11 @@
 	}
 	out.CoreShare = (after - before).Seconds() / took / float64(entries)
 	out.PlatformCalls = float64(later-calls) / took
-	if err := out.loads(ctx, f, reads, took); err != nil {
+	if err := out.addLoadMetrics(ctx, f, reads, took); err != nil {
 		return out, err
 	}
 	for _, e := range f.Entries {
-		n, err := resident(e.Process.PID())
+		n, err := residentBytes(e.Process.PID())
 		if err != nil {
 			return out, err
 		}
@@ -88,17 +88,18 @@
 	return out, nil
 }
 
-// loads fills in what the entries' metrics say of the engines' loads.
-func (i *Idle) loads(ctx context.Context, f *ferrydemo.Fleet, before, took float64) error {
-	reads, err := gauges(ctx, f, "ferryd_load_reads")
+// addLoadMetrics sets the fields about engines' loads from the metrics of the entries; before is the sum of
+// ferryd_load_reads at the start and took the elapsed time in seconds.
+func (i *Idle) addLoadMetrics(ctx context.Context, f *ferrydemo.Fleet, before, took float64) error {
+	reads, err := sumMetric(ctx, f, "ferryd_load_reads")
 	if err != nil {
 		return err
 	}
-	age, err := gauges(ctx, f, "ferryd_load_age_seconds")
+	age, err := sumMetric(ctx, f, "ferryd_load_age_seconds")
 	if err != nil {
 		return err
 	}
-	engines, err := gauges(ctx, f, "ferryd_engines_worked")
+	engines, err := sumMetric(ctx, f, "ferryd_engines_worked")
 	if err != nil {
 		return err
 	}
@@ -108,11 +109,11 @@
 	return nil
 }
 
-// gauges adds up a gauge over the entries, whatever its tags.
-func gauges(ctx context.Context, f *ferrydemo.Fleet, name string) (float64, error) {
+// sumMetric returns the sum of a metric over all entries and tags.
+func sumMetric(ctx context.Context, f *ferrydemo.Fleet, name string) (float64, error) {
 	sum := 0.0
 	for _, e := range f.Entries {
-		text, err := page(ctx, "http://"+e.Callers+"/metrics")
+		text, err := httpGet(ctx, "http://"+e.Callers+"/metrics")
 		if err != nil {
 			return 0, err
 		}
@@ -131,7 +132,7 @@
 	return sum, nil
 }
 
-func page(ctx context.Context, url string) (string, error) {
+func httpGet(ctx context.Context, url string) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return "", err
@@ -148,7 +149,7 @@
 func fleetCPU(f *ferrydemo.Fleet) (time.Duration, error) {
 	var total time.Duration
 	for _, e := range f.Entries {
-		d, err := cpu(e.Process.PID())
+		d, err := cpuTime(e.Process.PID())
 		if err != nil {
 			return 0, err
 		}
@@ -157,7 +158,7 @@
 	return total, nil
 }
 
-// platformCalls is what the platform stand-in has counted.
+// platformCalls returns the number of calls that the simulated platform has counted.
 func platformCalls(ctx context.Context, f *ferrydemo.Fleet) (int, error) {
 	var counts map[string]int
 	if err := f.GetJSON(ctx, "http://"+f.Platform+"/admin/calls", &counts); err != nil {
--- a/ferrybench/ferryrelay/relay.go
+++ b/ferrybench/ferryrelay/relay.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	quickRate     = 1_000_000
+	fastRate      = 1_000_000
 	slots         = 2000
 	callers       = 64
 	latencyCalls  = 300
 	latencyTokens = 8
 	slowRate      = 400
-	settle        = 3 * time.Second
+	settleTime    = 3 * time.Second
 	maxMicros     = 60_000_000
 )
 
-// Config says how much to measure.
+// Config sets the extent of the measurements.
 type Config struct {
 	// Programs is the directory of ferryd, ferryctl and ferrystand.
 	Programs string
-	// Tokens is the number of tokens of each stream of the relay measurement.
+	// Tokens is the number of tokens per stream in the measurement of the relay.
 	Tokens int
-	// Rounds is the number of streams of each caller.
+	// Rounds is the number of streams per caller.
 	Rounds int
-	// Open is the number of streams held open for the memory measurement.
+	// Open is the number of streams held open in the measurement of memory.
 	Open int
 }
 
-// Result is what was measured.
+// Result holds the measurements of one ferryd. The First fields are times to the first token through ferryd, the Direct
+// fields the same without it.
 type Result struct {
 	Ready         time.Duration
 	IdleBytes     int64
@@ -53,7 +54,7 @@
 	BytesPer1000  int64
 }
 
-// Measure starts fleets of real processes and measures one ferryd of them.
+// Measure starts fleets of processes with one ferryd each and measures it.
 func Measure(ctx context.Context, cfg Config) (Result, error) {
 	var res Result
 	if err := measureRelay(ctx, cfg, &res); err != nil {
@@ -62,8 +63,9 @@
 	return res, measureMemory(ctx, cfg, &res)
 }
 
-// fleet starts two engines and one entry and accepts the model's document.
-func fleet(ctx context.Context, cfg Config, rate int) (*ferrydemo.Fleet, time.Duration, error) {
+// startFleet starts a platform, two engines and one entry, has the entry accept the model's document, and returns the
+// time until the entry was ready.
+func startFleet(ctx context.Context, cfg Config, rate int) (*ferrydemo.Fleet, time.Duration, error) {
 	f, err := ferrydemo.New(ferrydemo.Config{Dir: cfg.Programs, Engines: 2, Entries: 1, Slots: slots, TokensPerSecond: rate})
 	if err != nil {
 		return nil, 0, err
@@ -80,7 +82,7 @@
 }
 
 func measureRelay(ctx context.Context, cfg Config, res *Result) error {
-	f, ready, err := fleet(ctx, cfg, quickRate)
+	f, ready, err := startFleet(ctx, cfg, fastRate)
 	if f != nil {
 		defer f.KillAll()
 	}
@@ -89,31 +91,31 @@
 	}
 	res.Ready = ready
 	pid := f.Entries[0].Process.PID()
-	time.Sleep(settle)
-	if res.IdleBytes, err = resident(pid); err != nil {
+	time.Sleep(settleTime)
+	if res.IdleBytes, err = residentBytes(pid); err != nil {
 		return err
 	}
-	if err := latency(ctx, f, res); err != nil {
+	if err := measureLatency(ctx, f, res); err != nil {
 		return err
 	}
-	before, err := cpu(pid)
+	before, err := cpuTime(pid)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	res.Tokens, err = load(ctx, f, cfg)
+	res.Tokens, err = runLoad(ctx, f, cfg)
 	if err != nil {
 		return err
 	}
 	res.Elapsed = time.Since(began)
-	after, err := cpu(pid)
+	after, err := cpuTime(pid)
 	res.CPU = after - before
 	res.TokensPerCore = float64(res.Tokens) / res.CPU.Seconds()
 	return err
 }
 
-// load streams from many callers at once and counts the tokens.
-func load(ctx context.Context, f *ferrydemo.Fleet, cfg Config) (int64, error) {
+// runLoad runs streams from concurrent callers and returns the number of tokens.
+func runLoad(ctx context.Context, f *ferrydemo.Fleet, cfg Config) (int64, error) {
 	var tokens atomic.Int64
 	errs := make(chan error, callers)
 	var wg sync.WaitGroup
@@ -138,17 +140,17 @@
 	}
 }
 
-// latency asks the entry and the engines themselves in turn and compares the times to the first token.
-func latency(ctx context.Context, f *ferrydemo.Fleet, res *Result) error {
+// measureLatency measures the time to the first token, alternating between the entry and the engines directly.
+func measureLatency(ctx context.Context, f *ferrydemo.Fleet, res *Result) error {
 	through, direct := hdrhistogram.New(1, maxMicros, 3), hdrhistogram.New(1, maxMicros, 3)
 	engines := ferryengine.New(ferryengine.ClientConfig{})
 	for i := range latencyCalls {
-		took, err := firstThrough(ctx, f, i)
+		took, err := firstTokenThroughEntry(ctx, f, i)
 		if err != nil {
 			return err
 		}
 		_ = through.RecordValue(took.Microseconds())
-		if took, err = firstDirect(ctx, f, engines, i); err != nil {
+		if took, err = firstTokenDirect(ctx, f, engines, i); err != nil {
 			return err
 		}
 		_ = direct.RecordValue(took.Microseconds())
@@ -165,7 +167,7 @@
 	return fmt.Sprintf("%s question %d", kind, i)
 }
 
-func firstThrough(ctx context.Context, f *ferrydemo.Fleet, i int) (time.Duration, error) {
+func firstTokenThroughEntry(ctx context.Context, f *ferrydemo.Fleet, i int) (time.Duration, error) {
 	c := ferrydemo.Caller{Entry: f.Entries[0].Callers, Key: ferrydemo.CustomerKey}
 	began := time.Now()
 	var first time.Duration
@@ -177,7 +179,7 @@
 	return first, err
 }
 
-func firstDirect(ctx context.Context, f *ferrydemo.Fleet, engines *ferryengine.Client, i int) (time.Duration, error) {
+func firstTokenDirect(ctx context.Context, f *ferrydemo.Fleet, engines *ferryengine.Client, i int) (time.Duration, error) {
 	began := time.Now()
 	s, err := engines.Run(ctx, ferryengine.RunRequest{
 		Stream: ferryid.NewStreamID(), Epoch: 1, Prompt: prompt("direct", i), MaxTokens: latencyTokens, Seed: uint64(i),
@@ -205,9 +207,9 @@
 	}
 }
 
-// measureMemory holds many streams open on slow engines.
+// measureMemory measures the memory per stream with cfg.Open streams held open on slow engines.
 func measureMemory(ctx context.Context, cfg Config, res *Result) error {
-	f, _, err := fleet(ctx, cfg, slowRate)
+	f, _, err := startFleet(ctx, cfg, slowRate)
 	if f != nil {
 		defer f.KillAll()
 	}
@@ -215,8 +217,8 @@
 		return err
 	}
 	pid := f.Entries[0].Process.PID()
-	time.Sleep(settle)
-	idle, err := resident(pid)
+	time.Sleep(settleTime)
+	idle, err := residentBytes(pid)
 	if err != nil {
 		return err
 	}
@@ -243,9 +245,9 @@
 	}
 	res.Open = int(open.Load())
 	if res.Open == 0 {
-		return fmt.Errorf("no stream was opened")
+		return fmt.Errorf("measure memory: no stream was opened within 20 s")
 	}
-	busy, err := resident(pid)
+	busy, err := residentBytes(pid)
 	res.BytesPer1000 = (busy - idle) * 1000 / int64(res.Open)
 	return err
 }
