--- a/ferrybench/ferryreport/doc.go
+++ b/ferrybench/ferryreport/doc.go
@@ -1,2 +1,2 @@
-// Package ferryreport writes the results of experiments and loads as text, JSON and plots.
+// Package ferryreport writes the results of experiments and load runs as text, JSON and plots.
 package ferryreport
--- a/ferrybench/ferryreport/plot.go
+++ b/ferrybench/ferryreport/plot.go
@@ -17,18 +17,19 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-var colors = []color.Color{
+var lineColors = []color.Color{
 	color.RGBA{R: 200, G: 80, B: 40, A: 255},
 	color.RGBA{R: 30, G: 100, B: 180, A: 255},
 	color.RGBA{R: 120, G: 120, B: 120, A: 255},
 }
 
-// Plot draws throughput and first-token times of several results over time, and outstanding work by runner of the last.
+// Plot writes PNG plots over time to dir: throughput and time to the first token of all results, and the outstanding
+// work per runner of the last result.
 func Plot(dir, name string, rs []*ferryexperiment.Result) error {
 	if err := plotThroughput(filepath.Join(dir, name+"-throughput.png"), name, rs); err != nil {
 		return err
 	}
-	if err := plotFirst(filepath.Join(dir, name+"-first-token.png"), name, rs); err != nil {
+	if err := plotFirstToken(filepath.Join(dir, name+"-first-token.png"), name, rs); err != nil {
 		return err
 	}
 	return plotOutstanding(filepath.Join(dir, name+"-outstanding.png"), name, rs[len(rs)-1])
@@ -38,23 +39,23 @@
 	p := newPlot(name+": work served", "work, share of the bound")
 	for i, r := range rs {
 		n := r.Policy.Name
-		if err := addLine(p, n, colors[i%len(colors)], points(r, func(s *ferryexperiment.Second) float64 { return s.Served / r.Bound })); err != nil {
+		if err := addLine(p, n, lineColors[i%len(lineColors)], points(r, func(s *ferryexperiment.Second) float64 { return s.Served / r.Bound })); err != nil {
 			return err
 		}
 	}
 	last := rs[len(rs)-1]
 	offered := points(last, func(s *ferryexperiment.Second) float64 { return s.Offered / last.Bound })
-	if err := addLine(p, "offered", colors[2], offered); err != nil {
+	if err := addLine(p, "offered", lineColors[2], offered); err != nil {
 		return err
 	}
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-func plotFirst(path, name string, rs []*ferryexperiment.Result) error {
+func plotFirstToken(path, name string, rs []*ferryexperiment.Result) error {
 	p := newPlot(name+": first token of short work by second of arrival", "p99, s")
 	for i, r := range rs {
 		line := points(r, func(s *ferryexperiment.Second) float64 { return s.FirstP99.Seconds() })
-		if err := addLine(p, r.Policy.Name, colors[i%len(colors)], line); err != nil {
+		if err := addLine(p, r.Policy.Name, lineColors[i%len(lineColors)], line); err != nil {
 			return err
 		}
 	}
@@ -74,7 +75,7 @@
 			}
 			return 0
 		})
-		if err := addLine(p, "", colors[u%len(colors)], line); err != nil {
+		if err := addLine(p, "", lineColors[u%len(lineColors)], line); err != nil {
 			return err
 		}
 	}
--- a/ferrybench/ferryreport/text.go
+++ b/ferrybench/ferryreport/text.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferrybench/ferryexperiment"
 )
 
-// WriteText prints a result: a line for all calls, for each kind of call and for each customer.
+// WriteText writes a table with one line for all calls, one per kind of call and one per customer.
 func WriteText(w io.Writer, r *ferryexperiment.Result) error {
 	fmt.Fprintf(w, "workload %s, seed %d, policy %s (%s, %s)\n", r.Workload, r.Seed, r.Policy.Name, r.Policy.Queue, r.Policy.Route)
 	fmt.Fprintf(w, "bound %.0f tokens/s; %d refusals, %d of them later than 100 ms; %d resumed; %.2f%% of the work thrown away\n",
@@ -22,7 +22,7 @@
 	for _, g := range append(groups, r.Customers...) {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t", g.Name, g.Offered, g.Admitted, g.InTime, g.Late, g.Refused, g.Expired, g.Failed)
 		for _, d := range []time.Duration{g.Wait.P50, g.Wait.P99, g.First.P50, g.First.P95, g.First.P99, g.Answer.P50, g.Answer.P99, g.Between.P95} {
-			fmt.Fprintf(tw, "%s\t", round(d))
+			fmt.Fprintf(tw, "%s\t", roundDuration(d))
 		}
 		fmt.Fprintln(tw)
 	}
@@ -33,14 +33,14 @@
 	return err
 }
 
-func round(d time.Duration) time.Duration {
+func roundDuration(d time.Duration) time.Duration {
 	if d >= time.Second {
 		return d.Round(10 * time.Millisecond)
 	}
 	return d.Round(100 * time.Microsecond)
 }
 
-// WriteJSON writes a result to a file.
+// WriteJSON writes r to a file as indented JSON.
 func WriteJSON(path string, r any) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
