--- a/ferrybench/capacity.go
+++ b/ferrybench/capacity.go
@@ -10,36 +10,36 @@
 	"cactusferry.dev/ferrybench/ferrycapacity"
 )
 
-const capacityHelp = `Measures what the entries spend on acting together and prints the measured
-points, the slopes and the figures at the size that docs/CAPACITY.md plans for.
+const capacityHelp = `Measures the control overhead of the entries and prints the measured points, the
+linear fits and the extrapolation to the size planned in docs/CAPACITY.md.
 
-Cores run in this process on a clock of their own, so a run needs one core and
-no network:
+The entries are simulated in this process on a virtual clock, so a run uses one
+processor core and no network:
 
     ferrybench capacity
     ferrybench capacity --nodes 9 --nodes 50
 
-Real nodes over loopback, in this process:
+To measure real nodes over loopback, in this process:
 
     ferrybench capacity --real 9 --real 30 --seconds 30
 `
 
 type capacityCommand struct {
-	Nodes    []int   `long:"nodes" description:"a fleet size of cores to measure (default 9, 30, 50, 100, 200, 350)"`
-	Real     []int   `long:"real" description:"a fleet size of real nodes over loopback to measure instead"`
-	Seconds  int     `long:"seconds" default:"30" description:"how long real nodes are measured"`
-	Readings bool    `long:"readings" description:"only what reading the engines' loads costs; takes a second"`
-	Runners  float64 `long:"runners-per-node" default:"4.57" description:"runners whose load summaries are spread, for each node"`
+	Nodes    []int   `long:"nodes" description:"size of a simulated fleet; may be given again (default 9, 30, 50, 100, 200, 350)"`
+	Real     []int   `long:"real" description:"size of a fleet of real nodes over loopback to measure instead; may be given again"`
+	Seconds  int     `long:"seconds" default:"30" description:"duration of the measurement of real nodes in seconds"`
+	Readings bool    `long:"readings" description:"measure only the cost of reading the engines' loads; takes about a second"`
+	Runners  float64 `long:"runners-per-node" default:"4.57" description:"number of runners per node whose load summaries are exchanged"`
 }
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("capacity", "measure the entries' own spending", capacityHelp, &capacityCommand{})
+		_, err := p.AddCommand("capacity", "measure the control overhead of entries", capacityHelp, &capacityCommand{})
 		return err
 	})
 }
 
-// Execute measures and prints.
+// Execute runs the measurements and prints the tables.
 func (c *capacityCommand) Execute([]string) error {
 	if len(c.Real) > 0 {
 		return c.measureReal()
--- a/ferrybench/changes.go
+++ b/ferrybench/changes.go
@@ -8,26 +8,26 @@
 	"cactusferry.dev/ferrybench/ferrycapacity"
 )
 
-const changesHelp = `Measures what an edit of one line of a document costs an entry, spread whole
-and as the difference to the version before. The cores run in this process on a
-clock of their own:
+const changesHelp = `Measures the cost per entry of a change of one line of a document, sent in full
+and as a delta to the previous version. The entries are simulated in this process
+on a virtual clock:
 
     ferrybench changes --entries 9 --entries 100
 `
 
 type changesCommand struct {
-	Entries []int `long:"entries" description:"a number of entries to measure (default 9, 50, 100)"`
-	Sizes   []int `long:"size" description:"a document's size in KiB (default 20, 512)"`
+	Entries []int `long:"entries" description:"number of entries; may be given again (default 9, 50, 100)"`
+	Sizes   []int `long:"size" description:"size of the document in KiB; may be given again (default 20, 512)"`
 }
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("changes", "measure changes of documents", changesHelp, &changesCommand{})
+		_, err := p.AddCommand("changes", "measure the distribution of document changes", changesHelp, &changesCommand{})
 		return err
 	})
 }
 
-// Execute measures and prints.
+// Execute runs the measurements and prints the table.
 func (c *changesCommand) Execute([]string) error {
 	entries, sizes := c.Entries, c.Sizes
 	if len(entries) == 0 {
--- a/ferrybench/doc.go
+++ b/ferrybench/doc.go
@@ -1,2 +1,3 @@
-// Command ferrybench is described in its --help.
+// Command ferrybench runs simulated experiments, load tests and measurements of cactusferry. See its --help for the
+// subcommands.
 package main
--- a/ferrybench/figure.go
+++ b/ferrybench/figure.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// figure is one measure of one point, with both policies on the same arrivals.
+// figure is one measure of one point for both policies on the same arrivals.
 type figure struct {
 	Point    string  `json:"Point"`
 	Measure  string  `json:"Measure"`
@@ -21,7 +21,7 @@
 	Command  string  `json:"Command"`
 }
 
-// target is the stated bound of a measure; none has an empty Op.
+// target is the required bound of a measure; a measure without a target has an empty Op.
 type target struct {
 	Op    string  `json:"Op"`
 	Bound float64 `json:"Bound"`
@@ -67,7 +67,7 @@
 	return "missed"
 }
 
-// writeTable prints the figures as a Markdown table, aligned for a terminal too.
+// writeTable writes the figures as a Markdown table with aligned columns.
 func writeTable(w io.Writer, fs []figure) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| point\t| measure\t| target\t| baseline\t| now\t| verdict\t| command\t| seed\t|")
--- a/ferrybench/idle.go
+++ b/ferrybench/idle.go
@@ -10,8 +10,8 @@
 	"cactusferry.dev/ferrybench/ferryrelay"
 )
 
-const idleHelp = `Starts fleets of real ferryd processes of growing size and measures what an entry
-spends on acting together while no caller asks for anything.
+const idleHelp = `Starts fleets of ferryd processes of several sizes and measures the control
+overhead of an entry without calls.
 
 Example:
 
@@ -19,19 +19,19 @@
 
 type idleCommand struct {
 	Programs string        `long:"programs" default:"bin" description:"directory of ferryd, ferryctl and ferrystand"`
-	Entries  []int         `long:"entries" default:"9" default:"30" description:"sizes of the fleets"`
-	Engines  int           `long:"engines" default:"8" description:"engines of each fleet"`
-	Duration time.Duration `long:"duration" default:"20s" description:"how long each fleet is watched"`
+	Entries  []int         `long:"entries" default:"9" default:"30" description:"number of entries of a fleet; may be given again"`
+	Engines  int           `long:"engines" default:"8" description:"number of engines of each fleet"`
+	Duration time.Duration `long:"duration" default:"20s" description:"duration of the measurement of each fleet"`
 }
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("idle", "what entries spend on acting together", idleHelp, &idleCommand{})
+		_, err := p.AddCommand("idle", "measure the control overhead of idle entries", idleHelp, &idleCommand{})
 		return err
 	})
 }
 
-// Execute measures and prints a line a fleet.
+// Execute runs the measurements and prints one line per fleet.
 func (c *idleCommand) Execute([]string) error {
 	for _, n := range c.Entries {
 		r, err := ferryrelay.MeasureIdle(context.Background(), c.Programs, c.Engines, n, c.Duration)
--- a/ferrybench/limits.go
+++ b/ferrybench/limits.go
@@ -8,9 +8,9 @@
 	"cactusferry.dev/ferrybench/ferrycapacity"
 )
 
-const limitsHelp = `Measures what customers' limits cost an entry: a fifth of the customers call,
-each 8 times a second at any entry of its shard of 16. The cores run in this
-process on a clock of their own:
+const limitsHelp = `Measures the cost per entry of enforcing customers' limits: a fifth of the
+customers make 8 calls/s each, over the 16 entries of their shard. The entries
+are simulated in this process on a virtual clock:
 
     ferrybench limits
 `
@@ -19,12 +19,12 @@
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("limits", "measure customers' limits", limitsHelp, &limitsCommand{})
+		_, err := p.AddCommand("limits", "measure the cost of customers' limits", limitsHelp, &limitsCommand{})
 		return err
 	})
 }
 
-// Execute measures and prints.
+// Execute runs the measurements and prints the table.
 func (*limitsCommand) Execute([]string) error {
 	var ps []ferrycapacity.LimitPoint
 	for _, size := range [][2]int{{9, 10}, {9, 100}, {9, 1000}, {350, 1000}, {350, 4500}} {
--- a/ferrybench/livefault.go
+++ b/ferrybench/livefault.go
@@ -17,27 +17,28 @@
 	"cactusferry.dev/ferrystand/ferrystandengine"
 )
 
-// watchEvery is how often the entries are asked for the state of their upstreams.
-const watchEvery = 500 * time.Millisecond
+// statusInterval is the interval and timeout of status requests to the entries.
+const statusInterval = 500 * time.Millisecond
 
-// liveFleet is a fleet of processes that meets the faults of a workload, whose runners are its engines.
+// liveFleet is a fleet of processes into which the faults of a workload are injected. Runners of the workload
+// correspond to engines.
 type liveFleet struct {
 	*ferrydemo.Fleet
-	w       *ferryworkload.Workload
-	policy  livePolicy
-	tenants []ferrydemo.Tenant
-	mu      sync.Mutex
-	found   map[string]time.Duration
+	workload  *ferryworkload.Workload
+	policy    livePolicy
+	tenants   []ferrydemo.Tenant
+	mu        sync.Mutex
+	slowSince map[string]time.Duration
 }
 
-// bound is what the engines can do at a time by their stated rates and the faults so far, in tokens/s: each half of the layers
-// is held by half of them.
-func (l *liveFleet) bound(at time.Duration) float64 {
+// capacity returns the capacity of the engines in tokens/s at a time, after the faults so far. Engines with even and
+// odd indexes hold the two halves of the layers, and the slower half limits the capacity.
+func (l *liveFleet) capacity(at time.Duration) float64 {
 	rates := make([]float64, len(l.Engines))
 	for i, e := range l.Engines {
 		rates[i] = float64(e.TokensPerSecond)
 	}
-	for _, f := range l.w.Faults {
+	for _, f := range l.workload.Faults {
 		if time.Duration(f.At) > at {
 			continue
 		}
@@ -59,24 +60,24 @@
 	return min(halves[0], halves[1])
 }
 
-// playFaults brings the faults of the workload about, each at its time.
-func (l *liveFleet) playFaults(ctx context.Context) {
+// injectFaults injects the faults of the workload at their times.
+func (l *liveFleet) injectFaults(ctx context.Context) {
 	start := time.Now()
-	for _, f := range l.w.Faults {
+	for _, f := range l.workload.Faults {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Duration(f.At) - time.Since(start)):
 		}
 		for i := f.First; i < f.First+f.Count; i++ {
-			if err := l.fault(ctx, f, i); err != nil {
-				fmt.Fprintf(os.Stderr, "fault %s %d: %v\n", f.Kind, i, err)
+			if err := l.inject(ctx, f, i); err != nil {
+				fmt.Fprintf(os.Stderr, "inject fault %s into instance %d: %v\n", f.Kind, i, err)
 			}
 		}
 	}
 }
 
-func (l *liveFleet) fault(ctx context.Context, f ferryworkload.Fault, i int) error {
+func (l *liveFleet) inject(ctx context.Context, f ferryworkload.Fault, i int) error {
 	switch f.Kind {
 	case ferryworkload.FaultKill:
 		l.Engines[i].Process.Kill()
@@ -94,10 +95,10 @@
 	case ferryworkload.FaultDrainEntry:
 		return l.drain(ctx, l.Entries[i])
 	}
-	return fmt.Errorf("no such fault")
+	return fmt.Errorf("unknown kind of fault")
 }
 
-// heal starts a dead engine anew, and lets another go on as before.
+// heal restarts a dead engine, and resumes a live one without faults.
 func (l *liveFleet) heal(ctx context.Context, e *ferrydemo.Engine) error {
 	if err := e.Process.Signal(syscall.SIGCONT); err != nil {
 		return l.StartEngine(ctx, e)
@@ -109,7 +110,7 @@
 	return l.PutJSON(ctx, "http://"+e.Address+"/admin/faults", f)
 }
 
-// drain takes an entry away as the platform does: its row says so first.
+// drain removes an entry as the platform does: it registers the entry as leaving and then sends SIGTERM.
 func (l *liveFleet) drain(ctx context.Context, e *ferrydemo.Entry) error {
 	if err := l.Register(ctx, e, ferryplatform.StateLeaving); err != nil {
 		return err
@@ -117,10 +118,10 @@
 	return e.Process.Signal(syscall.SIGTERM)
 }
 
-// watch notes when an entry first takes an engine for slow.
+// watch polls the entries and records when one first reports an engine as slow.
 func (l *liveFleet) watch(ctx context.Context) {
 	start := time.Now()
-	t := time.NewTicker(watchEvery)
+	t := time.NewTicker(statusInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -129,13 +130,13 @@
 		case <-t.C:
 		}
 		for _, e := range l.Entries {
-			l.look(ctx, e, start)
+			l.recordSlow(ctx, e, start)
 		}
 	}
 }
 
-func (l *liveFleet) look(ctx context.Context, e *ferrydemo.Entry, start time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, watchEvery)
+func (l *liveFleet) recordSlow(ctx context.Context, e *ferrydemo.Entry, start time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, statusInterval)
 	defer cancel()
 	st, err := l.Admin(e).Status(ctx)
 	if err != nil {
@@ -145,8 +146,8 @@
 	defer l.mu.Unlock()
 	for _, sv := range st.Services {
 		for _, u := range sv.Upstreams {
-			if _, ok := l.found[string(u.Name)]; !ok && u.State == ferryroute.StateSlow {
-				l.found[string(u.Name)] = time.Since(start)
+			if _, ok := l.slowSince[string(u.Name)]; !ok && u.State == ferryroute.StateSlow {
+				l.slowSince[string(u.Name)] = time.Since(start)
 			}
 		}
 	}
@@ -155,5 +156,5 @@
 func (l *liveFleet) slowFound() map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.found)
+	return maps.Clone(l.slowSince)
 }
--- a/ferrybench/livefault_test.go
+++ b/ferrybench/livefault_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestBoundFollowsFaults(t *testing.T) {
-	l := &liveFleet{w: &ferryworkload.Workload{Faults: ferryworkload.Faults{
+	l := &liveFleet{workload: &ferryworkload.Workload{Faults: ferryworkload.Faults{
 		{At: ferryworkload.Duration(time.Second), Kind: ferryworkload.FaultKill, First: 0, Count: 1},
 		{At: ferryworkload.Duration(2 * time.Second), Kind: ferryworkload.FaultSlow, First: 1, Count: 2, Factor: 0.5},
 		{At: ferryworkload.Duration(3 * time.Second), Kind: ferryworkload.FaultHeal, First: 0, Count: 3},
@@ -25,16 +25,16 @@
 		at   time.Duration
 		want float64
 	}{{0, 200}, {time.Second, 100}, {2 * time.Second, 50}, {3 * time.Second, 200}} {
-		assert.Equal(t, l.bound(tt.at), tt.want, "%s", tt.at)
+		assert.Equal(t, l.capacity(tt.at), tt.want, "%s", tt.at)
 	}
 }
 
-func TestUnevenCountsEntriesThatStay(t *testing.T) {
-	l := &liveFleet{Fleet: &ferrydemo.Fleet{}, w: &ferryworkload.Workload{Faults: ferryworkload.Faults{
+func TestImbalanceIgnoresRemovedEntries(t *testing.T) {
+	l := &liveFleet{Fleet: &ferrydemo.Fleet{}, workload: &ferryworkload.Workload{Faults: ferryworkload.Faults{
 		{At: ferryworkload.Duration(2 * time.Second), Kind: ferryworkload.FaultKillEntry, First: 0, Count: 1},
 	}}}
 	l.Entries = []*ferrydemo.Entry{{Callers: "a"}, {Callers: "b"}, {Callers: "c"}}
 	r := &liveRun{Summary: &ferryload.Summary{Sent: map[string][]int{"a": {6, 6}, "b": {3, 3, 10}, "c": {3, 3, 30}}}, fleet: l}
-	assert.Equal(t, r.uneven(0, 2*time.Second), 1.5)
-	assert.Equal(t, r.uneven(2*time.Second, 3*time.Second), 1.5)
+	assert.Equal(t, r.imbalance(0, 2*time.Second), 1.5)
+	assert.Equal(t, r.imbalance(2*time.Second, 3*time.Second), 1.5)
 }
--- a/ferrybench/livepoint.go
+++ b/ferrybench/livepoint.go
@@ -9,17 +9,17 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// livePoint is one of the numbered demands, measured over real processes.
+// livePoint is one of the numbered targets, measured with real processes.
 type livePoint struct {
 	number   int
 	workload string
-	// presentOnly leaves the baseline out where the policy has no part in it.
+	// presentOnly skips the baseline because the result does not depend on the policy.
 	presentOnly bool
-	measure     func(play livePlayer, w *ferryworkload.Workload) (measures, error)
+	measure     func(play liveRunner, w *ferryworkload.Workload) (measures, error)
 }
 
-// livePlayer runs a workload with one policy; keep is how long callers hold steering answers at least.
-type livePlayer func(w *ferryworkload.Workload, name string, keep time.Duration) (*liveRun, error)
+// liveRunner runs a workload with one policy; keep is the minimum time for which callers cache steering answers.
+type liveRunner func(w *ferryworkload.Workload, name string, keep time.Duration) (*liveRun, error)
 
 var livePoints = []livePoint{
 	{number: 2, workload: "live-crest", measure: liveCrest},
@@ -30,7 +30,7 @@
 	{number: 7, workload: "live-steer", measure: liveSteer, presentOnly: true},
 }
 
-// measurePoint runs the policies on the same arrivals; a figure that was not measured is not a number.
+// measurePoint runs the policies on the same arrivals. A figure that was not measured is NaN.
 func (c *liveCommand) measurePoint(p livePoint) ([]figure, error) {
 	var base, now measures
 	var seed uint64
@@ -46,7 +46,7 @@
 		ms, err := p.measure(func(w *ferryworkload.Workload, name string, keep time.Duration) (*liveRun, error) {
 			own := *w
 			own.Phases = append(ferryworkload.Phases{}, w.Phases...)
-			return c.play(&own, policy, name, keep)
+			return c.run(&own, policy, name, keep)
 		}, w)
 		if err != nil {
 			return nil, err
@@ -71,39 +71,39 @@
 
 func faultAt(w *ferryworkload.Workload, i int) time.Duration { return time.Duration(w.Faults[i].At) }
 
-func liveCrest(play livePlayer, w *ferryworkload.Workload) (measures, error) {
+func liveCrest(play liveRunner, w *ferryworkload.Workload) (measures, error) {
 	r, err := play(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
 	from := phaseAt(w, 1) + time.Duration(w.Phases[1].Ramp)
-	return crestMeasures(w, r.Result, from, phaseAt(w, 2)), nil
+	return peakMeasures(w, r.Result, from, phaseAt(w, 2)), nil
 }
 
-// lostCalls are the rows that say what became of the calls.
-func lostCalls(r *liveRun) measures {
+// lossMeasures returns the measures of lost calls and resumed streams.
+func lossMeasures(r *liveRun) measures {
 	return measures{
-		{"calls lost: failed or never ended", "calls", atMost(0), float64(lost(&r.Result.All))},
+		{"calls lost: failed or never ended", "calls", atMost(0), float64(lostCount(&r.Result.All))},
 		{"streams resumed by callers", "streams", target{}, float64(r.Resumed)},
 		{"refusals of streams that had begun", "refusals", atMost(0), float64(r.RefusedResumes)},
 		{"streams with more or fewer tokens than asked for", "streams", atMost(0), float64(r.Uneven)},
 	}
 }
 
-func liveRecovery(play livePlayer, w *ferryworkload.Workload) (measures, error) {
+func liveRecovery(play liveRunner, w *ferryworkload.Workload) (measures, error) {
 	r, err := play(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
-	// The first fault is one engine's, the last an entry's; after the first has healed a failure domain goes.
+	// Faults: an engine fails, heals, a failure domain fails, and finally an entry fails.
 	return append(measures{
-		{"back above 90% of the new bound or of the load after 1 engine died", "s", atMost(recoverWithin), recovery(r.Result, faultAt(w, 0))},
-		{"the same after a failure domain's third of the engines died", "s", atMost(recoverWithin), recovery(r.Result, faultAt(w, 2))},
-		{"the same after an entry died", "s", atMost(recoverWithin), recovery(r.Result, faultAt(w, len(w.Faults)-1))},
-	}, lostCalls(r)...), nil
+		{"back above 90% of the new bound or of the load after 1 engine died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 0))},
+		{"the same after a failure domain's third of the engines died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 2))},
+		{"the same after an entry died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, len(w.Faults)-1))},
+	}, lossMeasures(r)...), nil
 }
 
-func liveSlow(play livePlayer, w *ferryworkload.Workload) (measures, error) {
+func liveSlow(play liveRunner, w *ferryworkload.Workload) (measures, error) {
 	r, err := play(w, w.Name, 0)
 	if err != nil {
 		return nil, err
@@ -122,22 +122,22 @@
 		}
 	}
 	return append(measures{
-		{"all slow engines found", "s", atMost(recoverWithin), worst},
+		{"all slow engines found", "s", atMost(maxRecoverySeconds), worst},
 		{"sound engines taken for slow", "engines", atMost(0), float64(wrong)},
-		{"back above 90% after two engines turned slow", "s", atMost(recoverWithin), recovery(r.Result, faultAt(w, 0))},
-		{"the same after an engine froze", "s", atMost(recoverWithin), recovery(r.Result, faultAt(w, 2))},
+		{"back above 90% after two engines turned slow", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 0))},
+		{"the same after an engine froze", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 2))},
 		{"answer p99", "s", target{}, r.Result.All.Answer.P99.Seconds()},
-	}, lostCalls(r)...), nil
+	}, lossMeasures(r)...), nil
 }
 
-func liveFairness(play livePlayer, w *ferryworkload.Workload) (measures, error) {
+func liveFairness(play liveRunner, w *ferryworkload.Workload) (measures, error) {
 	full := *w
 	full.Phases = ferryworkload.Phases{{Load: 1}}
 	var runs []*liveRun
 	for _, x := range []struct {
 		name string
 		w    *ferryworkload.Workload
-	}{{"live-fairness-80", w}, {"live-fairness-80-loud", withHog(w)}, {"live-fairness-100", &full}, {"live-fairness-100-loud", withHog(&full)}} {
+	}{{"live-fairness-80", w}, {"live-fairness-80-loud", withLoudCustomer(w)}, {"live-fairness-100", &full}, {"live-fairness-100-loud", withLoudCustomer(&full)}} {
 		r, err := play(x.w, x.name, 0)
 		if err != nil {
 			return nil, err
@@ -146,7 +146,7 @@
 	}
 	wait, inTime := 0.0, 1.0
 	for _, c := range w.Customers {
-		if c.Name != hog {
+		if c.Name != loudCustomer {
 			g := runs[1].Result.Customer(c.Name)
 			wait = max(wait, g.First.P99.Seconds())
 			inTime = min(inTime, share(g.InTime, g.Offered))
@@ -154,15 +154,15 @@
 	}
 	loud := runs[1].Result
 	return measures{
-		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), move(w, runs[0].Result, loud, answerP99)},
-		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), move(w, runs[2].Result, runs[3].Result, answerP99)},
+		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), worstRatio(w, runs[0].Result, loud, answerP99)},
+		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), worstRatio(w, runs[2].Result, runs[3].Result, answerP99)},
 		{"worst p99 first token of another customer, at 80%", "s", target{}, wait},
 		{"least share of another customer's calls in time, at 80%", "of calls", target{}, inTime},
 		{"throughput, as a check that unused shares are used", "of bound", target{}, loud.Mean(time.Duration(w.Warmup), time.Duration(w.Duration), served) / loud.Bound},
 	}, nil
 }
 
-func liveEntries(play livePlayer, w *ferryworkload.Workload) (measures, error) {
+func liveEntries(play liveRunner, w *ferryworkload.Workload) (measures, error) {
 	r, err := play(w, w.Name, 0)
 	if err != nil {
 		return nil, err
@@ -179,31 +179,32 @@
 		{"throughput of nine entries over that of one", "x", atLeast(0.97), many / knows.Result.Mean(from, to, served)},
 		{"throughput of nine entries", "of bound", target{}, many / r.Result.Bound},
 		{"first token p95 of 9 entries over that of one", "x", target{}, ratio(r.Result.All.First.P95, knows.Result.All.First.P95)},
-		{"calls lost with nine entries: failed or never ended", "calls", atMost(0), float64(lost(&r.Result.All))},
+		{"calls lost with nine entries: failed or never ended", "calls", atMost(0), float64(lostCount(&r.Result.All))},
 	}, nil
 }
 
-// steerKeep is how long callers hold their steering answers in point 7.
-const steerKeep = time.Minute
+// steeringLifetime is the minimum time for which callers cache steering answers in point 7.
+const steeringLifetime = time.Minute
 
-func liveSteer(play livePlayer, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, steerKeep)
+func liveSteer(play liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := play(w, w.Name, steeringLifetime)
 	if err != nil {
 		return nil, err
 	}
 	end := time.Duration(w.Duration)
 	return append(measures{
-		{"entries' tries over the mean, answers kept for a minute, before the wave", "x", atMost(1.25), r.uneven(time.Duration(w.Warmup), phaseAt(w, 1))},
-		{"the same in the wave", "x", atMost(1.25), r.uneven(phaseAt(w, 1), phaseAt(w, 2))},
-		{"the same after an entry died", "x", atMost(1.25), r.uneven(faultAt(w, 0), faultAt(w, 1))},
-		{"the same while and after an entry was drained", "x", atMost(1.25), r.uneven(faultAt(w, 1), end)},
-	}, lostCalls(r)...), nil
+		{"entries' tries over the mean, answers kept for a minute, before the wave", "x", atMost(1.25), r.imbalance(time.Duration(w.Warmup), phaseAt(w, 1))},
+		{"the same in the wave", "x", atMost(1.25), r.imbalance(phaseAt(w, 1), phaseAt(w, 2))},
+		{"the same after an entry died", "x", atMost(1.25), r.imbalance(faultAt(w, 0), faultAt(w, 1))},
+		{"the same while and after an entry was drained", "x", atMost(1.25), r.imbalance(faultAt(w, 1), end)},
+	}, lossMeasures(r)...), nil
 }
 
-// uneven is the most tries that an entry got in a time over the mean of those that were there to its end.
-func (r *liveRun) uneven(from, to time.Duration) float64 {
+// imbalance returns the maximum number of tries per entry between two times divided by the mean. Entries that were
+// removed before the end are ignored.
+func (r *liveRun) imbalance(from, to time.Duration) float64 {
 	gone := map[int]bool{}
-	for _, f := range r.fleet.w.Faults {
+	for _, f := range r.fleet.workload.Faults {
 		if f.Kind == ferryworkload.FaultKillEntry || f.Kind == ferryworkload.FaultDrainEntry {
 			gone[f.First] = gone[f.First] || time.Duration(f.At) < to
 		}
--- a/ferrybench/load.go
+++ b/ferrybench/load.go
@@ -24,50 +24,51 @@
 
 func init() { subcommands = append(subcommands, addLoad) }
 
-// loadCommand plays a workload against live entries.
+// loadCommand sends the calls of a workload to running entries.
 type loadCommand struct {
-	Entries  []string      `long:"entry" required:"true" description:"address of an entry to ask first; may be given again"`
+	Entries  []string      `long:"entry" required:"true" description:"address of a seed entry for steering; may be given again"`
 	Service  string        `long:"service" default:"herd-llm" description:"model service"`
 	Plain    string        `long:"plain" default:"parlour-api" description:"plain service, for kinds of calls with a path"`
-	Workload string        `long:"workload" default:"stoyanovi" description:"a file, or the name of a workload that comes with ferrybench"`
-	Keys     []string      `long:"key" description:"CUSTOMER=KEY; may be given again; one without customer is used for all"`
-	Capacity float64       `long:"capacity" default:"1000" description:"what the engines do together, in tokens/s; the workload's load is relative to it"`
-	Duration time.Duration `long:"duration" description:"stop sending after this long; 0 is the workload's own"`
-	MaxOpen  int           `long:"max-open" default:"5000" description:"calls open at once; arrivals beyond are counted as unsent"`
+	Workload string        `long:"workload" default:"stoyanovi" description:"a file or the name of an embedded workload"`
+	Keys     []string      `long:"key" description:"API key as CUSTOMER=KEY, or KEY for all customers; may be given again"`
+	Capacity float64       `long:"capacity" default:"1000" description:"total rate of the engines in tokens/s; the workload's load is relative to it"`
+	Duration time.Duration `long:"duration" description:"duration of the load; 0 uses the workload's"`
+	MaxOpen  int           `long:"max-open" default:"5000" description:"maximum number of open calls; further arrivals are counted as unsent"`
 	Out      string        `long:"out" default:"out" description:"directory for the JSON report and plots; empty for none"`
 }
 
 func addLoad(p *flags.Parser) error {
-	_, err := p.AddCommand("load", "play a workload against live entries",
-		`Sends the calls of a workload at their times, never waiting for answers, and counts waiting from the intended arrival. Asks
-GET /v1/entries for the entry to use and keeps the answer for its lifetime. Refused calls come back after Retry-After as the
-workload's callers do.
+	_, err := p.AddCommand("load", "send the calls of a workload to running entries",
+		`Sends the calls of a workload in an open loop and measures latencies from the intended arrival. Requests GET /v1/entries
+for the entry to use and caches the answer for its lifetime. Refused calls are retried after Retry-After as configured
+in the workload.
 
 Example:
   ferrybench load --entry 127.0.0.1:8080 --key demo-key --workload stoyanovi --capacity 400 --duration 30s`, &loadCommand{})
 	return err
 }
 
-// Execute is called by go-flags.
+// Execute runs the load and prints the report.
 func (c *loadCommand) Execute([]string) error {
 	w, err := readWorkload(c.Workload)
 	if err != nil {
 		return err
 	}
-	arrivals := scaled(w, c.Capacity, c.Duration)
+	arrivals := scaledArrivals(w, c.Capacity, c.Duration)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	s := ferryload.Run(ctx, c.config(w), w, arrivals)
 	s.Result.Bound = c.Capacity
 	if err := ferryreport.WriteText(os.Stdout, s.Result); err != nil {
-		return merry.Prepend(err, "print report")
+		return merry.Prepend(err, "print text report")
 	}
 	fmt.Printf("%d arrivals unsent because %d calls were open; %d failures that may have run\n", s.Unsent, c.MaxOpen, s.Unknown)
 	return c.save(w.Name, s)
 }
 
-// scaled draws the arrivals for a fleet of another capacity than the workload's own.
-func scaled(w *ferryworkload.Workload, capacity float64, d time.Duration) []ferryworkload.Arrival {
+// scaledArrivals returns the arrivals with the load scaled from the workload's bound to a capacity in tokens/s. It
+// changes w.
+func scaledArrivals(w *ferryworkload.Workload, capacity float64, d time.Duration) []ferryworkload.Arrival {
 	factor := capacity / w.Bound()
 	for i := range w.Phases {
 		w.Phases[i].Load *= factor
@@ -105,10 +106,10 @@
 		return nil
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return merry.Prepend(err, "make directory for the report")
+		return merry.Prepend(err, "create directory for the report")
 	}
 	if err := ferryreport.WriteJSON(filepath.Join(c.Out, name+"-live.json"), s); err != nil {
-		return merry.Prepend(err, "write report")
+		return merry.Prepend(err, "write JSON report")
 	}
 	return merry.Prepend(ferryreport.Plot(c.Out, name+"-live", []*ferryexperiment.Result{s.Result}), "draw plots")
 }
--- a/ferrybench/main.go
+++ b/ferrybench/main.go
@@ -6,9 +6,9 @@
 	"cactusferry.dev/ferrystand/ferrycommand"
 )
 
-// subcommands are added by the file of each one.
+// subcommands is filled by the init functions of the files of the subcommands.
 var subcommands []ferrycommand.Adder
 
 func main() {
-	os.Exit(ferrycommand.Run("ferrybench", "load and experiments for cactusferry", subcommands, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(ferrycommand.Run("ferrybench", "load tests, experiments and measurements for cactusferry", subcommands, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/ferrybench/orders.go
+++ b/ferrybench/orders.go
@@ -8,15 +8,16 @@
 	"cactusferry.dev/ferrybench/ferrycapacity"
 )
 
-const ordersHelp = `Measures the orders to one service's engines: the time in which a new holder
-brings all to another version, and the readings at rest, reading by groups and
-as it was before. The core runs in this process on a clock of its own:
+const ordersHelp = `Measures the orders to the engines of one service: the time in which a new lease
+holder moves all engines to another version, and the reads without open orders.
+It compares reading in groups with the former design, in which the holder reads
+all engines. Holder and engines are simulated in this process on a virtual clock:
 
     ferrybench orders --engines 4 --engines 1600
 `
 
 type ordersCommand struct {
-	Engines []int `long:"engines" description:"a number of engines to measure (default 4, 40, 160, 1600)"`
+	Engines []int `long:"engines" description:"number of engines; may be given again (default 4, 40, 160, 1600)"`
 }
 
 func init() {
@@ -26,7 +27,7 @@
 	})
 }
 
-// Execute measures and prints.
+// Execute runs the measurements and prints the table.
 func (c *ordersCommand) Execute([]string) error {
 	sizes := c.Engines
 	if len(sizes) == 0 {
--- a/ferrybench/point.go
+++ b/ferrybench/point.go
@@ -11,14 +11,14 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// point is one of the numbered demands on the policy, measured with one workload.
+// point is one of the numbered targets for the policy, measured with one workload.
 type point struct {
 	number   int
 	workload string
 	measure  func(*ferryworkload.Workload, ferryexperiment.Policy) (measures, *ferryexperiment.Result)
 }
 
-// measure is one figure of one run.
+// measure is the value and target of one quantity.
 type measure struct {
 	name   string
 	unit   string
@@ -66,8 +66,8 @@
 func inTime(s *ferryexperiment.Second) float64  { return s.InTime }
 func offered(s *ferryexperiment.Second) float64 { return s.Offered }
 
-// without returns the arrivals that are not stragglers.
-func without(as []ferryworkload.Arrival) []ferryworkload.Arrival {
+// withoutStragglers returns the arrivals except stragglers.
+func withoutStragglers(as []ferryworkload.Arrival) []ferryworkload.Arrival {
 	var out []ferryworkload.Arrival
 	for _, a := range as {
 		if !a.Kind.Straggler {
@@ -80,7 +80,7 @@
 func measureHolding(w *ferryworkload.Workload, p ferryexperiment.Policy) (measures, *ferryexperiment.Result) {
 	as := w.Arrivals()
 	r := ferryexperiment.Run(w, as, p)
-	alone := ferryexperiment.Run(w, without(as), p)
+	alone := ferryexperiment.Run(w, withoutStragglers(as), p)
 	short, long := r.Kind("question"), r.Kind("robot-log")
 	unfinished := long.Offered - long.InTime - long.Late
 	return measures{
@@ -91,20 +91,20 @@
 	}, r
 }
 
-// The crest of the workload: its rise is over at crestFrom and it falls at crestTo.
+// The load peak of the workload crest: the load rises from riseStart on and is at its maximum from peakStart to peakEnd.
 const (
-	crestRise = 60 * time.Second
-	crestFrom = 61 * time.Second
-	crestTo   = 90 * time.Second
+	riseStart = 60 * time.Second
+	peakStart = 61 * time.Second
+	peakEnd   = 90 * time.Second
 )
 
 func measureCrest(w *ferryworkload.Workload, p ferryexperiment.Policy) (measures, *ferryexperiment.Result) {
 	r := ferryexperiment.Run(w, w.Arrivals(), p)
-	return crestMeasures(w, r, crestFrom, crestTo), r
+	return peakMeasures(w, r, peakStart, peakEnd), r
 }
 
-// crestMeasures are the figures of a run whose crest is between two times.
-func crestMeasures(w *ferryworkload.Workload, r *ferryexperiment.Result, from, to time.Duration) measures {
+// peakMeasures returns the measures of a run with a load peak between two times.
+func peakMeasures(w *ferryworkload.Workload, r *ferryexperiment.Result, from, to time.Duration) measures {
 	g := &r.All
 	return measures{
 		{"admitted work that meets its deadline", "of admitted", atLeast(0.95), share(g.InTime, g.Admitted)},
@@ -114,12 +114,13 @@
 		{"goodput from the end of the rise to the fall", "of capacity", atLeast(0.95), r.Mean(from, to, inTime) / r.Bound},
 		{"refusals within 100 ms", "of refusals", atLeast(1), 1 - share(r.LateRefusals, r.Refusals)},
 		{"tries for each call", "x", target{}, 1 + share(r.Refusals, g.Offered)},
-		{"least admitted share of a customer over its fair part", "x", target{}, leastFair(w, r)},
+		{"least admitted share of a customer over its fair part", "x", target{}, minFairShare(w, r)},
 	}
 }
 
-// leastFair is the work in time of the customer that got least for its share, over what its share stands for.
-func leastFair(w *ferryworkload.Workload, r *ferryexperiment.Result) float64 {
+// minFairShare returns the minimum over customers of the work served in time divided by the customer's fair share of
+// it.
+func minFairShare(w *ferryworkload.Workload, r *ferryexperiment.Result) float64 {
 	sum, shares := 0.0, 0.0
 	for _, c := range w.Customers {
 		sum += r.Customer(c.Name).Work
@@ -156,28 +157,30 @@
 	}, with
 }
 
-// recoverWithin is the time in which throughput must be back.
-const recoverWithin = 5
+// maxRecoverySeconds is the maximum time to recover after a fault, in seconds.
+const maxRecoverySeconds = 5
 
 func measureRecovery(w *ferryworkload.Workload, p ferryexperiment.Policy) (measures, *ferryexperiment.Result) {
 	r := ferryexperiment.Run(w, w.Arrivals(), p)
 	at := func(i int) time.Duration { return time.Duration(w.Faults[i].At) }
 	last := len(w.Faults) - 1
 	return measures{
-		{"back above 90% of the new bound or of the load after 1 runner died", "s", atMost(recoverWithin), recovery(r, at(0))},
-		{"the same after a third of the runners died", "s", atMost(recoverWithin), recovery(r, at(1))},
-		{"the same after an entry died", "s", atMost(recoverWithin), recovery(r, at(last))},
-		{"calls lost: failed or never ended", "calls", atMost(0), float64(lost(&r.All))},
+		{"back above 90% of the new bound or of the load after 1 runner died", "s", atMost(maxRecoverySeconds), recoverySeconds(r, at(0))},
+		{"the same after a third of the runners died", "s", atMost(maxRecoverySeconds), recoverySeconds(r, at(1))},
+		{"the same after an entry died", "s", atMost(maxRecoverySeconds), recoverySeconds(r, at(last))},
+		{"calls lost: failed or never ended", "calls", atMost(0), float64(lostCount(&r.All))},
 	}, r
 }
 
-// lost is how many calls failed or never ended.
-func lost(g *ferryexperiment.Group) int {
+// lostCount returns the number of calls that failed or never ended.
+func lostCount(g *ferryexperiment.Group) int {
 	return g.Offered - g.InTime - g.Late - g.Refused - g.Expired
 }
 
-// recovery is the time from a fault until throughput stays, in the mean of 5 s, above 90% of what can be had.
-func recovery(r *ferryexperiment.Result, fault time.Duration) float64 {
+// recoverySeconds returns the seconds from a fault until the 5 s mean of the throughput reaches 90 % of the possible
+// throughput, which is the lower of the load before the fault and the bound. It returns +Inf if that takes 40 s or
+// more.
+func recoverySeconds(r *ferryexperiment.Result, fault time.Duration) float64 {
 	const window = 5 * time.Second
 	load := r.Mean(fault-20*time.Second, fault, offered)
 	for t := fault; t < fault+40*time.Second; t += time.Second {
@@ -210,30 +213,30 @@
 		}
 	}
 	return measures{
-		{"all slow runners found", "s", atMost(recoverWithin), worst},
+		{"all slow runners found", "s", atMost(maxRecoverySeconds), worst},
 		{"sound runners taken for slow", "runners", atMost(0), float64(wrong)},
 		{"answer p99 with slow runners over that without", "x", target{}, ratio(r.All.Answer.P99, before.All.Answer.P99)},
 	}, r
 }
 
-// hog is the customer that sends ten times its share.
+// loudCustomer is the customer that sends loudFactor times its share.
 const (
-	hog       ferryid.CustomerName = "parlour-1"
-	hogFactor                      = 10
+	loudCustomer ferryid.CustomerName = "parlour-1"
+	loudFactor                        = 10
 )
 
 func measureFairness(w *ferryworkload.Workload, p ferryexperiment.Policy) (measures, *ferryexperiment.Result) {
 	even := ferryexperiment.Run(w, w.Arrivals(), p)
-	loud := withHog(w)
+	loud := withLoudCustomer(w)
 	r := ferryexperiment.Run(loud, loud.Arrivals(), p)
 	full := *w
 	full.Phases = ferryworkload.Phases{{Load: 1}}
 	fullEven := ferryexperiment.Run(&full, full.Arrivals(), p)
-	fullLoud := withHog(&full)
+	fullLoud := withLoudCustomer(&full)
 	fullRun := ferryexperiment.Run(fullLoud, fullLoud.Arrivals(), p)
 	wait, inTime := 0.0, 1.0
 	for _, c := range w.Customers {
-		if c.Name != hog {
+		if c.Name != loudCustomer {
 			g := r.Customer(c.Name)
 			wait = max(wait, g.Wait.P99.Seconds())
 			inTime = min(inTime, share(g.InTime, g.Offered))
@@ -243,41 +246,41 @@
 	p.ExcessShare = boundedExcess
 	bounded := ferryexperiment.Run(loud, loud.Arrivals(), p)
 	return measures{
-		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), move(w, even, r, answerP99)},
-		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), move(w, fullEven, fullRun, answerP99)},
+		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), worstRatio(w, even, r, answerP99)},
+		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), worstRatio(w, fullEven, fullRun, answerP99)},
 		{"worst p99 wait for a slot of another customer, at 80%", "s", target{}, wait},
 		{"least share of another customer's calls in time, at 80%", "of calls", target{}, inTime},
 		{"throughput, as a check that unused shares are used", "of bound", target{}, r.Mean(from, to, served) / r.Bound},
-		{fmt.Sprintf("worst move at 80%% with ExcessShare = %v", boundedExcess), "x", target{}, move(w, even, bounded, answerP99)},
+		{fmt.Sprintf("worst move at 80%% with ExcessShare = %v", boundedExcess), "x", target{}, worstRatio(w, even, bounded, answerP99)},
 		{"throughput with it", "of bound", target{}, bounded.Mean(from, to, served) / r.Bound},
 	}, r
 }
 
-// boundedExcess is the part of the slots for work beyond customers' shares, where a document bounds it.
+// boundedExcess is the share of the slots for work beyond customers' shares in the runs with a limited ExcessShare.
 const boundedExcess = 0.1
 
 func answerP99(g *ferryexperiment.Group) time.Duration { return g.Answer.P99 }
 
-// move is the worst ratio of a figure of any customer but the hog.
-func move(w *ferryworkload.Workload, a, b *ferryexperiment.Result, figure func(*ferryexperiment.Group) time.Duration) float64 {
+// worstRatio returns the maximum ratio of a figure in b to that in a over all customers except the hog.
+func worstRatio(w *ferryworkload.Workload, a, b *ferryexperiment.Result, figure func(*ferryexperiment.Group) time.Duration) float64 {
 	worst := 0.0
 	for _, c := range w.Customers {
-		if c.Name != hog {
+		if c.Name != loudCustomer {
 			worst = max(worst, ratio(figure(b.Customer(c.Name)), figure(a.Customer(c.Name))))
 		}
 	}
 	return worst
 }
 
-func withHog(w *ferryworkload.Workload) *ferryworkload.Workload {
+func withLoudCustomer(w *ferryworkload.Workload) *ferryworkload.Workload {
 	loud := *w
 	loud.Customers = append(ferryworkload.Customers{}, w.Customers...)
 	before, after := 0.0, 0.0
 	for i := range loud.Customers {
 		c := &loud.Customers[i]
 		before += c.Load
-		if c.Name == hog {
-			c.Load *= hogFactor
+		if c.Name == loudCustomer {
+			c.Load *= loudFactor
 		}
 		after += c.Load
 	}
--- a/ferrybench/point_test.go
+++ b/ferrybench/point_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/golden"
 )
 
-func TestShippedWorkloadsAreSound(t *testing.T) {
+func TestEmbeddedWorkloadsAreValid(t *testing.T) {
 	files, err := workloads.ReadDir("workloads")
 	assert.NilError(t, err)
 	for _, f := range files {
--- a/ferrybench/relay.go
+++ b/ferrybench/relay.go
@@ -11,9 +11,9 @@
 )
 
 const relayHelp = `Starts a platform, two engines and one ferryd and measures that ferryd: tokens
-passed on for each second of processor time, the time to the first token
-through it and directly from the engines in the same run, and its memory idle
-and for each 1,000 open streams.
+relayed per second of processor time, the time to the first token through it and
+directly from the engines in the same run, and its memory when idle and per
+1,000 open streams.
 
 Example:
 
@@ -21,19 +21,19 @@
 
 type relayCommand struct {
 	Programs string `long:"programs" default:"bin" description:"directory of ferryd, ferryctl and ferrystand"`
-	Tokens   int    `long:"tokens" default:"500" description:"tokens of each stream"`
-	Rounds   int    `long:"rounds" default:"20" description:"streams of each of 64 callers"`
-	Open     int    `long:"open" default:"1000" description:"streams held open for the memory"`
+	Tokens   int    `long:"tokens" default:"500" description:"number of tokens per stream"`
+	Rounds   int    `long:"rounds" default:"20" description:"number of streams of each of 64 callers"`
+	Open     int    `long:"open" default:"1000" description:"number of streams held open to measure memory"`
 }
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("relay", "what passing tokens on costs one ferryd", relayHelp, &relayCommand{})
+		_, err := p.AddCommand("relay", "measure the cost of relaying streams through one ferryd", relayHelp, &relayCommand{})
 		return err
 	})
 }
 
-// Execute measures and prints.
+// Execute runs the measurements and prints the results.
 func (c *relayCommand) Execute([]string) error {
 	r, err := ferryrelay.Measure(context.Background(), ferryrelay.Config{Programs: c.Programs, Tokens: c.Tokens, Rounds: c.Rounds, Open: c.Open})
 	if err != nil {
--- a/ferrybench/target_test.go
+++ b/ferrybench/target_test.go
@@ -11,13 +11,13 @@
 	"cactusferry.dev/ferrybench/ferryexperiment"
 )
 
-// missed are the stated targets that the policy does not meet; docs/MEASUREMENTS.md says why.
+// missed are the stated targets that the policy does not meet; docs/MEASUREMENTS.md explains why.
 var missed = map[string]bool{
 	"worst move of another's p99 answer time, all others at 80% of their shares": true,
 }
 
-// TestStatedTargets holds the present policy to the stated targets on the virtual clock; an experiment has one goroutine, so
-// make targets runs it without the race detector, under which it takes minutes.
+// TestStatedTargets checks the present policy against the stated targets on a virtual clock. It is excluded from race
+// builds because it takes minutes with the race detector; experiments use one goroutine, and make targets runs it.
 func TestStatedTargets(t *testing.T) {
 	for _, p := range points {
 		t.Run(fmt.Sprintf("%d-%s", p.number, p.workload), func(t *testing.T) {
--- a/ferrybench/weigh.go
+++ b/ferrybench/weigh.go
@@ -16,35 +16,35 @@
 
 func init() { subcommands = append(subcommands, addWeigh) }
 
-// weighCommand compares ways that were weighed for the present policy.
+// weighCommand compares variants of the present policy.
 type weighCommand struct{}
 
 func addWeigh(p *flags.Parser) error {
-	_, err := p.AddCommand("weigh", "compare the ways weighed for the present policy",
-		`Runs variants of the present policy on the same arrivals, one table for each question: predictions, costs, choices,
-waiting list, prefix affinity, and what nine entries know of each other. docs/design/0004 discusses them.
+	_, err := p.AddCommand("weigh", "compare variants of the present policy",
+		`Runs variants of the present policy on the same arrivals and prints one table per question: prediction, cost functions,
+choices, waiting list, prefix affinity, and exchange of load between nine entries. docs/design/0004 discusses them.
 
 Example:
   ferrybench weigh`, &weighCommand{})
 	return err
 }
 
-// variant is one way to do it.
+// variant is a named change of the workload or the policy.
 type variant struct {
 	name   string
 	change func(*ferryworkload.Workload, *ferryexperiment.Policy)
 }
 
-func routed(o ferryroute.Options) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
+func withRoute(o ferryroute.Options) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
 	return func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) { w.Route = o }
 }
 
-func predicted(p ferryworkload.Prediction) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
+func withPrediction(p ferryworkload.Prediction) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
 	return func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) { w.Prediction = p }
 }
 
-// summarised lets entries tell each other what they have outstanding, five times a second and 300 ms late.
-func summarised(o ferryroute.Options) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
+// withSummaries has entries exchange summaries of their outstanding work every 200 ms with a delay of 300 ms.
+func withSummaries(o ferryroute.Options) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
 	return func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) {
 		w.Route = o
 		w.Reports.Every = ferryworkload.Duration(200 * time.Millisecond)
@@ -52,10 +52,10 @@
 	}
 }
 
-// loud has one customer send ten times its share to runners of the given curve.
-func loud(c ferryworkload.Curve) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
+// withCurve has one customer send ten times its share, to runners with the given curve.
+func withCurve(c ferryworkload.Curve) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
 	return func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) {
-		*w = *withHog(w)
+		*w = *withLoudCustomer(w)
 		w.Runners = append(ferryworkload.Runners{}, w.Runners...)
 		for i := range w.Runners {
 			w.Runners[i].Curve = c
@@ -63,70 +63,70 @@
 	}
 }
 
-func alone(w *ferryworkload.Workload, _ *ferryexperiment.Policy) {
+func singleEntry(w *ferryworkload.Workload, _ *ferryexperiment.Policy) {
 	w.Entries = 1
 	w.Reports.Every = 0
 }
 
-func listed(_ *ferryworkload.Workload, p *ferryexperiment.Policy) { p.WaitingList = true }
+func waitingList(_ *ferryworkload.Workload, p *ferryexperiment.Policy) { p.WaitingList = true }
 
 func unchanged(*ferryworkload.Workload, *ferryexperiment.Policy) {}
 
-var questions = []struct {
+var comparisons = []struct {
 	title    string
 	workload string
 	variants []variant
 }{
 	{"What wrong predictions cost", "holding", []variant{
 		{"learned", unchanged},
-		{"exact", predicted(ferryworkload.PredictExact)},
-		{"none: all work predicted as one token", predicted(ferryworkload.PredictNone)},
+		{"exact", withPrediction(ferryworkload.PredictExact)},
+		{"none: all work predicted as one token", withPrediction(ferryworkload.PredictNone)},
 	}},
 	{"How a runner's load is weighed", "holding", []variant{
 		{"expected finish", unchanged},
-		{"outstanding work over rate", routed(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true})},
-		{"expected finish, two choices", routed(ferryroute.Options{Cost: ferryroute.CostFinish, Choices: 2})},
-		{"outstanding work, two choices", routed(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true, Choices: 2})},
+		{"outstanding work over rate", withRoute(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true})},
+		{"expected finish, two choices", withRoute(ferryroute.Options{Cost: ferryroute.CostFinish, Choices: 2})},
+		{"outstanding work, two choices", withRoute(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true, Choices: 2})},
 	}},
 	{"What becomes of refused work at the crest", "crest", []variant{
 		{"retry-after", unchanged},
-		{"waiting list with a place", listed},
+		{"waiting list with a place", waitingList},
 		{"no retries", func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) { w.Retry.Attempts = 0 }},
 	}},
 	{"Runners that slow down along a line instead of a knee, one customer at ten times its share", "fairness", []variant{
-		{"knee", loud(ferryworkload.CurveKnee)},
-		{"line", loud(ferryworkload.CurveLine)},
+		{"knee", withCurve(ferryworkload.CurveKnee)},
+		{"line", withCurve(ferryworkload.CurveLine)},
 	}},
 	{"Prefix affinity", "affinity", []variant{
-		{"off", routed(ferryroute.Options{NoAffinity: true})},
+		{"off", withRoute(ferryroute.Options{NoAffinity: true})},
 		{"on", unchanged},
 	}},
 	{"Prefix affinity in the Inkwell day", "inkwell", []variant{
-		{"off", routed(ferryroute.Options{NoAffinity: true})},
+		{"off", withRoute(ferryroute.Options{NoAffinity: true})},
 		{"on", unchanged},
 	}},
 	{"What nine entries know of each other, saturated", "entries", entryVariants},
-	{"What nine entries know of each other, at 70% load", "entries", at(0.7, entryVariants)},
+	{"What nine entries know of each other, at 70% load", "entries", atLoad(0.7, entryVariants)},
 }
 
 var entryVariants = []variant{
-	{"one entry that knows all", alone},
+	{"one entry that knows all", singleEntry},
 	{"own part of the slots, smoothed reports 2 s late", unchanged},
-	{"own part of the slots, raw reports 2 s late", routed(ferryroute.Options{RawReports: true})},
-	{"own part of the slots, own work only", routed(ferryroute.Options{IgnoreReports: true})},
-	{"own part of the slots, peers' summaries 300 ms late", summarised(ferryroute.Options{RawReports: true})},
-	{"any slot, smoothed reports 2 s late", routed(ferryroute.Options{Cost: ferryroute.CostShared})},
-	{"any slot, raw reports 2 s late", routed(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true})},
-	{"any slot, own work only", routed(ferryroute.Options{Cost: ferryroute.CostShared, IgnoreReports: true})},
-	{"any slot, two choices", routed(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true, Choices: 2})},
-	{"any slot, peers' summaries 300 ms late", summarised(ferryroute.Options{RawReports: true, Cost: ferryroute.CostShared})},
-	{"any slot, peers' summaries, two choices", summarised(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true, Choices: 2})},
-	{"outstanding work, full scan", routed(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true})},
-	{"outstanding work, two choices", routed(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true, Choices: 2})},
+	{"own part of the slots, raw reports 2 s late", withRoute(ferryroute.Options{RawReports: true})},
+	{"own part of the slots, own work only", withRoute(ferryroute.Options{IgnoreReports: true})},
+	{"own part of the slots, peers' summaries 300 ms late", withSummaries(ferryroute.Options{RawReports: true})},
+	{"any slot, smoothed reports 2 s late", withRoute(ferryroute.Options{Cost: ferryroute.CostShared})},
+	{"any slot, raw reports 2 s late", withRoute(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true})},
+	{"any slot, own work only", withRoute(ferryroute.Options{Cost: ferryroute.CostShared, IgnoreReports: true})},
+	{"any slot, two choices", withRoute(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true, Choices: 2})},
+	{"any slot, peers' summaries 300 ms late", withSummaries(ferryroute.Options{RawReports: true, Cost: ferryroute.CostShared})},
+	{"any slot, peers' summaries, two choices", withSummaries(ferryroute.Options{Cost: ferryroute.CostShared, RawReports: true, Choices: 2})},
+	{"outstanding work, full scan", withRoute(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true})},
+	{"outstanding work, two choices", withRoute(ferryroute.Options{Cost: ferryroute.CostWork, RawReports: true, Choices: 2})},
 }
 
-// at changes the load of a workload with one phase.
-func at(load float64, vs []variant) []variant {
+// atLoad returns the variants with a single phase of the given load.
+func atLoad(load float64, vs []variant) []variant {
 	var out []variant
 	for _, v := range vs {
 		out = append(out, variant{v.name, func(w *ferryworkload.Workload, p *ferryexperiment.Policy) {
@@ -137,17 +137,17 @@
 	return out
 }
 
-// Execute is called by go-flags.
+// Execute runs all comparisons and prints one table per question.
 func (c *weighCommand) Execute([]string) error {
-	for _, q := range questions {
-		if err := weigh(os.Stdout, q.title, q.workload, q.variants); err != nil {
+	for _, q := range comparisons {
+		if err := compareVariants(os.Stdout, q.title, q.workload, q.variants); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func weigh(out io.Writer, title, workload string, vs []variant) error {
+func compareVariants(out io.Writer, title, workload string, vs []variant) error {
 	base, err := readWorkload(workload)
 	if err != nil {
 		return err
--- a/ferrybench/workload.go
+++ b/ferrybench/workload.go
@@ -13,7 +13,7 @@
 //go:embed workloads/*.toml
 var workloads embed.FS
 
-// readWorkload reads a file, or the workload of that name that comes with the program.
+// readWorkload reads a workload file if name contains a slash or dot, and else the embedded workload of that name.
 func readWorkload(name string) (*ferryworkload.Workload, error) {
 	if strings.ContainsAny(name, "/.") {
 		b, err := os.ReadFile(name)
@@ -24,7 +24,7 @@
 	}
 	b, err := workloads.ReadFile("workloads/" + name + ".toml")
 	if err != nil {
-		return nil, merry.Prepend(err, "read workload that comes with ferrybench")
+		return nil, merry.Prepend(err, "read embedded workload")
 	}
 	return ferryworkload.Decode(name+".toml", b)
 }
