--- a/ferrybench/ferrycapacity/fleet.go
+++ b/ferrybench/ferrycapacity/fleet.go
@@ -92,12 +92,12 @@
 // fleet is a simulated fleet of overlay cores that exchange a document and load summaries.
 type fleet struct {
 	*ferrypeertest.Fleet
-	names     []ferryid.EntryName
-	documents map[ferryid.EntryName]*document
-	loads     map[ferryid.EntryName]*ferrypeer.Latest[RunnerLoads]
-	newest    uint64
-	runners   int
-	nextLoad  int
+	names            []ferryid.EntryName
+	documents        map[ferryid.EntryName]*document
+	loads            map[ferryid.EntryName]*ferrypeer.Latest[RunnerLoads]
+	latestGeneration uint64
+	runners          int
+	loadSequence     int
 }
 
 func newFleet(nodes, runners int) *fleet {
@@ -154,16 +154,16 @@
 
 // change publishes a document of the given size at one entry and returns the time until every entry holds it.
 func (f *fleet) change(at, bytes int) (time.Duration, bool) {
-	f.newest++
+	f.latestGeneration++
 	name := f.names[at%len(f.names)]
-	*f.documents[name] = document{generation: f.newest, bytes: bytes}
+	*f.documents[name] = document{generation: f.latestGeneration, bytes: bytes}
 	f.Core(name).Step(ferrypeer.Published{Topic: topicDocuments})
 	return f.RunUntil(time.Millisecond, convergeTimeout, f.converged)
 }
 
 func (f *fleet) converged() bool {
 	for name := range f.Cores() {
-		if f.documents[name].generation != f.newest {
+		if f.documents[name].generation != f.latestGeneration {
 			return false
 		}
 	}
@@ -181,12 +181,12 @@
 	each := loadInterval(len(f.names))
 	every := each / time.Duration(len(f.names))
 	for spent := time.Duration(0); spent < d; spent += every {
-		f.nextLoad++
-		i := f.nextLoad % len(f.names)
+		f.loadSequence++
+		i := f.loadSequence % len(f.names)
 		if ferrysubset.Default.UsesAll(len(f.names), f.runners) {
 			f.loads[f.names[i]].Set(string(f.names[i]), f.runnerLoads(i), 4*each)
 		}
-		f.Core(f.names[i]).Step(ferrypeer.SelfChanged{State: ferrypeer.Ready, Load: ferrypeer.Load{Permille: uint16(f.nextLoad*loadStep) % maxPermille}})
+		f.Core(f.names[i]).Step(ferrypeer.SelfChanged{State: ferrypeer.Ready, Load: ferrypeer.Load{Permille: uint16(f.loadSequence*loadStep) % maxPermille}})
 		f.Run(every)
 	}
 }
@@ -195,7 +195,7 @@
 	var ls RunnerLoads
 	for r := i; r < f.runners; r += len(f.names) {
 		h := uint32(r+1) * 0x9E3779B1
-		ls.Loads = append(ls.Loads, RunnerLoad{Runner: h, Outstanding: h >> 16, Rate: 1000 + uint16(f.nextLoad%100)})
+		ls.Loads = append(ls.Loads, RunnerLoad{Runner: h, Outstanding: h >> 16, Rate: 1000 + uint16(f.loadSequence%100)})
 	}
 	return ls
 }
--- a/ferrybench/ferrycapacity/limits.go
+++ b/ferrybench/ferrycapacity/limits.go
@@ -74,7 +74,7 @@
 }
 
 func newLimitSimulation(entries, customers int) *limitSimulation {
-	b := &limitSimulation{now: startTime, r: rand.New(rand.NewPCG(1, 2)), point: LimitPoint{Entries: entries, Customers: customers}}
+	sim := &limitSimulation{now: startTime, r: rand.New(rand.NewPCG(1, 2)), point: LimitPoint{Entries: entries, Customers: customers}}
 	rates := map[ferrylimit.Key]ferrylimit.Units{}
 	rate := func(k ferrylimit.Key) ferrylimit.Units { return rates[k] }
 	var ids []ferryid.Incarnation
@@ -83,26 +83,26 @@
 		id := ferryid.Incarnation(fmt.Sprintf("0192f3aa-%04d-7000-8000-000000000000", i))
 		ids = append(ids, id)
 		indexes[id] = i
-		b.entries = append(b.entries, &limitEntry{next: b.now.Add(ferrylimit.AskInterval * time.Duration(i) / time.Duration(entries)), shares: ferrylimit.NewShares(rate), counter: ferrylimit.NewCounter(rate), asked: map[int]bool{}})
+		sim.entries = append(sim.entries, &limitEntry{next: sim.now.Add(ferrylimit.AskInterval * time.Duration(i) / time.Duration(entries)), shares: ferrylimit.NewShares(rate), counter: ferrylimit.NewCounter(rate), asked: map[int]bool{}})
 	}
 	for i := range customers {
 		k := ferrylimit.Key{Service: "herd-llm", Customer: ferryid.CustomerName(fmt.Sprintf("farm-%04d", i))}
 		rates[k] = limitRates[i%len(limitRates)]
-		b.customers = append(b.customers, limitedCustomer{k, b.r.Perm(entries)[:min(limitShard, entries)], indexes[ferrylimit.CounterOf(k, ids)]})
+		sim.customers = append(sim.customers, limitedCustomer{k, sim.r.Perm(entries)[:min(limitShard, entries)], indexes[ferrylimit.CounterOf(k, ids)]})
 	}
-	return b
+	return sim
 }
 
 // call offers the calls of one step; their number has a Poisson distribution.
-func (b *limitSimulation) call() {
-	active := max(1, len(b.customers)/activeDivisor)
+func (sim *limitSimulation) call() {
+	active := max(1, len(sim.customers)/activeDivisor)
 	mean := float64(active) * callRate * limitStep.Seconds()
-	for n := poisson(b.r, mean); n > 0; n-- {
-		cu := &b.customers[b.r.IntN(active)]
-		e := b.entries[cu.shard[b.r.IntN(len(cu.shard))]]
-		b.calls++
-		if ok, _ := e.shares.Allow(cu.key, 1, b.now); !ok {
-			b.refused++
+	for n := poisson(sim.r, mean); n > 0; n-- {
+		cu := &sim.customers[sim.r.IntN(active)]
+		e := sim.entries[cu.shard[sim.r.IntN(len(cu.shard))]]
+		sim.calls++
+		if ok, _ := e.shares.Allow(cu.key, 1, sim.now); !ok {
+			sim.refused++
 		}
 	}
 }
@@ -116,47 +116,47 @@
 }
 
 // exchange runs one round of an entry if it is due and has something to ask.
-func (b *limitSimulation) exchange(at int, e *limitEntry) {
-	if e.shares.Idle() || b.now.Before(e.next) {
+func (sim *limitSimulation) exchange(at int, e *limitEntry) {
+	if e.shares.Idle() || sim.now.Before(e.next) {
 		return
 	}
-	e.next = b.now.Add(ferrylimit.AskInterval)
-	b.rounds++
+	e.next = sim.now.Add(ferrylimit.AskInterval)
+	sim.rounds++
 	asks := map[int][]ferrylimit.Ask{}
-	for _, a := range e.shares.Asks(b.now) {
-		c := b.counterOf(a.Key)
+	for _, a := range e.shares.Asks(sim.now) {
+		c := sim.counterOf(a.Key)
 		asks[c] = append(asks[c], a)
 	}
 	for c, as := range asks {
-		grants := b.entries[c].counter.Answer(as, b.now)
+		grants := sim.entries[c].counter.Answer(as, sim.now)
 		for _, g := range grants {
 			e.shares.Granted(g)
 		}
 		if c != at {
-			b.count(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: encodeCBOR(as)})+
+			sim.count(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: encodeCBOR(as)})+
 				wireBytes(&ferrypeer.Answer{ID: limitTag, Body: encodeCBOR(grants)}))
 		}
 	}
 }
 
-func (b *limitSimulation) counterOf(k ferrylimit.Key) int {
+func (sim *limitSimulation) counterOf(k ferrylimit.Key) int {
 	var i int
 	_, _ = fmt.Sscanf(string(k.Customer), "farm-%d", &i)
-	return b.customers[i].counter
+	return sim.customers[i].counter
 }
 
-func (b *limitSimulation) count(e *limitEntry, counter, bytes int) {
-	b.asks++
+func (sim *limitSimulation) count(e *limitEntry, counter, bytes int) {
+	sim.asks++
 	e.bytes += bytes
-	b.entries[counter].bytes += bytes
+	sim.entries[counter].bytes += bytes
 	e.asked[counter] = true
 }
 
-func (b *limitSimulation) run(d time.Duration) {
-	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(limitStep) {
-		b.call()
-		for i, e := range b.entries {
-			b.exchange(i, e)
+func (sim *limitSimulation) run(d time.Duration) {
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(limitStep) {
+		sim.call()
+		for i, e := range sim.entries {
+			sim.exchange(i, e)
 		}
 	}
 }
@@ -164,23 +164,23 @@
 // MeasureLimits measures the limits with a fifth of the customers active, each with 8 calls/s over the entries of
 // its shard.
 func MeasureLimits(entries, customers int) LimitPoint {
-	b := newLimitSimulation(entries, customers)
-	b.run(limitWarmup)
-	for _, e := range b.entries {
+	sim := newLimitSimulation(entries, customers)
+	sim.run(limitWarmup)
+	for _, e := range sim.entries {
 		e.bytes = 0
 		clear(e.asked)
 	}
-	b.calls, b.refused, b.asks, b.rounds = 0, 0, 0, 0
+	sim.calls, sim.refused, sim.asks, sim.rounds = 0, 0, 0, 0
 	began := processorTime()
-	b.run(limitTime)
+	sim.run(limitTime)
 	each := 1 / limitTime.Seconds() / float64(entries)
-	p := b.point
+	p := sim.point
 	p.CPU = (processorTime() - began).Seconds() * each
-	p.Calls = float64(b.calls) * each
-	p.Refused = float64(b.refused) / float64(max(1, b.calls))
-	p.Asks = float64(b.asks) * each
-	p.Rounds = float64(b.rounds) * each
-	for _, e := range b.entries {
+	p.Calls = float64(sim.calls) * each
+	p.Refused = float64(sim.refused) / float64(max(1, sim.calls))
+	p.Asks = float64(sim.asks) * each
+	p.Rounds = float64(sim.rounds) * each
+	for _, e := range sim.entries {
 		p.Bytes += float64(e.bytes) * each
 		p.Counters += float64(len(e.asked)) / float64(entries)
 	}
--- a/ferrybench/ferrycapacity/orders.go
+++ b/ferrybench/ferrycapacity/orders.go
@@ -78,71 +78,71 @@
 }
 
 func newOrderSimulation(p *OrderPoint) *orderSimulation {
-	b := &orderSimulation{
+	sim := &orderSimulation{
 		now: startTime, wanted: orderWanted(p.Engines, 2), core: ferryorder.NewCore(ferryorder.Pace{}),
 		engines: map[string]*orderedEngine{}, point: p,
 	}
 	for _, r := range orderWanted(p.Engines, 1).Runners {
-		b.engines[r.Address] = &orderedEngine{report: ferryorder.Report{Target: r.Target, Ready: true}}
+		sim.engines[r.Address] = &orderedEngine{report: ferryorder.Report{Target: r.Target, Ready: true}}
 	}
-	b.core.SetWanted(b.wanted)
-	b.core.SetFence(1)
-	return b
+	sim.core.SetWanted(sim.wanted)
+	sim.core.SetFence(1)
+	return sim
 }
 
-func (b *orderSimulation) report(_ context.Context, address string) (ferryorder.Report, error) {
-	b.reads.Add(1)
-	e := b.engines[address]
-	e.report.Ready = !b.now.Before(e.ready)
+func (sim *orderSimulation) report(_ context.Context, address string) (ferryorder.Report, error) {
+	sim.reads.Add(1)
+	e := sim.engines[address]
+	e.report.Ready = !sim.now.Before(e.ready)
 	return e.report, nil
 }
 
 // round runs one round of the holder and returns the time of the next.
-func (b *orderSimulation) round() time.Time {
-	next := b.now.Add(readAllInterval)
-	if b.point.ReadAll {
-		b.readAll()
+func (sim *orderSimulation) round() time.Time {
+	next := sim.now.Add(readAllInterval)
+	if sim.point.ReadAll {
+		sim.readAll()
 	} else {
-		b.readDue()
+		sim.readDue()
 	}
 	began := processorTime()
-	sends, _ := b.core.Next(b.now)
-	if !b.point.ReadAll {
-		next = b.core.NextRound(b.now)
+	sends, _ := sim.core.Next(sim.now)
+	if !sim.point.ReadAll {
+		next = sim.core.NextRound(sim.now)
 	}
-	b.spent += processorTime() - began
+	sim.spent += processorTime() - began
 	for _, s := range sends {
-		e := b.engines[s.Address]
+		e := sim.engines[s.Address]
 		e.report.Target = s.Order.Target
-		e.ready = b.now.Add(orderLoadTime)
+		e.ready = sim.now.Add(orderLoadTime)
 	}
 	return next
 }
 
-func (b *orderSimulation) readAll() {
-	for _, r := range b.wanted.Runners {
-		rep, _ := b.report(context.Background(), r.Address)
-		b.core.ApplyReport(r.Name, rep, b.now)
+func (sim *orderSimulation) readAll() {
+	for _, r := range sim.wanted.Runners {
+		rep, _ := sim.report(context.Background(), r.Address)
+		sim.core.ApplyReport(r.Name, rep, sim.now)
 	}
 }
 
-func (b *orderSimulation) readDue() {
+func (sim *orderSimulation) readDue() {
 	began := processorTime()
-	asks := b.core.Due(b.now)
-	b.spent += processorTime() - began
+	asks := sim.core.Due(sim.now)
+	sim.spent += processorTime() - began
 	for _, a := range asks {
-		ans, err := ferryorder.ReadGroup(context.Background(), b.wanted, a, b.report)
+		ans, err := ferryorder.ReadGroup(context.Background(), sim.wanted, a, sim.report)
 		if err != nil {
-			b.core.AskFailed(a, b.now)
+			sim.core.AskFailed(a, sim.now)
 			continue
 		}
 		if a.Group > 0 {
-			b.asks++
-			b.bytes += wireBytes(a) + wireBytes(ans)
+			sim.asks++
+			sim.bytes += wireBytes(a) + wireBytes(ans)
 		}
 		began = processorTime()
-		b.core.ApplyAnswer(a, ans, b.now)
-		b.spent += processorTime() - began
+		sim.core.ApplyAnswer(a, ans, sim.now)
+		sim.spent += processorTime() - began
 	}
 }
 
@@ -158,10 +158,10 @@
 	return m
 }
 
-func (b *orderSimulation) done() bool {
-	for _, r := range b.wanted.Runners {
-		e := b.engines[r.Address]
-		if e.report.Target != r.Target || b.now.Before(e.ready) {
+func (sim *orderSimulation) done() bool {
+	for _, r := range sim.wanted.Runners {
+		e := sim.engines[r.Address]
+		if e.report.Target != r.Target || sim.now.Before(e.ready) {
 			return false
 		}
 	}
@@ -171,26 +171,26 @@
 // MeasureOrders measures a new holder that moves all engines to another version, and the same holder at rest.
 func MeasureOrders(engines int, readAll bool) OrderPoint {
 	p := OrderPoint{Engines: engines, ReadAll: readAll}
-	b := newOrderSimulation(&p)
-	for !b.done() && b.now.Sub(startTime) < orderTimeout {
-		b.now = b.round()
+	sim := newOrderSimulation(&p)
+	for !sim.done() && sim.now.Sub(startTime) < orderTimeout {
+		sim.now = sim.round()
 	}
-	p.Takeover = b.now.Sub(startTime)
-	p.TakeoverReads, p.TakeoverBytes, p.TakeoverCPU = int(b.reads.Load()), b.bytes, b.spent
-	b.runUntil(b.now.Add(orderIdleTime))
-	b.reads.Store(0)
-	b.asks, b.bytes, b.spent = 0, 0, 0
-	b.runUntil(b.now.Add(orderIdleTime))
-	p.IdleReads = float64(b.reads.Load()) / orderIdleTime.Seconds()
-	p.IdleAsks = float64(b.asks) / orderIdleTime.Seconds()
-	p.IdleBytes = float64(b.bytes) / orderIdleTime.Seconds()
-	p.IdleCPU = b.spent.Seconds() / orderIdleTime.Seconds()
+	p.Takeover = sim.now.Sub(startTime)
+	p.TakeoverReads, p.TakeoverBytes, p.TakeoverCPU = int(sim.reads.Load()), sim.bytes, sim.spent
+	sim.runUntil(sim.now.Add(orderIdleTime))
+	sim.reads.Store(0)
+	sim.asks, sim.bytes, sim.spent = 0, 0, 0
+	sim.runUntil(sim.now.Add(orderIdleTime))
+	p.IdleReads = float64(sim.reads.Load()) / orderIdleTime.Seconds()
+	p.IdleAsks = float64(sim.asks) / orderIdleTime.Seconds()
+	p.IdleBytes = float64(sim.bytes) / orderIdleTime.Seconds()
+	p.IdleCPU = sim.spent.Seconds() / orderIdleTime.Seconds()
 	return p
 }
 
-func (b *orderSimulation) runUntil(end time.Time) {
-	for b.now.Before(end) {
-		b.now = b.round()
+func (sim *orderSimulation) runUntil(end time.Time) {
+	for sim.now.Before(end) {
+		sim.now = sim.round()
 	}
 }
 
--- a/ferrybench/ferrychoice/choice.go
+++ b/ferrybench/ferrychoice/choice.go
@@ -136,7 +136,7 @@
 	rand    *rand.Rand
 	engines []*engine
 	entries []*entry
-	// parts are the cumulative weights of the entries for arrivals.
+	// cumulativeWeights are the cumulative weights of the entries for arrivals.
 	cumulativeWeights []float64
 	events            events
 	seq               int
--- a/ferrybench/ferryexperiment/event.go
+++ b/ferrybench/ferryexperiment/event.go
@@ -35,21 +35,21 @@
 
 type fault struct{ index int }
 
-type reshare struct{}
+type redistribute struct{}
 
 type unitLoad struct {
 	tokens  float64
 	streams int
 }
 
-func (submit) isAction()  {}
-func (wake) isAction()    {}
-func (tick) isAction()    {}
-func (sample) isAction()  {}
-func (gather) isAction()  {}
-func (deliver) isAction() {}
-func (fault) isAction()   {}
-func (reshare) isAction() {}
+func (submit) isAction()       {}
+func (wake) isAction()         {}
+func (tick) isAction()         {}
+func (sample) isAction()       {}
+func (gather) isAction()       {}
+func (deliver) isAction()      {}
+func (fault) isAction()        {}
+func (redistribute) isAction() {}
 
 type eventHeap []event
 
--- a/ferrybench/ferryexperiment/simulation.go
+++ b/ferrybench/ferryexperiment/simulation.go
@@ -111,8 +111,8 @@
 				e.deliver(s, a)
 			}
 		}
-	case reshare:
-		s.reshare()
+	case redistribute:
+		s.redistribute()
 	case fault:
 		s.fault(s.workload.Faults[a.index])
 	}
@@ -247,7 +247,7 @@
 		// Freezes and drains are simulated as immediate losses.
 		switch f.Kind {
 		case ferryworkload.FaultKill, ferryworkload.FaultFreeze:
-			s.kill(s.units[i])
+			s.killUnit(s.units[i])
 		case ferryworkload.FaultSlow:
 			s.setFactor(s.units[i], f.Factor)
 		case ferryworkload.FaultHeal:
@@ -265,7 +265,7 @@
 	s.scheduleWake(u)
 }
 
-func (s *simulation) kill(u *unit) {
+func (s *simulation) killUnit(u *unit) {
 	u.advance(s.now)
 	u.alive = false
 	jobs := append(append([]*job{}, u.jobs...), u.queue...)
@@ -303,11 +303,11 @@
 		s.after(failoverDelay, submit{call: c})
 	}
 	e.calls, e.waiting = map[ferryid.RequestID]*call{}, nil
-	s.after(failoverDelay, reshare{})
+	s.after(failoverDelay, redistribute{})
 }
 
-// reshare distributes the slots of a lost entry over the live entries.
-func (s *simulation) reshare() {
+// redistribute distributes the slots of a lost entry over the live entries.
+func (s *simulation) redistribute() {
 	var left []*entry
 	for _, e := range s.entries {
 		if e.alive {
--- a/ferrybench/ferryload/entry.go
+++ b/ferrybench/ferryload/entry.go
@@ -58,12 +58,12 @@
 type steeringCache struct {
 	cfg     Config
 	mu      sync.Mutex
-	answers map[steerKey]*cachedAnswer
+	answers map[steeringKey]*cachedAnswer
 	next    int
 }
 
-// steerKey identifies a caller of a customer and the service that it calls; each key has its own steering answer.
-type steerKey struct {
+// steeringKey identifies a caller of a customer and the service that it calls; each key has its own steering answer.
+type steeringKey struct {
 	customer ferryid.CustomerName
 	service  ferryid.ServiceName
 	caller   int
@@ -76,11 +76,11 @@
 }
 
 func newSteeringCache(cfg Config) *steeringCache {
-	return &steeringCache{cfg: cfg, answers: map[steerKey]*cachedAnswer{}}
+	return &steeringCache{cfg: cfg, answers: map[steeringKey]*cachedAnswer{}}
 }
 
 // address returns the address of the preferred entry. Without a steering answer it rotates over the configured entries.
-func (e *steeringCache) address(ctx context.Context, key steerKey) string {
+func (e *steeringCache) address(ctx context.Context, key steeringKey) string {
 	e.mu.Lock()
 	k := e.answers[key]
 	if k == nil {
@@ -103,7 +103,7 @@
 }
 
 // markFailed moves an entry that could not be reached to the end of a caller's list.
-func (e *steeringCache) markFailed(key steerKey, address string) {
+func (e *steeringCache) markFailed(key steeringKey, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	k := e.answers[key]
@@ -114,7 +114,7 @@
 
 // refresh requests a new steering answer from the configured entries in turn; if all fail, the previous answer stays
 // in use.
-func (e *steeringCache) refresh(ctx context.Context, key steerKey) {
+func (e *steeringCache) refresh(ctx context.Context, key steeringKey) {
 	var s Steering
 	var err error
 	for range e.cfg.Entries {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (e *steeringCache) fetch(ctx context.Context, key steerKey) (Steering, error) {
+func (e *steeringCache) fetch(ctx context.Context, key steeringKey) (Steering, error) {
 	e.mu.Lock()
 	e.next++
 	seed := e.cfg.Entries[e.next%len(e.cfg.Entries)]
--- a/ferrybench/ferryload/load.go
+++ b/ferrybench/ferryload/load.go
@@ -73,7 +73,7 @@
 		if !l.waitUntil(ctx, a.At) {
 			break
 		}
-		l.offer(a)
+		l.recordArrival(a)
 		select {
 		case open <- struct{}{}:
 		default:
@@ -107,7 +107,7 @@
 	}
 }
 
-func (l *Load) offer(a *ferryworkload.Arrival) {
+func (l *Load) recordArrival(a *ferryworkload.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.summary.Result.Offer(a)
@@ -157,7 +157,7 @@
 func (l *Load) onNotRun(ctx context.Context, c *call, ans answer, after time.Duration) bool {
 	c.failure = ans.text
 	if !ans.noResponse {
-		l.refuse(c, after)
+		l.recordRefusal(c, after)
 	}
 	if l.waitToRetry(ctx, c, ans.retryAfter) {
 		return true
@@ -178,7 +178,7 @@
 		return true
 	}
 	c.Outcome = ferryexperiment.Failed
-	l.countUnknown(ans)
+	l.recordUnknown(ans)
 	return false
 }
 
@@ -202,7 +202,7 @@
 	return ferryexperiment.InTime
 }
 
-func (l *Load) countUnknown(ans answer) {
+func (l *Load) recordUnknown(ans answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !ans.ran {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (l *Load) refuse(c *call, after time.Duration) {
+func (l *Load) recordRefusal(c *call, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.summary.Result.Refuse(c.Arrival, after)
@@ -231,7 +231,7 @@
 	return l.waitUntil(ctx, back)
 }
 
-func (l *Load) serve(c *call, tokens float64) {
+func (l *Load) recordWork(c *call, tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
--- a/ferrybench/ferryload/load_test.go
+++ b/ferrybench/ferryload/load_test.go
@@ -127,11 +127,11 @@
 	clock := clockwork.NewFakeClock()
 	e := newSteeringCache(Config{Entries: []string{f.address}, Clock: clock, Client: srv.Client()})
 	for range 5 {
-		assert.Equal(t, e.address(context.Background(), steerKey{customer: "c", service: "m"}), f.address)
+		assert.Equal(t, e.address(context.Background(), steeringKey{customer: "c", service: "m"}), f.address)
 	}
 	assert.Equal(t, f.steeringRequests, 1)
 	clock.Advance(time.Hour + time.Second)
-	e.address(context.Background(), steerKey{customer: "c", service: "m"})
+	e.address(context.Background(), steeringKey{customer: "c", service: "m"})
 	assert.Equal(t, f.steeringRequests, 2)
 }
 
--- a/ferrybench/ferryload/request.go
+++ b/ferrybench/ferryload/request.go
@@ -43,7 +43,7 @@
 // call is the state of one call over all its tries.
 type call struct {
 	*ferryexperiment.Sample
-	key steerKey
+	key steeringKey
 	// idempotencyKey is the Idempotency-Key header, the same for all tries.
 	idempotencyKey ferryid.RequestID
 	// lastEventID is the ID of the last event received, received the number of tokens received.
@@ -60,7 +60,7 @@
 	if a.Kind.Path != "" {
 		service = l.cfg.Plain
 	}
-	key := steerKey{customer: a.Customer, service: service, caller: index % max(1, l.cfg.Callers)}
+	key := steeringKey{customer: a.Customer, service: service, caller: index % max(1, l.cfg.Callers)}
 	return &call{Sample: &ferryexperiment.Sample{Arrival: a}, key: key, idempotencyKey: ferryid.NewRequestID()}
 }
 
@@ -167,7 +167,7 @@
 		return answer{text: "cut off"}
 	}
 	c.First = l.now()
-	l.serve(c, 1)
+	l.recordWork(c, 1)
 	return answer{ok: true}
 }
 
@@ -204,5 +204,5 @@
 	c.resumed = c.resumed || c.breaks > 0 && c.lastEventID != ""
 	c.lastEventID = id
 	c.received++
-	l.serve(c, work)
+	l.recordWork(c, work)
 }
--- a/ferrybench/figure.go
+++ b/ferrybench/figure.go
@@ -44,10 +44,10 @@
 	if t.Op == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%s %s", t.Op, amount(t.Bound, unit))
+	return fmt.Sprintf("%s %s", t.Op, formatValue(t.Bound, unit))
 }
 
-func amount(x float64, unit string) string {
+func formatValue(x float64, unit string) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%.4g %s", x, unit)
 }
 
-func (f *figure) judge() string {
+func (f *figure) verdict() string {
 	switch {
 	case f.Target.Op == "":
 		return "-"
@@ -75,7 +75,7 @@
 	for i := range fs {
 		f := &fs[i]
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %s\t| %s\t| %s\t| `%s`\t| %d\t|\n",
-			f.Point, f.Measure, f.Target.text(f.Unit), amount(f.Baseline, f.Unit), amount(f.Now, f.Unit), f.judge(), f.Command, f.Seed)
+			f.Point, f.Measure, f.Target.text(f.Unit), formatValue(f.Baseline, f.Unit), formatValue(f.Now, f.Unit), f.verdict(), f.Command, f.Seed)
 	}
 	return tw.Flush()
 }
--- a/ferrybench/live.go
+++ b/ferrybench/live.go
@@ -136,7 +136,7 @@
 	limited, end := context.WithTimeout(ctx, time.Duration(w.Duration)+drainTimeout)
 	defer end()
 	go l.injectFaults(limited)
-	go l.watch(limited)
+	go l.pollStatus(limited)
 	r := &liveRun{Summary: ferryload.Run(limited, c.load(l, keep), w, arrivals), fleet: l}
 	c.complete(r)
 	return r, c.report(r, name+"-"+p.name)
@@ -170,7 +170,7 @@
 	if err := ferryreport.WriteText(os.Stdout, r.Result); err != nil {
 		return merry.Prepend(err, "print text report")
 	}
-	fmt.Printf("%d arrivals unsent; %d failures that may have run; %d streams resumed, %d refusals on the way; %d streams of wrong length; failures %v; slow %v\n\n",
+	fmt.Printf("%d arrivals unsent; %d failures that may have run; %d streams resumed, %d resumptions refused; %d streams of wrong length; failures %v; slow %v\n\n",
 		r.Unsent, r.Unknown, r.Resumed, r.RefusedResumes, r.Uneven, r.Failures, r.Result.SlowFound)
 	if c.Out == "" {
 		return nil
--- a/ferrybench/livefault.go
+++ b/ferrybench/livefault.go
@@ -118,8 +118,8 @@
 	return e.Process.Signal(syscall.SIGTERM)
 }
 
-// watch polls the entries and records when one first reports an engine as slow.
-func (l *liveFleet) watch(ctx context.Context) {
+// pollStatus polls the entries and records when one first reports an engine as slow.
+func (l *liveFleet) pollStatus(ctx context.Context) {
 	start := time.Now()
 	t := time.NewTicker(statusInterval)
 	defer t.Stop()
--- a/ferrybench/livefault_test.go
+++ b/ferrybench/livefault_test.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferrystand/ferrydemo"
 )
 
-func TestBoundFollowsFaults(t *testing.T) {
+func TestCapacityFollowsFaults(t *testing.T) {
 	l := &liveFleet{workload: &ferryworkload.Workload{Faults: ferryworkload.Faults{
 		{At: ferryworkload.Duration(time.Second), Kind: ferryworkload.FaultKill, First: 0, Count: 1},
 		{At: ferryworkload.Duration(2 * time.Second), Kind: ferryworkload.FaultSlow, First: 1, Count: 2, Factor: 0.5},
--- a/ferrybench/livepoint.go
+++ b/ferrybench/livepoint.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Faults: an engine fails, heals, a failure domain fails, and finally an entry fails.
+	// Fault 0 kills one engine and fault 1 heals it; faults 2 to 5 kill a failure domain; the last fault kills an entry.
 	return append(measures{
 		{"back above 90% of the new bound or of the load after 1 engine died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 0))},
 		{"the same after a failure domain's third of the engines died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 2))},
@@ -169,16 +169,16 @@
 	}
 	one := *w
 	one.Entries = 1
-	knows, err := play(&one, w.Name+"-one", 0)
+	single, err := play(&one, w.Name+"-one", 0)
 	if err != nil {
 		return nil, err
 	}
 	from, to := time.Duration(w.Warmup), time.Duration(w.Duration)
 	many := r.Result.Mean(from, to, served)
 	return measures{
-		{"throughput of nine entries over that of one", "x", atLeast(0.97), many / knows.Result.Mean(from, to, served)},
+		{"throughput of nine entries over that of one", "x", atLeast(0.97), many / single.Result.Mean(from, to, served)},
 		{"throughput of nine entries", "of bound", target{}, many / r.Result.Bound},
-		{"first token p95 of 9 entries over that of one", "x", target{}, ratio(r.Result.All.First.P95, knows.Result.All.First.P95)},
+		{"first token p95 of 9 entries over that of one", "x", target{}, ratio(r.Result.All.First.P95, single.Result.All.First.P95)},
 		{"calls lost with nine entries: failed or never ended", "calls", atMost(0), float64(lostCount(&r.Result.All))},
 	}, nil
 }
--- a/ferrybench/point.go
+++ b/ferrybench/point.go
@@ -91,7 +91,8 @@
 	}, r
 }
 
-// The load peak of the workload crest: the load rises from riseStart on and is at its maximum from peakStart to peakEnd.
+// The load peak of the workload crest: the load rises from riseStart on and is at its maximum from peakStart to
+// peakEnd.
 const (
 	riseStart = 60 * time.Second
 	peakStart = 61 * time.Second
@@ -243,21 +244,21 @@
 		}
 	}
 	from, to := time.Duration(w.Warmup), time.Duration(w.Duration)
-	p.ExcessShare = boundedExcess
-	bounded := ferryexperiment.Run(loud, loud.Arrivals(), p)
+	p.ExcessShare = limitedExcess
+	limited := ferryexperiment.Run(loud, loud.Arrivals(), p)
 	return measures{
 		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), worstRatio(w, even, r, answerP99)},
 		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), worstRatio(w, fullEven, fullRun, answerP99)},
 		{"worst p99 wait for a slot of another customer, at 80%", "s", target{}, wait},
 		{"least share of another customer's calls in time, at 80%", "of calls", target{}, inTime},
 		{"throughput, as a check that unused shares are used", "of bound", target{}, r.Mean(from, to, served) / r.Bound},
-		{fmt.Sprintf("worst move at 80%% with ExcessShare = %v", boundedExcess), "x", target{}, worstRatio(w, even, bounded, answerP99)},
-		{"throughput with it", "of bound", target{}, bounded.Mean(from, to, served) / r.Bound},
+		{fmt.Sprintf("worst move at 80%% with ExcessShare = %v", limitedExcess), "x", target{}, worstRatio(w, even, limited, answerP99)},
+		{"throughput with it", "of bound", target{}, limited.Mean(from, to, served) / r.Bound},
 	}, r
 }
 
-// boundedExcess is the share of the slots for work beyond customers' shares in the runs with a limited ExcessShare.
-const boundedExcess = 0.1
+// limitedExcess is the share of the slots for work beyond customers' shares in the runs with a limited ExcessShare.
+const limitedExcess = 0.1
 
 func answerP99(g *ferryexperiment.Group) time.Duration { return g.Answer.P99 }
 
@@ -297,11 +298,11 @@
 	one := *w
 	one.Entries = 1
 	one.Reports.Every = 0
-	knows := ferryexperiment.Run(&one, as, p)
+	single := ferryexperiment.Run(&one, as, p)
 	from, to := time.Duration(w.Warmup), time.Duration(w.Duration)
 	return measures{
-		{"throughput of nine entries over that of one that knows all", "x", atLeast(0.97), r.Mean(from, to, served) / knows.Mean(from, to, served)},
+		{"throughput of nine entries over that of one that knows all", "x", atLeast(0.97), r.Mean(from, to, served) / single.Mean(from, to, served)},
 		{"throughput of nine entries", "of bound", target{}, r.Mean(from, to, served) / r.Bound},
-		{fmt.Sprintf("first token p95 of %d entries over that of one", w.Entries), "x", target{}, ratio(r.All.First.P95, knows.All.First.P95)},
+		{fmt.Sprintf("first token p95 of %d entries over that of one", w.Entries), "x", target{}, ratio(r.All.First.P95, single.All.First.P95)},
 	}, r
 }
--- a/ferrybench/subset.go
+++ b/ferrybench/subset.go
@@ -50,7 +50,7 @@
 	for _, f := range c.Fleets {
 		var entries, engines int
 		if _, err := fmt.Sscanf(f, "%dx%d", &entries, &engines); err != nil {
-			return fmt.Errorf("fleet %q: %w", f, err)
+			return fmt.Errorf("parse fleet %q, want ENTRIESxENGINES: %w", f, err)
 		}
 		for _, w := range c.schemes(entries, engines) {
 			if err := c.row(entries, w); err != nil {
--- a/ferrybench/target_test.go
+++ b/ferrybench/target_test.go
@@ -26,7 +26,7 @@
 			ms, _ := p.measure(w, ferryexperiment.Current)
 			for _, m := range ms {
 				met := m.target.met(m.value)
-				assert.Equal(t, met, !missed[m.name], "%s: %s, target %s", m.name, amount(m.value, m.unit), m.target.text(m.unit))
+				assert.Equal(t, met, !missed[m.name], "%s: %s, target %s", m.name, formatValue(m.value, m.unit), m.target.text(m.unit))
 			}
 		})
 	}
