--- a/ferrybench/ferryexperiment/event.go
+++ b/ferrybench/ferryexperiment/event.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something due at a time; seq keeps equal times in order.
+// event is an action due at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	do  action
 }
 
-// action is what an event does.
+// action is the effect of an event.
 type action interface{ isAction() }
 
 type submit struct{ call *call }
@@ -35,21 +35,21 @@
 
 type fault struct{ index int }
 
-type reshare struct{}
+type redistribute struct{}
 
 type unitLoad struct {
 	tokens  float64
 	streams int
 }
 
-func (submit) isAction()  {}
-func (wake) isAction()    {}
-func (tick) isAction()    {}
-func (sample) isAction()  {}
-func (gather) isAction()  {}
-func (deliver) isAction() {}
-func (fault) isAction()   {}
-func (reshare) isAction() {}
+func (submit) isAction()       {}
+func (wake) isAction()         {}
+func (tick) isAction()         {}
+func (sample) isAction()       {}
+func (gather) isAction()       {}
+func (deliver) isAction()      {}
+func (fault) isAction()        {}
+func (redistribute) isAction() {}
 
 type eventHeap []event
 
--- a/ferrybench/figure.go
+++ b/ferrybench/figure.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// figure is one measure of one point, with both policies on the same arrivals.
+// figure is one measure of one point for both policies on the same arrivals.
 type figure struct {
 	Point    string  `json:"Point"`
 	Measure  string  `json:"Measure"`
@@ -21,7 +21,7 @@
 	Command  string  `json:"Command"`
 }
 
-// target is the stated bound of a measure; none has an empty Op.
+// target is the required bound of a measure; a measure without a target has an empty Op.
 type target struct {
 	Op    string  `json:"Op"`
 	Bound float64 `json:"Bound"`
@@ -44,10 +44,10 @@
 	if t.Op == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%s %s", t.Op, amount(t.Bound, unit))
+	return fmt.Sprintf("%s %s", t.Op, formatValue(t.Bound, unit))
 }
 
-func amount(x float64, unit string) string {
+func formatValue(x float64, unit string) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%.4g %s", x, unit)
 }
 
-func (f *figure) judge() string {
+func (f *figure) verdict() string {
 	switch {
 	case f.Target.Op == "":
 		return "-"
@@ -67,7 +67,7 @@
 	return "missed"
 }
 
-// writeTable prints the figures as a Markdown table, aligned for a terminal too.
+// writeTable writes the figures as a Markdown table with aligned columns.
 func writeTable(w io.Writer, fs []figure) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| point\t| measure\t| target\t| baseline\t| now\t| verdict\t| command\t| seed\t|")
@@ -75,7 +75,7 @@
 	for i := range fs {
 		f := &fs[i]
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %s\t| %s\t| %s\t| `%s`\t| %d\t|\n",
-			f.Point, f.Measure, f.Target.text(f.Unit), amount(f.Baseline, f.Unit), amount(f.Now, f.Unit), f.judge(), f.Command, f.Seed)
+			f.Point, f.Measure, f.Target.text(f.Unit), formatValue(f.Baseline, f.Unit), formatValue(f.Now, f.Unit), f.verdict(), f.Command, f.Seed)
 	}
 	return tw.Flush()
 }
