--- a/ferry/ferryclaim/answer.go
+++ b/ferry/ferryclaim/answer.go
@@ -38,7 +38,7 @@
 	Result Result     `cbor:"2,keyasint"`
 }
 
-// Asker sends questions to other incarnations over the peer transport.
+// Asker sends questions to other incarnations.
 type Asker interface {
 	// Ask returns the incarnation's answer, or an error if the incarnation is unreachable or has ended.
 	Ask(ctx context.Context, id ferryid.Incarnation, q Question) (Answer, error)
--- a/ferry/ferryclaim/attempt.go
+++ b/ferry/ferryclaim/attempt.go
@@ -24,7 +24,8 @@
 // grantStep ends the attempt: the call may be dispatched.
 type grantStep struct{ ref Ref }
 
-// endStep ends the attempt with an error for the caller. It releases the claim if the claim may have been written.
+// endStep ends the attempt with an error for the caller.
+// release is set if the claim may have been written and has to be released.
 type endStep struct {
 	err     error
 	release *op
--- a/ferry/ferryclaim/claims.go
+++ b/ferry/ferryclaim/claims.go
@@ -46,7 +46,7 @@
 	slots   []*slotRunner
 }
 
-// New returns a Claims; Run must be running for it to grant keys.
+// New returns a Claims; keys are granted only while Run runs.
 func New(cfg Config) *Claims {
 	if cfg.Slots == 0 {
 		cfg.Slots = defaultSlots
@@ -85,7 +85,8 @@
 	}
 }
 
-// IssueTicket returns a sealed ticket, which allows one call of the customer to the service within TicketLifetime.
+// IssueTicket returns a sealed ticket, which allows one call of the customer to the service
+// within TicketLifetime.
 func (c *Claims) IssueTicket(cu ferryid.CustomerName, s ferryid.ServiceName) (string, error) {
 	t, ok := c.table.issue(Call{Customer: cu, Service: s}, c.cfg.Clock.Now())
 	if !ok {
--- a/ferry/ferryclaim/faults_test.go
+++ b/ferry/ferryclaim/faults_test.go
@@ -71,10 +71,10 @@
 
 func TestLostAnswerDelaysDispatch(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		fault  fault
-		settle func(*simulation)
-		want   bool
+		name    string
+		fault   fault
+		resolve func(*simulation)
+		want    bool
 	}{
 		{"applied", faultLostApplied, func(*simulation) {}, true},
 		{"dropped", faultLostDropped, func(*simulation) {}, true},
@@ -92,7 +92,7 @@
 			w.runCall(first)
 			assert.Assert(t, !first.sent && !first.done)
 			w.store.fault = nil
-			tc.settle(w)
+			tc.resolve(w)
 			w.now = w.now.Add(maxBackoff)
 			w.runCall(first)
 			assert.Equal(t, first.sent, tc.want)
--- a/ferry/ferryclaim/forward.go
+++ b/ferry/ferryclaim/forward.go
@@ -32,7 +32,7 @@
 	// Held is the current record of the key, set with DecisionHeld.
 	Held Record `cbor:"2,keyasint"`
 	// Sent is true with DecisionRefused if the record may have been written nevertheless.
-	Sent bool `cbor:"3,keyasint"`
+	MayBeWritten bool `cbor:"3,keyasint"`
 	// RetryAfter is set with DecisionRefused if the owner's request budget is exhausted for that long.
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
 }
@@ -47,7 +47,7 @@
 	DecisionRefused DecisionKind = 3
 )
 
-// Forwarder forwards writes to the owner of their slot over the peer transport.
+// Forwarder forwards writes to the entry that owns their slot.
 type Forwarder interface {
 	// Forward returns one decision for each write, or an error if any decision is missing.
 	Forward(ctx context.Context, owner ferryid.Incarnation, ws []Write) ([]Decision, error)
@@ -60,7 +60,7 @@
 	case held:
 		return Decision{Kind: DecisionHeld, Held: v.rec}
 	case refused:
-		d := Decision{Kind: DecisionRefused, Sent: v.mayBeWritten}
+		d := Decision{Kind: DecisionRefused, MayBeWritten: v.mayBeWritten}
 		var budget *ferryplatform.BudgetError
 		if errors.As(v.err, &budget) {
 			d.RetryAfter = budget.RetryAfter
@@ -76,9 +76,9 @@
 		return held{d.Held}
 	case DecisionRefused:
 		if d.RetryAfter > 0 {
-			return refused{&ferryplatform.BudgetError{Op: "claim", RetryAfter: d.RetryAfter}, d.Sent}
+			return refused{&ferryplatform.BudgetError{Op: "claim", RetryAfter: d.RetryAfter}, d.MayBeWritten}
 		}
-		return refused{errOwnerDown, d.Sent}
+		return refused{errOwnerDown, d.MayBeWritten}
 	}
 	return granted{}
 }
--- a/ferry/ferryclaim/handover.go
+++ b/ferry/ferryclaim/handover.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// HeirError is returned if the tickets were already promised to another heir, which may have them.
+// HeirError is returned if the state was sealed for another heir before, which may have received it.
 type HeirError struct {
 	Heir ferryid.Incarnation
 }
--- a/ferry/ferryclaim/planner.go
+++ b/ferry/ferryclaim/planner.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// claimable reports whether a key may be claimed; an unexpired claim may be replaced only if its holder revoked it.
+// claimable reports whether a key may be claimed.
+// An unexpired claim may be replaced only if its holder revoked it.
 func claimable(cur Record, replaces Ref, now time.Time) bool {
 	switch cur.State {
 	case StateClaimed:
--- a/ferry/ferryclaim/replay.go
+++ b/ferry/ferryclaim/replay.go
@@ -31,7 +31,8 @@
 	return fmt.Sprintf("call already finished with outcome %s and status %d", r.Outcome, r.Status)
 }
 
-// ElsewhereError is returned if only another incarnation may run the ticket, to which the call can be redirected.
+// ElsewhereError is returned if only another incarnation may run the ticket.
+// The call can be redirected to it.
 type ElsewhereError struct {
 	Incarnation ferryid.Incarnation
 }
--- a/ferry/ferryclaim/segment.go
+++ b/ferry/ferryclaim/segment.go
@@ -84,7 +84,8 @@
 	return true
 }
 
-// segmentName returns a name unique to this slot, incarnation and serial number; it is short since the tail lists it.
+// segmentName returns a name unique to this slot, incarnation and serial number.
+// It is short since the tail lists it.
 func (s *slot) segmentName() string {
 	d := DigestOf([]byte(s.name), []byte(s.self), binary.BigEndian.AppendUint64(nil, s.serial))
 	return s.name + "." + hex.EncodeToString(d[:])
--- a/ferry/ferryclaim/slot.go
+++ b/ferry/ferryclaim/slot.go
@@ -14,7 +14,7 @@
 	mergeSegments   = 12
 	maxSegmentLevel = 2
 	mergeRetry      = time.Minute
-	segmentRefBytes = 50 // estimated size of one segmentRef in the encoded tail
+	segmentRefBytes = 50 // size of one segmentRef in the encoded tail
 	maxBatch        = 128
 	minBackoff      = 50 * time.Millisecond
 	maxBackoff      = 2 * time.Second
@@ -41,7 +41,8 @@
 }
 
 // slot is the state machine of one slot's journal; it does no I/O.
-// The slot's object, the tail, is the only mutable object and refers to the immutable segments.
+// The slot's object, the tail, alone decides the state of the keys: it is changed by conditional writes
+// and refers to the segments, which are immutable.
 type slot struct {
 	name          string
 	self          ferryid.Incarnation
--- a/ferry/ferryclaim/table.go
+++ b/ferry/ferryclaim/table.go
@@ -10,7 +10,7 @@
 const (
 	// TicketLifetime is how long a ticket can be used after its issue.
 	TicketLifetime = 15 * time.Minute
-	// ticketRetention is how long a used ticket is recognized after its issue.
+	// ticketRetention is how long a used ticket is recognised after its issue.
 	ticketRetention = 2 * TicketLifetime
 	purgeGrace      = time.Minute
 )
--- a/ferry/ferryclaim/world_test.go
+++ b/ferry/ferryclaim/world_test.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// writeLocally submits the request to the call's own entry after forwarding failed; the owner may still write later.
+// writeLocally submits the request to the call's own entry after forwarding failed.
+// The owner may still write later.
 func (w *simulation) writeLocally(t *simCall, r request) {
 	t.forwardedTo = t.entry
 	w.mayBeUnknown[t.op] = true
