--- a/ferry/ferrydocument/applycore.go
+++ b/ferry/ferrydocument/applycore.go
@@ -196,8 +196,8 @@
 	return endApply{accepted: a, current: c.current}
 }
 
-// onVersionChanged resolves a write of unknown outcome once the object has left the expected version, so that
-// the write can no longer take effect.
+// onVersionChanged resolves a write of unknown outcome after the object has left the version that the write
+// was conditional on.
 func (c *applyCore) onVersionChanged() applyAction {
 	if c.current.DescendsFrom(c.proposed.Generation, c.proposed.Hash()) == ferryservice.Untraced {
 		return c.endUnresolved(errors.New("too many versions were accepted since"))
@@ -278,8 +278,8 @@
 	return c.onFailure(m.err)
 }
 
-// onRepaired reads again unless the repair certainly failed. A repair of unknown outcome needs no resolving,
-// as the read shows the result.
+// onRepaired reads again after a repair that succeeded, conflicted or has an unknown outcome, and otherwise
+// ends the apply. Only a write of the proposed version sets unknown.
 func (c *applyCore) onRepaired(err error) applyAction {
 	var (
 		conflict       *ferryplatform.ConflictError
--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -38,7 +38,7 @@
 }
 
 func (e *DeltaError) Error() string {
-	return fmt.Sprintf("apply delta of %q to base %.12s: %v", e.Service, e.Base, e.Err)
+	return fmt.Sprintf("difference of %q to %.12s: %v", e.Service, e.Base, e.Err)
 }
 
 func (e *DeltaError) Unwrap() error { return e.Err }
@@ -75,7 +75,7 @@
 		return "", err
 	}
 	if len(out) > maxSourceBytes {
-		return "", fmt.Errorf("decompressed text too large: %d bytes", len(out))
+		return "", fmt.Errorf("text of %d bytes", len(out))
 	}
 	return string(out), nil
 }
@@ -130,8 +130,8 @@
 	return whole
 }
 
-// Take offers an update to the holder. It returns NoBase for a delta to a version that is not in force; an error is a
-// *DeltaError.
+// Take offers an update to the holder. It returns NoBase for a delta to a version that is not in force.
+// An error is a *DeltaError.
 func (h *Holder) Take(u Update, source string) (Verdict, error) {
 	if len(u.Delta) == 0 {
 		return h.Offer(u.Accepted, source), nil
@@ -150,7 +150,7 @@
 	a := u.Accepted
 	a.Source = text
 	if a.Hash() != u.Result {
-		return Invalid, wrap(merry.New("hash of the resulting version does not match the update"))
+		return Invalid, wrap(merry.New("another text comes out than the one named"))
 	}
 	return h.offer(a, source, &cachedDelta{base: u.Base, delta: u.Delta}), nil
 }
--- a/ferry/ferrydocument/document_test.go
+++ b/ferry/ferrydocument/document_test.go
@@ -49,7 +49,7 @@
 func TestHolderVerdicts(t *testing.T) {
 	a := chain("a", ferryservice.Accepted{}, 20)
 	b := chain("b", a[1], 3)
-	resolved := after(b[2], "settled")
+	resolved := after(b[2], "resolved")
 	resolved.Supersedes = []string{a[2].Hash()}
 	afterResolved := after(resolved, "later")
 	bad := after(a[2], "bad")
--- a/ferry/ferrydocument/restore_test.go
+++ b/ferry/ferrydocument/restore_test.go
@@ -79,7 +79,7 @@
 	m.n++
 	m.begin(op, ApplyRequest{
 		Service: modelService, Source: f.Accepted.Source, BaseGeneration: m.stored().Generation,
-		Operator: "op", ApplyID: fmt.Sprint("settle-", m.n), Supersedes: []string{f.Hash},
+		Operator: "op", ApplyID: fmt.Sprint("resolve-", m.n), Supersedes: []string{f.Hash},
 	})
 	for range 20 {
 		if op.core != nil {
--- a/ferry/ferrydocument/watchcore.go
+++ b/ferry/ferrydocument/watchcore.go
@@ -13,7 +13,7 @@
 const (
 	// watchWait is the long-poll timeout of one watch.
 	watchWait = 30 * time.Second
-	// relistInterval is the average interval of full lists, which find changes that a watch missed.
+	// relistInterval is the average interval of full lists, which find changes that the watch did not show.
 	relistInterval = 5 * time.Minute
 )
 
@@ -152,7 +152,8 @@
 	return c.proceed(now)
 }
 
-// onRepaired lists again after a failed repair, unless it failed because another entry wrote first.
+// onRepaired lists again, after a pause, if a repair failed; a conflict is no failure, as another entry wrote
+// first.
 func (c *watchCore) onRepaired(m watchRepaired, now time.Time) watchAction {
 	var conflict *ferryplatform.ConflictError
 	if m.err == nil || errors.As(m.err, &conflict) {
@@ -161,7 +162,7 @@
 	return c.onFailure(m.err)
 }
 
-// onFailure pauses and then lists, as the watch may have missed changes.
+// onFailure pauses and then lists, as the store may have changed in any way in the meantime.
 func (c *watchCore) onFailure(err error) watchAction {
 	c.listed = false
 	d := backoff(c.liveEntries, c.failures, c.rnd)
@@ -195,9 +196,9 @@
 	return rolledBack
 }
 
-// hasUnseenVersions reports whether a document in force, received from a peer, is newer than the store's. The
-// store may then have been rolled back to the version that the watch last returned, so that the watch does not
-// show it.
+// hasUnseenVersions reports whether a document in force, received by other means than the watch, is newer than
+// the version last read from the store. The store may then have been rolled back to the version that the
+// watch last returned, so that the watch does not show it.
 func (c *watchCore) hasUnseenVersions() bool {
 	for _, f := range c.holder.All() {
 		if c.storeGenerations[f.Accepted.Service] < f.Accepted.Generation {
