--- a/ferry/ferryqueue/excess.go
+++ b/ferry/ferryqueue/excess.go
@@ -12,7 +12,7 @@
 	usageWindow = 30 * time.Second
 	// usageMargin is the ratio of a customer's started work to its share from which further work is excess.
 	usageMargin = 1.5
-	// ownSlotsShare is the part of its share of the slots that a customer occupies before any of its work is excess.
+	// ownSlotsShare is the part of its share of the slots up to which no work of a customer is excess.
 	ownSlotsShare = 0.5
 )
 
--- a/ferry/ferryqueue/lane.go
+++ b/ferry/ferryqueue/lane.go
@@ -131,7 +131,8 @@
 	l.demand = max(l.demand, float64(l.running+l.waiting))
 }
 
-// reserved returns how many slots are reserved for the class: its share, limited by its recent demand.
+// reserved returns how many slots are reserved for the class: its share, limited by its recent demand,
+// so that slots it has not needed recently are free for other classes.
 func (l *classQueue) reserved(capacity int) int {
 	share := math.Ceil(l.class.ReservedShare * float64(capacity))
 	return int(min(share, math.Ceil(demandMargin*l.demand)))
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// DefaultMaxWait is the predicted wait from which work of the first class is refused.
+	// DefaultMaxWait is the predicted wait above which work of the first class is refused.
 	DefaultMaxWait = 500 * time.Millisecond
 	// maxWaitShare is the same limit for the other classes, as a share of their deadline.
 	maxWaitShare = 0.25
@@ -69,7 +69,7 @@
 }
 
 // Counts are totals since the queue's creation.
-// Thrown is the work repeated because running items were cancelled and requeued.
+// Repeated is the work done again because running items were cancelled and requeued.
 type Counts struct {
 	Enqueued     uint64         `json:"Enqueued"`
 	Started      uint64         `json:"Started"`
--- a/ferry/ferryqueue/refuse.go
+++ b/ferry/ferryqueue/refuse.go
@@ -15,7 +15,8 @@
 	retryJitter = 0.5
 )
 
-// checkAdmission refuses duplicates and items that, by the predicted wait, can't finish in time.
+// checkAdmission refuses duplicates, items past their deadline, and items that can't be served in time
+// according to the predicted wait.
 func (q *Queue) checkAdmission(it *Item, l *classQueue, now time.Time) *Refusal {
 	if _, ok := q.entries[it.ID]; ok {
 		return q.refuse(it, l, now, ferryoutcome.KindConflict, "a call with this id is already waiting or running")
--- a/ferry/ferryqueue/snapshot.go
+++ b/ferry/ferryqueue/snapshot.go
@@ -16,7 +16,8 @@
 	Reserved      int               `json:"Reserved"`
 }
 
-// Snapshot is the state of a queue at one time; TurnedAway counts refusals by the published view or a full inbox.
+// Snapshot is the state of a queue at one time.
+// TurnedAway counts refusals by the published view or a full inbox.
 type Snapshot struct {
 	At         time.Time    `json:"At"`
 	Capacity   int          `json:"Capacity"`
@@ -41,15 +42,15 @@
 	full      map[ferryid.CustomerName]bool
 }
 
-func (q *Queue) view(now time.Time, missed ferryid.Tokens) *view {
+func (q *Queue) view(now time.Time, refusedTokens ferryid.Tokens) *view {
 	v := &view{at: now, snapshot: q.Snapshot(now)}
 	for _, l := range q.classQueues {
-		v.classes = append(v.classes, q.classView(l, now, missed))
+		v.classes = append(v.classes, q.classView(l, now, refusedTokens))
 	}
 	return v
 }
 
-func (q *Queue) classView(l *classQueue, now time.Time, missed ferryid.Tokens) classView {
+func (q *Queue) classView(l *classQueue, now time.Time, refusedTokens ferryid.Tokens) classView {
 	lv := classView{class: l.class.Name, maxTokens: l.class.MaxTokens}
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		return lv
@@ -63,7 +64,7 @@
 		}
 	}
 	if len(lv.full) > 0 {
-		lv.retry = q.retryAfter(&Item{Predicted: missed}, l, now)
+		lv.retry = q.retryAfter(&Item{Predicted: refusedTokens}, l, now)
 	}
 	return lv
 }
