--- a/ferry/ferrylimit/counter.go
+++ b/ferry/ferrylimit/counter.go
@@ -17,7 +17,7 @@
 	// burstTime sets the burst size of a bucket: the units that its rate yields in this time.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 1
-	// idleRetention is how long an idle customer's bucket is kept; the bucket fills up much sooner.
+	// idleRetention is how long an idle customer's bucket or share is kept; a bucket fills up much sooner.
 	idleRetention = time.Minute
 )
 
@@ -48,7 +48,8 @@
 	updated time.Time
 }
 
-// Counter is the state of the entry that counts for a customer; it does no I/O and must not be used concurrently.
+// Counter is the state of the entry that counts for a customer.
+// It does no I/O and must not be used concurrently.
 type Counter struct {
 	rate    Rate
 	buckets map[Key]*bucket
--- a/ferry/ferrylimit/share.go
+++ b/ferry/ferrylimit/share.go
@@ -8,7 +8,7 @@
 const (
 	// AskInterval is the interval between an entry's asks.
 	AskInterval = 50 * time.Millisecond
-	// overdraftTime sets the overdraft of an entry: the units that the rate yields in this time.
+	// overdraftTime sets the maximum overdraft of an entry: the units that the rate yields in this time.
 	overdraftTime = 30 * time.Millisecond
 	// maxAskDelay is how long an ask for an overdraft may be delayed while more can be admitted.
 	maxAskDelay = 500 * time.Millisecond
@@ -29,7 +29,8 @@
 	evenShareAt     time.Time     // time of the last even share taken without an answer
 }
 
-// Shares is the state of an entry that admits work; it does no I/O, never waits and must not be used concurrently.
+// Shares is the state of an entry that admits work. It does no I/O and never waits for an answer;
+// it must not be used concurrently.
 type Shares struct {
 	rate   Rate
 	shares map[Key]*share
@@ -67,7 +68,7 @@
 	return true, 0
 }
 
-// maxOverdraft returns how much an entry may admit before it is granted.
+// maxOverdraft returns how much an entry may admit before it is granted any units.
 func maxOverdraft(rate Units) Units {
 	return max(1, rate*Units(overdraftTime.Seconds()))
 }
@@ -82,7 +83,8 @@
 	return len(s.active) == 0
 }
 
-// Asks returns the asks to send to the counting entries; call it at most once per Tick, and not while Quiet.
+// Asks returns the asks to send to the counting entries. It must be called at most once per AskInterval,
+// and need not be called while Idle.
 func (s *Shares) Asks(now time.Time) []Ask {
 	var out []Ask
 	for k, sh := range s.active {
@@ -114,9 +116,9 @@
 	return out
 }
 
-// askAmount returns how much to ask for now. If the customer calls in every tick, or its overdraft allows one call
-// only, that is the overdraft plus the demand since the last Ask. Otherwise it is the overdraft alone, asked for
-// later if more can be admitted. An idle entry returns its balance, as a negative amount.
+// askAmount returns how much to ask for now. If the customer calls in every interval, or its maximum overdraft
+// is one call, that is the overdrawn amount plus the demand since the last Ask. Otherwise it is the overdrawn
+// amount alone, asked for later if more can be admitted. An idle entry returns its balance, as a negative amount.
 func (sh *share) askAmount(rate Units, now time.Time) Units {
 	switch {
 	case sh.balance >= 0 && now.Sub(sh.lastUse) >= idleAfter:
