--- a/ferry/ferrylog/bound.go
+++ b/ferry/ferrylog/bound.go
@@ -24,7 +24,8 @@
 	Scope tally.Scope
 }
 
-// New returns a logger that writes at most PerSecond lines per second, plus one with the number of lines dropped.
+// New returns a logger that writes at most PerSecond lines per second, plus one with the number of lines
+// dropped.
 func New(cfg Config) zerolog.Logger {
 	return cfg.Log.Sample(&limiter{cfg: cfg, windowStart: cfg.Clock.Now(), dropped: cfg.Scope.Counter("log_lines_left_out")})
 }
--- a/ferry/ferryoutcome/problem.go
+++ b/ferry/ferryoutcome/problem.go
@@ -21,7 +21,8 @@
 // Scope is what an outcome applies to: the whole request unless it is ScopeAttempt.
 type Scope string
 
-// ScopeAttempt marks an outcome of the last attempt only; earlier ones with the same key or ticket were not looked up.
+// ScopeAttempt marks an outcome of this attempt only; earlier attempts with the same key or ticket were not
+// looked up.
 const ScopeAttempt Scope = "Attempt"
 
 // Kind is the machine-readable type of a problem.
--- a/ferry/ferryplain/call.go
+++ b/ferry/ferryplain/call.go
@@ -15,8 +15,8 @@
 // IdempotencyKeyHeader is the request header with the caller's idempotency key.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
-// hopByHopHeaders are not forwarded; Authorization is included because it holds the caller's key.
-var hopByHopHeaders = []string{
+// droppedHeaders are not forwarded: the hop-by-hop headers, and Authorization, which holds the caller's key.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -32,7 +32,8 @@
 	Idempotent bool
 }
 
-// Answer is an upstream's answer. Rest reads the part of the body that did not fit in Body, nil if there is none.
+// Answer is an upstream's answer.
+// Rest reads the part of the body that did not fit in Body; it is nil if all did.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -70,10 +71,10 @@
 	return fmt.Sprintf("upstream %s refused the call with status %d and has not run it", e.Address, e.Status)
 }
 
-// CopyHeader copies the end-to-end headers.
+// CopyHeader copies the headers that may be forwarded.
 func CopyHeader(to, from http.Header) {
 	drop := map[string]bool{}
-	for _, h := range hopByHopHeaders {
+	for _, h := range droppedHeaders {
 		drop[h] = true
 	}
 	for _, v := range from.Values("Connection") {
--- a/ferry/ferryplain/client.go
+++ b/ferry/ferryplain/client.go
@@ -31,7 +31,8 @@
 // ErrIdleTimeout means that an open connection made no progress for the idle timeout.
 var ErrIdleTimeout = errors.New("connection made no progress")
 
-// ClientConfig configures a Client; zero timeouts take the defaults of 2 s for dialing and 30 s for idle connections.
+// ClientConfig configures a Client.
+// The zero value of DialTimeout means 2 s, that of IdleTimeout 30 s without progress.
 type ClientConfig struct {
 	Clock       clockwork.Clock
 	DialTimeout time.Duration
--- a/ferry/ferrystream/compose.go
+++ b/ferry/ferrystream/compose.go
@@ -139,8 +139,8 @@
 	return append(b, "}}\n\n"...)
 }
 
-// Whole appends the JSON body of an answer that is not streamed.
-func (c *Composer) Whole(b []byte, text, reason string, promptTokens, tokens int) []byte {
+// CompleteAnswer appends the JSON body of an answer that is not streamed.
+func (c *Composer) CompleteAnswer(b []byte, text, reason string, promptTokens, tokens int) []byte {
 	b = append(b, c.objectPrefix(objectName(c.cfg.Shape, false))...)
 	if c.cfg.Shape == ShapeChat {
 		b = append(b, `"choices":[{"index":0,"message":{"role":"assistant","content":`...)
--- a/ferry/ferrystream/compose_test.go
+++ b/ferry/ferrystream/compose_test.go
@@ -41,7 +41,7 @@
 			data, ok := strings.CutPrefix(line, "data: {")
 			assert.Assert(t, !ok || json.Valid([]byte("{"+data)), line)
 		}
-		whole := c.Whole(nil, "a \"b\"", "stop", 3, 4)
+		whole := c.CompleteAnswer(nil, "a \"b\"", "stop", 3, 4)
 		assert.Assert(t, json.Valid(whole))
 		golden.Assert(t, string(b)+string(whole), tt.name+".golden")
 	}
--- a/ferry/ferrystream/resume.go
+++ b/ferry/ferrystream/resume.go
@@ -104,7 +104,7 @@
 	history History
 }
 
-// NewResumeFilter returns a Seam for the resume token.
+// NewResumeFilter returns a filter for the answer that continues the resume token's stream.
 func NewResumeFilter(r Resume) *ResumeFilter {
 	return &ResumeFilter{resume: r}
 }
--- a/ferry/ferrystream/seal.go
+++ b/ferry/ferrystream/seal.go
@@ -32,7 +32,8 @@
 	maxClockSkew  = time.Minute
 	defaultMaxAge = time.Hour
 	// keyIssued to keyHistory are the CBOR keys of the fields of Resume that change with each token.
-	// cborByte is the first byte of a CBOR number that follows in one byte.
+	// cborByte is the initial byte of a CBOR number whose value follows in one byte; the next initial bytes
+	// mean two, four and eight bytes.
 	keyIssued     = 7
 	keyEpoch      = 8
 	keyNext       = 9
--- a/ferry/ferrystream/seal_test.go
+++ b/ferry/ferrystream/seal_test.go
@@ -103,16 +103,16 @@
 		for _, c := range tt.first[:3] {
 			r.History = r.History.Add(string(c))
 		}
-		seam := ferrystream.NewResumeFilter(r)
+		filter := ferrystream.NewResumeFilter(r)
 		got := ""
 		var failed error
 		for i, c := range tt.second {
-			fresh, err := seam.Add(ferrystream.Token{Position: positionOf(i), Text: string(c)})
+			needed, err := filter.Add(ferrystream.Token{Position: positionOf(i), Text: string(c)})
 			if err != nil {
 				failed = err
 				break
 			}
-			if fresh {
+			if needed {
 				got += string(c)
 			}
 		}
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -76,7 +76,7 @@
 		st.writeEvents(cancel, w, r, ended, shapeOf(chat))
 		return
 	}
-	st.writeWhole(w, r, ended, shapeOf(chat))
+	st.writeComplete(w, r, ended, shapeOf(chat))
 }
 
 func shapeOf(chat bool) ferrystream.Shape {
@@ -124,7 +124,8 @@
 	return st, p
 }
 
-// streamDeadline returns the deadline of the class of a stream that generates n tokens, its maximum.
+// streamDeadline returns the deadline of the class for n tokens, the stream's maximum,
+// or that of the service if the class has none.
 func streamDeadline(d *ferryservice.Document, n ferryid.Tokens) ferryservice.Duration {
 	if cl := d.Classes.ForTokens(n); cl.Deadline > 0 {
 		return cl.Deadline
@@ -261,8 +262,8 @@
 	_ = out.failed(p)
 }
 
-// writeWhole collects the answer and sends it in one response.
-func (st *stream) writeWhole(w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
+// writeComplete collects the answer and sends it in one response.
+func (st *stream) writeComplete(w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
 	var text strings.Builder
 	for t := range st.tokens {
 		text.WriteString(t.Text)
@@ -278,5 +279,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(StreamHeader, string(st.job.Stream))
 	prompt := 1 + len(st.job.Prompt)/bytesPerToken
-	_, _ = w.Write(composer.Whole(nil, text.String(), st.result.Reason, prompt, len(st.texts)))
+	_, _ = w.Write(composer.CompleteAnswer(nil, text.String(), st.result.Reason, prompt, len(st.texts)))
 }
--- a/ferryd/ferrycaller/request.go
+++ b/ferryd/ferrycaller/request.go
@@ -134,7 +134,8 @@
 	return b.String(), true
 }
 
-// seedOrDefault returns the caller's seed, or one computed from the prompt, so that a repeat gives the same text.
+// seedOrDefault returns the caller's seed, or one computed from the prompt, so that a repeated request
+// gives the same text.
 func (c *Completion) seedOrDefault() uint64 {
 	if c.Seed != nil {
 		return uint64(*c.Seed)
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -175,19 +175,19 @@
 }
 
 // setScope marks a refusal that says nothing about earlier attempts.
-func (id *callInfo) setScope(p *ferryoutcome.Problem) {
+func (info *callInfo) setScope(p *ferryoutcome.Problem) {
 	switch p.Kind {
 	case ferryoutcome.KindKeyReused, ferryoutcome.KindConflict:
 		return
 	}
-	if id.keyed && !id.lookedUp && p.Outcome == ferryoutcome.NotRun {
+	if info.keyed && !info.lookedUp && p.Outcome == ferryoutcome.NotRun {
 		p.Scope = ferryoutcome.ScopeAttempt
 	}
 }
 
 func callInfoOf(ctx context.Context) *callInfo {
-	if id, ok := ctx.Value(callInfoKey{}).(*callInfo); ok {
-		return id
+	if info, ok := ctx.Value(callInfoKey{}).(*callInfo); ok {
+		return info
 	}
 	return &callInfo{}
 }
@@ -210,8 +210,8 @@
 	if p.Status >= http.StatusInternalServerError && p.Outcome != ferryoutcome.NotRun {
 		e = s.Log.Warn()
 	}
-	id := callInfoOf(r.Context())
-	e.Str("RequestID", p.RequestID).Str("Customer", string(id.customer)).Str("StreamID", string(id.stream)).Str("Kind", string(p.Kind)).Str("Outcome", string(p.Outcome)).AnErr("Cause", p.Cause).Msg("call failed")
+	info := callInfoOf(r.Context())
+	e.Str("RequestID", p.RequestID).Str("Customer", string(info.customer)).Str("StreamID", string(info.stream)).Str("Kind", string(p.Kind)).Str("Outcome", string(p.Outcome)).AnErr("Cause", p.Cause).Msg("call failed")
 }
 
 func (s *Server) logCall(c *caller, u ferryservice.Upstream, err error) {
