--- a/ferry/ferryengine/client.go
+++ b/ferry/ferryengine/client.go
@@ -197,7 +197,7 @@
 	cl := &call{client: c, address: address, idleTimeout: idle}
 	cl.ctx, cl.cancel = context.WithCancelCause(ctx)
 	cl.timer = c.clock.AfterFunc(idle, func() {
-		cl.cancel(&SilentError{Upstream: address, Idle: idle})
+		cl.cancel(&IdleTimeoutError{Upstream: address, Idle: idle})
 	})
 	return cl
 }
@@ -292,7 +292,7 @@
 }
 
 func (cl *call) cause(err error) error {
-	var silent *SilentError
+	var silent *IdleTimeoutError
 	if errors.As(context.Cause(cl.ctx), &silent) {
 		return fmt.Errorf("%w (%v)", silent, err)
 	}
--- a/ferry/ferryengine/client_test.go
+++ b/ferry/ferryengine/client_test.go
@@ -127,7 +127,7 @@
 		clock.Advance(time.Second)
 	}()
 	_, err := ferryengine.New(ferryengine.ClientConfig{Clock: clock, IdleTimeout: time.Second}).Run(context.Background(), runRequest(address))
-	var silent *ferryengine.SilentError
+	var silent *ferryengine.IdleTimeoutError
 	assert.Assert(t, errors.As(err, &silent), "%v", err)
 	var dispatch *ferryengine.DispatchError
 	assert.Assert(t, errors.As(err, &dispatch))
--- a/ferry/ferryengine/errors.go
+++ b/ferry/ferryengine/errors.go
@@ -66,13 +66,13 @@
 	return fmt.Sprintf("upstream %s refused an order: it has seen fencing number %d", e.Upstream, e.Highest)
 }
 
-// SilentError reports that a connection was closed after the idle timeout.
-type SilentError struct {
+// IdleTimeoutError reports that a connection was closed after the idle timeout.
+type IdleTimeoutError struct {
 	Upstream string
 	Idle     time.Duration
 }
 
-func (e *SilentError) Error() string {
+func (e *IdleTimeoutError) Error() string {
 	return fmt.Sprintf("upstream %s made no progress for %s", e.Upstream, e.Idle)
 }
 
--- a/ferry/ferrypipeline/bench_test.go
+++ b/ferry/ferrypipeline/bench_test.go
@@ -116,7 +116,7 @@
 func (fixedPicker) Done(ferrypipeline.Plan, ferryid.Tokens) {}
 
 // Measures the Runner over a loopback connection, with an engine that flushes each token. The engine and the
-// caller share the CPUs.
+// caller share the CPU core.
 func BenchmarkRelayOverLoopback(b *testing.B) {
 	var lines []byte
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/ferry/ferrypipeline/budget.go
+++ b/ferry/ferrypipeline/budget.go
@@ -36,8 +36,8 @@
 	b.left = min(b.left, b.burst)
 }
 
-// First adds the share of one first try to the budget.
-func (b *RetryBudget) First() {
+// AddFirstTry adds the share of one first try to the budget.
+func (b *RetryBudget) AddFirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = min(b.burst, b.left+b.share)
--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -300,7 +300,7 @@
 	if len(c.generated) >= c.job.MaxTokens {
 		return c.onDone(&ferryengine.Item{Done: true, Reason: "length"}, now, out)
 	}
-	var silent *ferryengine.SilentError
+	var silent *ferryengine.IdleTimeoutError
 	c.kvMovable = !errors.As(m.Err, &silent)
 	c.refusedByDraining = m.Refused == ferryoutcome.KindDraining
 	faultyStage := c.plan.Stages[0].Address
--- a/ferry/ferrypipeline/core_test.go
+++ b/ferry/ferrypipeline/core_test.go
@@ -292,7 +292,7 @@
 		e.ran = rapid.Bool().Draw(s.t, "ran")
 	}
 	if rapid.Bool().Draw(s.t, "silent") {
-		b.Err = &ferryengine.SilentError{}
+		b.Err = &ferryengine.IdleTimeoutError{}
 	}
 	s.send(b)
 }
--- a/ferry/ferrypipeline/pool.go
+++ b/ferry/ferrypipeline/pool.go
@@ -23,7 +23,7 @@
 )
 
 // suspicion excludes an engine that failed a job from other jobs for a time. The time doubles with each
-// failure until the engine produces a token again.
+// failure, up to maxSuspicion, until the engine produces a token again.
 type suspicion struct {
 	until    time.Time
 	duration time.Duration
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -65,7 +65,7 @@
 	s.readCtx, s.stopReading = context.WithCancel(ctx)
 	defer s.close()
 	if r.Budget != nil {
-		r.Budget.First()
+		r.Budget.AddFirstTry()
 	}
 	if !job.Deadline.IsZero() {
 		passed, halt := make(chan struct{}), s.stopReading
--- a/ferry/ferrypipeline/trace.go
+++ b/ferry/ferrypipeline/trace.go
@@ -82,7 +82,7 @@
 	case ItemArrived:
 		return TraceLine{Kind: "ItemArrived", Epoch: m.Epoch, Item: &m.Item}
 	case Broke:
-		var silent *ferryengine.SilentError
+		var silent *ferryengine.IdleTimeoutError
 		return TraceLine{
 			Kind: "Broke", Epoch: m.Epoch, Outcome: m.Outcome, Refused: m.Refused,
 			Err: m.Err.Error(), Silent: errors.As(m.Err, &silent),
@@ -121,7 +121,7 @@
 	case "Broke":
 		err := errors.New(l.Err)
 		if l.Silent {
-			err = &ferryengine.SilentError{}
+			err = &ferryengine.IdleTimeoutError{}
 		}
 		return Broke{Epoch: l.Epoch, Outcome: l.Outcome, Refused: l.Refused, Err: err}, l.Outcome.Check()
 	case "KVMoved":
