--- a/ferry/ferrytoml/toml_test.go
+++ b/ferry/ferrytoml/toml_test.go
@@ -55,7 +55,7 @@
 
 func TestFaults(t *testing.T) {
 	tests := []struct{ name, text string }{
-		{"valid", "Name = \"a\"\nShare = 0.5\nWait = \"1m\"\n[[Rows]]\nName = \"r\"\n"},
+		{"sound", "Name = \"a\"\nShare = 0.5\nWait = \"1m\"\n[[Rows]]\nName = \"r\"\n"},
 		{"wrong types on several lines", "Name = 3\nCount = \"x\"\nTags = [\n 1,\n 2,\n]\nOn = 1\nShare = 2\n[[Rows]]\nSlots = -1\n[[Rows]]\nSlots = \"q\"\nName = 4\n"},
 		{"unknown fields beside wrong values", "Nam = \"a\"\nShare = nan\n[[Rows]]\nSlot = 1\nSlots = -1\n[Tabel]\nx = 1\n"},
 		{"numbers not in range", "Name = \"a\"\nCount = 70000\nShare = inf\n"},
@@ -65,7 +65,7 @@
 		{"inline tables", "Name = \"a\"\nRows = [\n {Name = \"r\"},\n {Name = \"s\",\n  Slots = -1},\n]\n"},
 		{"same key twice", "Name = \"a\"\nName = \"b\"\n"},
 		{"same table twice", "Name = \"a\"\n[Table]\n[Table]\n"},
-		{"missing value", "Name = \n"},
+		{"no value", "Name = \n"},
 		{"array without end", "Name = \"a\"\nTags = [\n"},
 		{"string without end", "Name = \"\"\"a\n"},
 		{"not UTF-8", "Name = \"\xff\"\n"},
