--- a/ferry/ferrydocument/diff.go
+++ b/ferry/ferrydocument/diff.go
@@ -58,9 +58,9 @@
 		return ""
 	}
 	var b strings.Builder
-	mine := changed(base, yours)
+	yourSpans := changed(base, yours)
 	for _, t := range changed(base, theirs) {
-		for _, y := range mine {
+		for _, y := range yourSpans {
 			if s, ok := t.intersect(y); ok {
 				fmt.Fprintf(&b, "both changed %s of the base\n", s)
 			}
--- a/ferry/ferrydocument/document_test.go
+++ b/ferry/ferrydocument/document_test.go
@@ -114,7 +114,7 @@
 	assert.Equal(t, len(missing), 1)
 	assert.Equal(t, behind.Offer(missing[0], "peer"), ferrydocument.Taken)
 	assert.Equal(t, ahead.Digest().Sum(), behind.Digest().Sum())
-	assert.Equal(t, len(ahead.Missing(nil)), 1, "a new entry is sent every document")
+	assert.Equal(t, len(ahead.Missing(nil)), 1, "a new entry must be sent every document")
 }
 
 func TestSubscriptionKeepsTheLatest(t *testing.T) {
--- a/ferry/ferrydocument/model_test.go
+++ b/ferry/ferrydocument/model_test.go
@@ -365,8 +365,8 @@
 // heal ends all faults and runs applies, watchers and gossip until they converge.
 func (m *model) heal(t *rapid.T) {
 	m.store.SetFaults(ferryplatformtest.Faults{})
-	// A rolled-back store that was written up to the version of a watcher again is detected by the next list
-	// only.
+	// A store that was rolled back and has since reached a watcher's version again is detected only by the
+	// next list.
 	m.clock.Advance(2 * relistInterval)
 	for _, op := range m.operators {
 		for range 20 {
--- a/ferry/ferryengine/client.go
+++ b/ferry/ferryengine/client.go
@@ -292,9 +292,9 @@
 }
 
 func (cl *call) cause(err error) error {
-	var silent *IdleTimeoutError
-	if errors.As(context.Cause(cl.ctx), &silent) {
-		return fmt.Errorf("%w (%v)", silent, err)
+	var idle *IdleTimeoutError
+	if errors.As(context.Cause(cl.ctx), &idle) {
+		return fmt.Errorf("%w (%v)", idle, err)
 	}
 	return err
 }
--- a/ferry/ferryengine/transport.go
+++ b/ferry/ferryengine/transport.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	dialTimeout        = 2 * time.Second
-	idleConnTimeout    = 90 * time.Second
-	maxIdleConns       = 4096
-	maxIdleConnsByHost = 512
+	dialTimeout         = 2 * time.Second
+	idleConnTimeout     = 90 * time.Second
+	maxIdleConns        = 4096
+	maxIdleConnsPerHost = 512
 	// writeBufferBytes is small, as a connection writes one request and then only reads.
 	writeBufferBytes = 1 << 10
 )
@@ -99,7 +99,7 @@
 		},
 		DisableCompression:  true,
 		MaxIdleConns:        maxIdleConns,
-		MaxIdleConnsPerHost: maxIdleConnsByHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		WriteBufferSize:     writeBufferBytes,
 	}
--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -300,8 +300,8 @@
 	if len(c.generated) >= c.job.MaxTokens {
 		return c.onDone(&ferryengine.Item{Done: true, Reason: "length"}, now, out)
 	}
-	var silent *ferryengine.IdleTimeoutError
-	c.kvMovable = !errors.As(m.Err, &silent)
+	var idle *ferryengine.IdleTimeoutError
+	c.kvMovable = !errors.As(m.Err, &idle)
 	c.refusedByDraining = m.Refused == ferryoutcome.KindDraining
 	faultyStage := c.plan.Stages[0].Address
 	if m.Refused == ferryoutcome.KindConflict {
--- a/ferry/ferrypipeline/planner_test.go
+++ b/ferry/ferrypipeline/planner_test.go
@@ -166,7 +166,7 @@
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
 	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "another job got the engine that just failed")
-	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspected engine is used if there is no other")
+	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspected engine must be used if there is no other")
 	clock.Advance(time.Second)
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
--- a/ferry/ferryplatform/client.go
+++ b/ferry/ferryplatform/client.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	defaultCallTimeout = 5 * time.Second
-	dialTimeout        = 2 * time.Second
-	idleConnTimeout    = 30 * time.Second
-	idleConns          = 4
+	defaultCallTimeout  = 5 * time.Second
+	dialTimeout         = 2 * time.Second
+	idleConnTimeout     = 30 * time.Second
+	maxIdleConnsPerHost = 4
 )
 
 // ClientConfig configures a Client.
@@ -71,7 +71,7 @@
 func withoutRedirects(given *http.Client) *http.Client {
 	c := http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 	}}
 	if given != nil {
