--- a/ferry/ferryclaim/claims_rapid_test.go
+++ b/ferry/ferryclaim/claims_rapid_test.go
@@ -38,7 +38,7 @@
 	anyEntry := func(rt *rapid.T) *simEntry {
 		return w.all[incarnation(rapid.IntRange(1, w.created).Draw(rt, "incarnation"))]
 	}
-	pick := func() *simCall { return w.calls[rapid.IntRange(0, len(w.calls)-1).Draw(rt, "try")] }
+	pick := func() *simCall { return w.calls[rapid.IntRange(0, len(w.calls)-1).Draw(rt, "call")] }
 	rt.Repeat(map[string]func(*rapid.T){
 		"begin": func(rt *rapid.T) {
 			key := rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key")
--- a/ferry/ferryclaim/hour_test.go
+++ b/ferry/ferryclaim/hour_test.go
@@ -25,7 +25,7 @@
 type retryingCaller struct {
 	op     string
 	ticket *Ticket
-	try    *simCall
+	call   *simCall
 	tries  int
 	due    time.Time
 	sentAt time.Time
@@ -52,8 +52,8 @@
 			h.w.io(n)
 		}
 		for _, c := range h.active {
-			if c.try != nil {
-				h.w.step(c.try, h.r.IntN(100) == 0)
+			if c.call != nil {
+				h.w.step(c.call, h.r.IntN(100) == 0)
 			}
 		}
 	}
@@ -66,30 +66,30 @@
 	h.active = keep
 	h.w.calls = h.w.calls[:0]
 	for _, c := range h.active {
-		if c.try != nil {
-			h.w.calls = append(h.w.calls, c.try)
+		if c.call != nil {
+			h.w.calls = append(h.w.calls, c.call)
 		}
 	}
 }
 
 // advance moves the call on and reports whether the caller has its final answer.
 func (h *hourRun) advance(c *retryingCaller) bool {
-	if c.try == nil {
+	if c.call == nil {
 		if h.w.now.Before(c.due) {
 			return false
 		}
 		c.tries++
-		c.try = h.w.begin(h.entry(c), c.op, c.ticket, "one")
+		c.call = h.w.begin(h.entry(c), c.op, c.ticket, "one")
 	}
 	switch {
-	case c.try.sent && !c.try.done:
+	case c.call.sent && !c.call.done:
 		if c.sentAt.IsZero() {
 			c.sentAt = h.w.now
 		}
 		if h.w.now.Sub(c.sentAt) >= serviceTime {
-			h.w.finish(c.try)
+			h.w.finish(c.call)
 		}
-	case c.try.done:
+	case c.call.done:
 		return h.onAnswered(c)
 	}
 	return false
@@ -103,10 +103,10 @@
 }
 
 func (h *hourRun) onAnswered(c *retryingCaller) bool {
-	o := outcomeOf(c.try.err)
+	o := outcomeOf(c.call.err)
 	var rep *Replay
-	if !errors.As(c.try.err, &rep) && c.tries < maxCallerTries {
-		c.try, c.sentAt, c.due = nil, time.Time{}, h.w.now.Add(callerRetryDelay)
+	if !errors.As(c.call.err, &rep) && c.tries < maxCallerTries {
+		c.call, c.sentAt, c.due = nil, time.Time{}, h.w.now.Add(callerRetryDelay)
 		return false
 	}
 	h.counts[o]++
--- a/ferry/ferryclaim/world_test.go
+++ b/ferry/ferryclaim/simulation_test.go
@@ -21,7 +21,7 @@
 	all          map[ferryid.Incarnation]*simEntry
 	created      int
 	ran          map[string][]execution // dispatches by key or ticket
-	mayBeUnknown map[string]bool        // keys and tickets whose outcome only a crashed incarnation knew
+	mayBeUnknown map[string]bool        // keys and tickets that may be answered Unknown
 	calls        []*simCall
 	failures     []string
 	chooseOwner  func(*simCall) *simEntry
@@ -29,8 +29,8 @@
 }
 
 type execution struct {
-	at  time.Time
-	try *simCall
+	at   time.Time
+	call *simCall
 }
 
 // simCall is one simulated call.
@@ -235,7 +235,7 @@
 	t.sent = true
 	for _, e := range w.ran[t.op] {
 		if w.now.Sub(e.at) < simRetention/2 {
-			w.fail("%s: ran twice, at %s and %s", t.op, e.try.entry.id, t.entry.id)
+			w.fail("%s: ran twice, at %s and %s", t.op, e.call.entry.id, t.entry.id)
 		}
 	}
 	w.ran[t.op] = append(w.ran[t.op], execution{w.now, t})
@@ -335,7 +335,7 @@
 	return err
 }
 
-// allowUnknown records that only a crashed incarnation knew the outcome of a call.
+// allowUnknown records that a call may be answered Unknown, as only an incarnation that ended knew its outcome.
 func (w *simulation) allowUnknown(r Ref) {
 	for _, t := range w.calls {
 		if t.a.claimed.Ref == r {
