--- a/ferry/ferrylimit/idle_test.go
+++ b/ferry/ferrylimit/idle_test.go
@@ -83,7 +83,7 @@
 				sum += n
 			}
 			ratio := float64(sum) / (60 * tc.offered)
-			assert.Assert(t, ratio > 0.95 && ratio < 1.05, "admitted %.3f of the limit or offer", ratio)
+			assert.Assert(t, ratio > 0.95 && ratio < 1.05, "admitted %.3f of the offered load", ratio)
 		})
 	}
 }
--- a/ferry/ferrylimit/limit_test.go
+++ b/ferry/ferrylimit/limit_test.go
@@ -103,7 +103,7 @@
 func TestUnansweredEntriesTakeEvenShares(t *testing.T) {
 	admitted := admittedPerSecond(20, 900, 3000, func(s int) bool { return s >= 10 })
 	for _, n := range admitted[12:] {
-		assert.Check(t, n > 50 && n <= 945, "%d", n)
+		assert.Check(t, n > 50 && n <= 945, "admitted %d in a second", n)
 	}
 }
 
--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -43,29 +43,29 @@
 
 // Run runs the queue until the context ends, then refuses the calls that still wait as NotRun.
 func (a *Admission) Run(ctx context.Context, cfg Config) {
-	o := newAdmissionLoop(a, cfg)
+	loop := newAdmissionLoop(a, cfg)
 	tick := a.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer close(a.ended)
-	o.publish()
+	loop.publish()
 	for {
 		select {
 		case <-ctx.Done():
-			o.refuseAll()
+			loop.refuseAll()
 			return
 		case <-tick.Chan():
-			o.tick()
-			if o.goIdle() {
+			loop.tick()
+			if loop.goIdle() {
 				tick.Stop()
 			}
 		case m := <-a.inbox:
-			o.handle(m)
-			if o.resumeTicks() {
+			loop.handle(m)
+			if loop.resumeTicks() {
 				tick.Reset(tickInterval)
 			}
 		}
-		o.startAndRefuse()
-		o.publishIfDue()
+		loop.startAndRefuse()
+		loop.publishIfDue()
 	}
 }
 
--- a/ferry/ferryqueue/admission_test.go
+++ b/ferry/ferryqueue/admission_test.go
@@ -76,27 +76,27 @@
 }
 
 func TestDuplicateCannotCancelTheFirst(t *testing.T) {
-	o := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{Capacity: 1})
+	loop := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{Capacity: 1})
 	first, second := make(chan acquireResult, 1), make(chan acquireResult, 1)
-	o.handle(acquire{item: Item{ID: "same"}, reply: first})
-	o.startAndRefuse()
+	loop.handle(acquire{item: Item{ID: "same"}, reply: first})
+	loop.startAndRefuse()
 	assert.Assert(t, (<-first).problem == nil)
-	o.handle(acquire{item: Item{ID: "same"}, reply: second})
+	loop.handle(acquire{item: Item{ID: "same"}, reply: second})
 	assert.Equal(t, (<-second).problem.Kind, ferryoutcome.KindConflict)
-	o.handle(cancel{id: "same", reply: second})
-	assert.Equal(t, o.queue.Free(), 0)
-	o.handle(cancel{id: "same", reply: first})
-	assert.Equal(t, o.queue.Free(), 1)
+	loop.handle(cancel{id: "same", reply: second})
+	assert.Equal(t, loop.queue.Free(), 0)
+	loop.handle(cancel{id: "same", reply: first})
+	assert.Equal(t, loop.queue.Free(), 1)
 }
 
 func TestDocumentKeepsCapacitySetBefore(t *testing.T) {
-	o := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{})
+	loop := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{})
 	d := &ferryservice.Document{Upstreams: ferryservice.Upstreams{{Slots: 8}}}
-	o.handle(setDocument{document: d})
-	assert.Equal(t, o.queue.Free(), 8)
-	o.handle(setCapacity{n: 2})
-	o.handle(setDocument{document: d})
-	assert.Equal(t, o.queue.Free(), 2)
+	loop.handle(setDocument{document: d})
+	assert.Equal(t, loop.queue.Free(), 8)
+	loop.handle(setCapacity{n: 2})
+	loop.handle(setDocument{document: d})
+	assert.Equal(t, loop.queue.Free(), 2)
 }
 
 func TestAcquireAfterRunEnded(t *testing.T) {
--- a/ferry/ferryqueue/lane.go
+++ b/ferry/ferryqueue/classqueue.go
@@ -41,109 +41,109 @@
 	return &classQueue{class: c, flows: map[ferryid.CustomerName]*flow{}}
 }
 
-func (l *classQueue) add(f *flow, e *entry) {
-	e.flow, e.classQueue = f, l
+func (cq *classQueue) add(f *flow, e *entry) {
+	e.flow, e.classQueue = f, cq
 	f.pushBack(e)
-	l.onAdded(f, e)
+	cq.onAdded(f, e)
 }
 
 // addFront adds work that has already run in part before the customer's other work.
-func (l *classQueue) addFront(f *flow, e *entry) {
-	e.flow, e.classQueue = f, l
+func (cq *classQueue) addFront(f *flow, e *entry) {
+	e.flow, e.classQueue = f, cq
 	f.pushFront(e)
-	l.onAdded(f, e)
+	cq.onAdded(f, e)
 }
 
-func (l *classQueue) onAdded(f *flow, e *entry) {
-	l.waiting++
-	l.backlog += e.Predicted
+func (cq *classQueue) onAdded(f *flow, e *entry) {
+	cq.waiting++
+	cq.backlog += e.Predicted
 	if f.n == 1 {
-		f.start = max(l.virtualTime, f.start)
-		l.active.add(f)
-		l.activeWeight += f.weight
+		f.start = max(cq.virtualTime, f.start)
+		cq.active.add(f)
+		cq.activeWeight += f.weight
 	}
 }
 
-func (l *classQueue) remove(e *entry) {
+func (cq *classQueue) remove(e *entry) {
 	f := e.flow
 	f.remove(e)
-	l.waiting--
-	l.backlog -= e.Predicted
+	cq.waiting--
+	cq.backlog -= e.Predicted
 	if f.n == 0 {
-		l.active.remove(f)
-		l.activeWeight -= f.weight
+		cq.active.remove(f)
+		cq.activeWeight -= f.weight
 	}
-	if len(l.active) == 0 {
-		l.activeWeight = 0
+	if len(cq.active) == 0 {
+		cq.activeWeight = 0
 	}
 }
 
 // head returns the next item in virtual time, or nil.
-func (l *classQueue) head() *entry {
-	if len(l.active) == 0 {
+func (cq *classQueue) head() *entry {
+	if len(cq.active) == 0 {
 		return nil
 	}
-	return l.active[0].head
+	return cq.active[0].head
 }
 
 // dispatch removes the item and charges its customer with the predicted work.
-func (l *classQueue) dispatch(e *entry, now time.Time) {
+func (cq *classQueue) dispatch(e *entry, now time.Time) {
 	f := e.flow
-	l.virtualTime = max(l.virtualTime, f.start)
-	l.remove(e)
+	cq.virtualTime = max(cq.virtualTime, f.start)
+	cq.remove(e)
 	e.running, e.started, e.charged = true, now, e.Predicted
-	l.running++
+	cq.running++
 	f.running++
-	l.charge(f, e.Predicted)
+	cq.charge(f, e.Predicted)
 }
 
 // charge advances a flow's virtual start time by the work charged.
-func (l *classQueue) charge(f *flow, n ferryid.Tokens) {
+func (cq *classQueue) charge(f *flow, n ferryid.Tokens) {
 	f.start += float64(n) / f.weight
 	if f.n > 0 {
-		l.active.update(f)
+		cq.active.update(f)
 	}
 }
 
 // observe updates the rate of a slot from a finished item.
-func (l *classQueue) observe(n ferryid.Tokens, d time.Duration) {
+func (cq *classQueue) observe(n ferryid.Tokens, d time.Duration) {
 	if n <= 0 || d <= 0 {
 		return
 	}
 	r := float64(n) / d.Seconds()
-	if l.slotRate == 0 {
-		l.slotRate = r
+	if cq.slotRate == 0 {
+		cq.slotRate = r
 		return
 	}
 	w := slotRateWeight
-	if r < l.slotRate {
+	if r < cq.slotRate {
 		w = slotFallWeight
 	}
-	l.slotRate += w * (r - l.slotRate)
+	cq.slotRate += w * (r - cq.slotRate)
 }
 
-func (l *classQueue) trackDemand(now time.Time) {
-	dt := now.Sub(l.demandAt)
+func (cq *classQueue) trackDemand(now time.Time) {
+	dt := now.Sub(cq.demandAt)
 	if dt > 0 {
-		l.demand *= math.Exp(-dt.Seconds() / demandDecay.Seconds())
-		l.demandAt = now
+		cq.demand *= math.Exp(-dt.Seconds() / demandDecay.Seconds())
+		cq.demandAt = now
 	}
-	l.demand = max(l.demand, float64(l.running+l.waiting))
+	cq.demand = max(cq.demand, float64(cq.running+cq.waiting))
 }
 
 // reserved returns how many slots are reserved for the class: its share, limited by its recent demand,
 // so that slots it has not needed recently are free for other classes.
-func (l *classQueue) reserved(capacity int) int {
-	share := math.Ceil(l.class.ReservedShare * float64(capacity))
-	return int(min(share, math.Ceil(demandMargin*l.demand)))
+func (cq *classQueue) reserved(capacity int) int {
+	share := math.Ceil(cq.class.ReservedShare * float64(capacity))
+	return int(min(share, math.Ceil(demandMargin*cq.demand)))
 }
 
 // serviceTime returns how long work of n tokens takes once started, 0 while the rate is unknown.
-func (l *classQueue) serviceTime(n ferryid.Tokens) time.Duration {
-	if l.slotRate <= 0 {
+func (cq *classQueue) serviceTime(n ferryid.Tokens) time.Duration {
+	if cq.slotRate <= 0 {
 		return 0
 	}
-	return seconds(float64(n) / l.slotRate)
+	return seconds(float64(n) / cq.slotRate)
 }
 
 func seconds(s float64) time.Duration {
--- a/ferry/ferryqueue/configure.go
+++ b/ferry/ferryqueue/configure.go
@@ -16,8 +16,8 @@
 	q.makeClassQueues()
 	q.customers = map[ferryid.CustomerName]*customerState{}
 	q.totalShares, q.usage = cfg.totalShares(), usage{}
-	for i, l := range q.classQueues {
-		l.slotRate = old[min(i, len(old)-1)].slotRate
+	for i, cq := range q.classQueues {
+		cq.slotRate = old[min(i, len(old)-1)].slotRate
 	}
 	all := make([]*entry, 0, len(q.entries))
 	for _, e := range q.entries {
@@ -33,17 +33,17 @@
 
 func (q *Queue) reinsert(e *entry, now time.Time) {
 	it := e.Item
-	l := q.classQueueOf(&it)
+	cq := q.classQueueOf(&it)
 	e.Class = it.Class
-	f := q.flowOf(l, e.Customer)
+	f := q.flowOf(cq, e.Customer)
 	if e.running {
-		e.classQueue, e.flow = l, f
-		l.running++
+		e.classQueue, e.flow = cq, f
+		cq.running++
 		f.running++
 		q.customer(e.Customer).running++
 	} else {
-		l.add(f, e)
+		cq.add(f, e)
 		q.customer(e.Customer).waiting++
 	}
-	l.trackDemand(now)
+	cq.trackDemand(now)
 }
--- a/ferry/ferryqueue/customer.go
+++ b/ferry/ferryqueue/customer.go
@@ -16,27 +16,27 @@
 	usage   usage
 }
 
-func (q *Queue) flowOf(l *classQueue, c ferryid.CustomerName) *flow {
+func (q *Queue) flowOf(cq *classQueue, c ferryid.CustomerName) *flow {
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		c = ""
 	}
-	f, ok := l.flows[c]
+	f, ok := cq.flows[c]
 	if ok {
 		return f
 	}
-	if len(l.flows) >= maxIdleFlows {
-		l.purge()
+	if len(cq.flows) >= maxIdleFlows {
+		cq.purge()
 	}
 	f = &flow{customer: c, weight: q.weight(c), index: -1}
-	l.flows[c] = f
+	cq.flows[c] = f
 	return f
 }
 
 // purge deletes the flows of customers with nothing waiting or running in the class.
-func (l *classQueue) purge() {
-	for c, f := range l.flows {
+func (cq *classQueue) purge() {
+	for c, f := range cq.flows {
 		if f.n == 0 && f.running == 0 {
-			delete(l.flows, c)
+			delete(cq.flows, c)
 		}
 	}
 }
@@ -49,20 +49,20 @@
 }
 
 func (q *Queue) customer(c ferryid.CustomerName) *customerState {
-	h, ok := q.customers[c]
+	cs, ok := q.customers[c]
 	if !ok {
 		if len(q.customers) >= maxIdleFlows {
 			q.purgeCustomers()
 		}
-		h = &customerState{weight: q.weight(c)}
-		q.customers[c] = h
+		cs = &customerState{weight: q.weight(c)}
+		q.customers[c] = cs
 	}
-	return h
+	return cs
 }
 
 func (q *Queue) purgeCustomers() {
-	for c, h := range q.customers {
-		if h.waiting == 0 && h.running == 0 {
+	for c, cs := range q.customers {
+		if cs.waiting == 0 && cs.running == 0 {
 			delete(q.customers, c)
 		}
 	}
--- a/ferry/ferryqueue/excess.go
+++ b/ferry/ferryqueue/excess.go
@@ -47,13 +47,13 @@
 
 // nextOf returns the next item of the class, or nil. While excess work occupies all its slots,
 // only customers within their share are considered.
-func (q *Queue) nextOf(l *classQueue, now time.Time) *entry {
-	e := l.head()
+func (q *Queue) nextOf(cq *classQueue, now time.Time) *entry {
+	e := cq.head()
 	if e == nil || !q.limitsExcess() || q.excess < q.excessSlots() || !q.beyondShare(e.Customer, now) {
 		return e
 	}
 	var best *flow
-	for _, f := range l.active {
+	for _, f := range cq.active {
 		if (best == nil || f.start < best.start) && !q.beyondShare(f.customer, now) {
 			best = f
 		}
@@ -72,22 +72,22 @@
 // beyondShare reports whether the customer recently started more than its share of the work
 // and already occupies its own part of the slots.
 func (q *Queue) beyondShare(c ferryid.CustomerName, now time.Time) bool {
-	h := q.customer(c)
-	if h.usage.value(now)*q.totalShares <= usageMargin*q.usage.value(now)*h.weight {
+	cs := q.customer(c)
+	if cs.usage.value(now)*q.totalShares <= usageMargin*q.usage.value(now)*cs.weight {
 		return false
 	}
-	return float64(h.running+1) > ownSlotsShare*float64(q.cfg.Capacity)*h.weight/q.totalShares
+	return float64(cs.running+1) > ownSlotsShare*float64(q.cfg.Capacity)*cs.weight/q.totalShares
 }
 
 // countStart updates the counters for an item that starts.
 func (q *Queue) countStart(e *entry, now time.Time) {
-	h := q.customer(e.Customer)
+	cs := q.customer(e.Customer)
 	if q.limitsExcess() {
 		e.excess = q.beyondShare(e.Customer, now)
-		h.usage.add(e.Predicted, now)
+		cs.usage.add(e.Predicted, now)
 		q.usage.add(e.Predicted, now)
 	}
-	h.running++
+	cs.running++
 	if e.excess {
 		q.excess++
 	}
--- a/ferry/ferryqueue/owner.go
+++ b/ferry/ferryqueue/loop.go
@@ -80,139 +80,139 @@
 	return &admissionLoop{admission: a, queue: New(cfg), predictor: NewPredictor(), waiters: map[ferryid.RequestID]waiter{}, capacity: -1}
 }
 
-func (o *admissionLoop) now() time.Time {
-	return o.admission.clock.Now()
+func (loop *admissionLoop) now() time.Time {
+	return loop.admission.clock.Now()
 }
 
-func (o *admissionLoop) handle(m message) {
+func (loop *admissionLoop) handle(m message) {
 	switch m := m.(type) {
 	case acquire:
-		o.enqueue(m)
+		loop.enqueue(m)
 	case cancel:
-		o.cancel(m)
+		loop.cancel(m)
 	case finish:
-		o.finish(m)
+		loop.finish(m)
 	case progress:
-		o.queue.Progress(m.id, m.tokens, o.now())
+		loop.queue.Progress(m.id, m.tokens, loop.now())
 	case requeue:
-		o.requeue(m)
+		loop.requeue(m)
 	case setCapacity:
-		o.capacity = m.n
-		o.queue.SetCapacity(m.n)
+		loop.capacity = m.n
+		loop.queue.SetCapacity(m.n)
 	case setDocument:
-		o.configure(m.document)
+		loop.configure(m.document)
 	}
 }
 
-func (o *admissionLoop) enqueue(m acquire) {
+func (loop *admissionLoop) enqueue(m acquire) {
 	if m.item.Predicted <= 0 {
-		m.item.Predicted = o.predictor.Predict(m.item.Customer, m.item.Prompt, m.item.MaxTokens)
+		m.item.Predicted = loop.predictor.Predict(m.item.Customer, m.item.Prompt, m.item.MaxTokens)
 	}
-	if r := o.queue.Enqueue(m.item, o.now()); r != nil {
+	if r := loop.queue.Enqueue(m.item, loop.now()); r != nil {
 		m.reply <- acquireResult{problem: r.Problem()}
 		return
 	}
-	o.waiters[m.item.ID] = waiter{reply: m.reply, preempt: m.preempt, customer: m.item.Customer, prompt: m.item.Prompt}
+	loop.waiters[m.item.ID] = waiter{reply: m.reply, preempt: m.preempt, customer: m.item.Customer, prompt: m.item.Prompt}
 }
 
-func (o *admissionLoop) cancel(m cancel) {
-	if o.waiters[m.id].reply != m.reply {
+func (loop *admissionLoop) cancel(m cancel) {
+	if loop.waiters[m.id].reply != m.reply {
 		return
 	}
-	o.queue.Cancel(m.id)
-	delete(o.waiters, m.id)
+	loop.queue.Cancel(m.id)
+	delete(loop.waiters, m.id)
 }
 
-func (o *admissionLoop) finish(m finish) {
-	if !o.queue.Done(m.id, m.tokens, o.now()) {
+func (loop *admissionLoop) finish(m finish) {
+	if !loop.queue.Done(m.id, m.tokens, loop.now()) {
 		return
 	}
-	c := o.waiters[m.id]
-	o.predictor.Learn(c.customer, c.prompt, m.tokens)
-	delete(o.waiters, m.id)
+	c := loop.waiters[m.id]
+	loop.predictor.Learn(c.customer, c.prompt, m.tokens)
+	delete(loop.waiters, m.id)
 }
 
-func (o *admissionLoop) requeue(m requeue) {
-	c, ok := o.waiters[m.id]
-	if !ok || !o.queue.Requeue(m.id, o.now()) {
+func (loop *admissionLoop) requeue(m requeue) {
+	c, ok := loop.waiters[m.id]
+	if !ok || !loop.queue.Requeue(m.id, loop.now()) {
 		m.reply <- acquireResult{problem: ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Ran, "the call is not running here")}
 		return
 	}
 	c.reply = m.reply
-	o.waiters[m.id] = c
+	loop.waiters[m.id] = c
 }
 
-func (o *admissionLoop) configure(d *ferryservice.Document) {
+func (loop *admissionLoop) configure(d *ferryservice.Document) {
 	cfg := ConfigOf(d)
-	if o.capacity >= 0 {
-		cfg.Capacity = o.capacity
+	if loop.capacity >= 0 {
+		cfg.Capacity = loop.capacity
 	}
-	o.queue.SetConfig(cfg, o.now())
+	loop.queue.SetConfig(cfg, loop.now())
 }
 
-func (o *admissionLoop) tick() {
-	now := o.now()
-	o.queue.Expire(now)
-	id, ok := o.queue.Preempt(now)
+func (loop *admissionLoop) tick() {
+	now := loop.now()
+	loop.queue.Expire(now)
+	id, ok := loop.queue.Preempt(now)
 	if !ok {
 		return
 	}
 	select {
-	case o.waiters[id].preempt <- struct{}{}:
+	case loop.waiters[id].preempt <- struct{}{}:
 	default:
 	}
 }
 
 // goIdle reports whether no call waits or runs, so that ticks can stop; it then publishes a last time.
-func (o *admissionLoop) goIdle() bool {
-	o.idle = len(o.waiters) == 0
-	if o.idle {
-		o.publish()
+func (loop *admissionLoop) goIdle() bool {
+	loop.idle = len(loop.waiters) == 0
+	if loop.idle {
+		loop.publish()
 	}
-	return o.idle
+	return loop.idle
 }
 
 // resumeTicks reports whether ticks were stopped and are needed again.
-func (o *admissionLoop) resumeTicks() bool {
-	if !o.idle || len(o.waiters) == 0 {
+func (loop *admissionLoop) resumeTicks() bool {
+	if !loop.idle || len(loop.waiters) == 0 {
 		return false
 	}
-	o.idle = false
+	loop.idle = false
 	return true
 }
 
 // startAndRefuse grants the items that may start and refuses those that the queue dropped.
-func (o *admissionLoop) startAndRefuse() {
-	now := o.now()
+func (loop *admissionLoop) startAndRefuse() {
+	now := loop.now()
 	for {
-		it, ok := o.queue.Next(now, o.queue.Free())
+		it, ok := loop.queue.Next(now, loop.queue.Free())
 		if !ok {
 			break
 		}
-		o.waiters[it.ID].reply <- acquireResult{class: it.Class, predicted: it.Predicted}
+		loop.waiters[it.ID].reply <- acquireResult{class: it.Class, predicted: it.Predicted}
 	}
-	for _, r := range o.queue.Dropped() {
-		o.waiters[r.Item.ID].reply <- acquireResult{problem: r.Problem()}
-		delete(o.waiters, r.Item.ID)
+	for _, r := range loop.queue.Dropped() {
+		loop.waiters[r.Item.ID].reply <- acquireResult{problem: r.Problem()}
+		delete(loop.waiters, r.Item.ID)
 	}
 }
 
-func (o *admissionLoop) refuseAll() {
-	for id, c := range o.waiters {
-		if e, ok := o.queue.entries[id]; ok && !e.running {
+func (loop *admissionLoop) refuseAll() {
+	for id, c := range loop.waiters {
+		if e, ok := loop.queue.entries[id]; ok && !e.running {
 			c.reply <- acquireResult{problem: draining()}
 		}
 	}
 }
 
-func (o *admissionLoop) publishIfDue() {
-	if o.now().Sub(o.published) >= publishInterval {
-		o.publish()
+func (loop *admissionLoop) publishIfDue() {
+	if loop.now().Sub(loop.published) >= publishInterval {
+		loop.publish()
 	}
 }
 
-func (o *admissionLoop) publish() {
-	o.published = o.now()
-	refusedTokens := o.admission.refusedTokens.Swap(0)
-	o.admission.view.Store(o.queue.view(o.published, ferryid.Tokens(refusedTokens)))
+func (loop *admissionLoop) publish() {
+	loop.published = loop.now()
+	refusedTokens := loop.admission.refusedTokens.Swap(0)
+	loop.admission.view.Store(loop.queue.view(loop.published, ferryid.Tokens(refusedTokens)))
 }
--- a/ferry/ferryqueue/preempt.go
+++ b/ferry/ferryqueue/preempt.go
@@ -39,11 +39,11 @@
 }
 
 func (q *Queue) reclassify(e *entry, now time.Time) {
-	for i, l := range q.classQueues[:len(q.classQueues)-1] {
-		if l != e.classQueue {
+	for i, cq := range q.classQueues[:len(q.classQueues)-1] {
+		if cq != e.classQueue {
 			continue
 		}
-		l.running--
+		cq.running--
 		e.flow.running--
 		e.classQueue = q.classQueues[i+1]
 		break
@@ -62,12 +62,12 @@
 	if q.Free() > 0 || float64(q.counts.Repeated) > maxRepeatedShare*float64(q.counts.Served) {
 		return "", false
 	}
-	for _, l := range q.classQueues {
-		e := l.head()
-		if e == nil || now.Sub(e.Arrived) < preemptAfter || l.running >= l.reserved(q.cfg.Capacity) {
+	for _, cq := range q.classQueues {
+		e := cq.head()
+		if e == nil || now.Sub(e.Arrived) < preemptAfter || cq.running >= cq.reserved(q.cfg.Capacity) {
 			continue
 		}
-		if v := q.victim(l); v != nil {
+		if v := q.victim(cq); v != nil {
 			return v.ID, true
 		}
 	}
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -147,41 +147,41 @@
 	if it.Predicted <= 0 {
 		it.Predicted = 1
 	}
-	l := q.classQueueOf(&it)
-	if r := q.checkAdmission(&it, l, now); r != nil {
+	cq := q.classQueueOf(&it)
+	if r := q.checkAdmission(&it, cq, now); r != nil {
 		q.counts.Refused++
 		return r
 	}
 	if q.waiting >= q.cfg.Length && !it.Resumed {
-		if r := q.evictFor(&it, l, now); r != nil {
+		if r := q.evictFor(&it, cq, now); r != nil {
 			q.counts.Refused++
 			return r
 		}
 	}
 	e := q.newEntry(it)
-	l.add(q.flowOf(l, it.Customer), e)
+	cq.add(q.flowOf(cq, it.Customer), e)
 	q.entries[it.ID] = e
 	q.customer(it.Customer).waiting++
 	q.waiting++
 	q.counts.Enqueued++
-	l.trackDemand(now)
+	cq.trackDemand(now)
 	return nil
 }
 
 // Next removes and returns the item to start now; it returns false if none may start on the free slots.
 func (q *Queue) Next(now time.Time, free int) (Item, bool) {
 	for free > 0 && q.waiting > 0 {
-		l := q.pickClass(now, free)
-		if l == nil {
+		cq := q.pickClass(now, free)
+		if cq == nil {
 			return Item{}, false
 		}
-		e := q.nextOf(l, now)
+		e := q.nextOf(cq, now)
 		if q.tooLate(e, now) {
 			q.expire(e, now)
 			continue
 		}
 		q.countStart(e, now)
-		l.dispatch(e, now)
+		cq.dispatch(e, now)
 		q.leaveWaiting(e)
 		q.startRunning(e)
 		q.counts.Started++
@@ -232,9 +232,9 @@
 
 // Expire drops items past their deadline from the front of each customer's queue.
 func (q *Queue) Expire(now time.Time) {
-	for _, l := range q.classQueues {
-		for i := 0; i < len(l.active); {
-			e := l.active[i].head
+	for _, cq := range q.classQueues {
+		for i := 0; i < len(cq.active); {
+			e := cq.active[i].head
 			if e.Deadline.IsZero() || now.Before(e.Deadline) {
 				i++
 				continue
@@ -249,31 +249,31 @@
 func (q *Queue) pickClass(now time.Time, free int) *classQueue {
 	var best *classQueue
 	var oldest time.Duration
-	for _, l := range q.classQueues {
-		e := q.nextOf(l, now)
-		if e == nil || !q.mayStart(l, free, now) {
+	for _, cq := range q.classQueues {
+		e := q.nextOf(cq, now)
+		if e == nil || !q.mayStart(cq, free, now) {
 			continue
 		}
 		age := now.Sub(e.Arrived)
 		switch {
 		case best == nil:
-			best, oldest = l, age
+			best, oldest = cq, age
 		case age > agingAfter && age > oldest:
-			best, oldest = l, age
+			best, oldest = cq, age
 		}
 	}
 	return best
 }
 
 // mayStart reports whether a slot is free for the class beside those reserved for others.
-func (q *Queue) mayStart(l *classQueue, free int, now time.Time) bool {
-	l.trackDemand(now)
-	if l.running < l.reserved(q.cfg.Capacity) {
+func (q *Queue) mayStart(cq *classQueue, free int, now time.Time) bool {
+	cq.trackDemand(now)
+	if cq.running < cq.reserved(q.cfg.Capacity) {
 		return true
 	}
 	reservedForOthers := 0
 	for _, o := range q.classQueues {
-		if o == l {
+		if o == cq {
 			continue
 		}
 		o.trackDemand(now)
@@ -341,15 +341,15 @@
 }
 
 func (q *Queue) classQueueOf(it *Item) *classQueue {
-	for _, l := range q.classQueues {
-		if it.Class != "" && l.class.Name == it.Class {
-			return l
+	for _, cq := range q.classQueues {
+		if it.Class != "" && cq.class.Name == it.Class {
+			return cq
 		}
 	}
 	it.Class = q.cfg.Classes.ForTokens(it.Predicted).Name
-	for _, l := range q.classQueues {
-		if l.class.Name == it.Class {
-			return l
+	for _, cq := range q.classQueues {
+		if cq.class.Name == it.Class {
+			return cq
 		}
 	}
 	return q.classQueues[0]
--- a/ferry/ferryqueue/queue_test.go
+++ b/ferry/ferryqueue/queue_test.go
@@ -247,7 +247,7 @@
 		p.Learn("a", 10, ferryid.Tokens(10+i*7%100))
 	}
 	n := p.Predict("a", 10, 0)
-	assert.Assert(t, n > 60 && n < 100, "%d", n)
+	assert.Assert(t, n > 60 && n < 100, "predicted %d", n)
 	assert.Equal(t, p.Predict("a", 10, 20), ferryid.Tokens(20))
 	assert.Equal(t, p.Predict("b", 10, 0), ferryid.Tokens(defaultPredicted))
 }
@@ -265,14 +265,14 @@
 // When more streams share the engines, the rate of a slot falls.
 // If the measured rate followed too slowly, too much work would be admitted.
 func TestSlotRateFallsFasterThanItRises(t *testing.T) {
-	l := newClassQueue(twoClasses()[0])
-	l.observe(100, time.Second)
+	cq := newClassQueue(twoClasses()[0])
+	cq.observe(100, time.Second)
 	for range 32 {
-		l.observe(10, time.Second)
+		cq.observe(10, time.Second)
 	}
-	assert.Assert(t, l.slotRate < 25, "%v", l.slotRate)
+	assert.Assert(t, cq.slotRate < 25, "slot rate %v", cq.slotRate)
 	for range 32 {
-		l.observe(100, time.Second)
+		cq.observe(100, time.Second)
 	}
-	assert.Assert(t, l.slotRate < 55, "%v", l.slotRate)
+	assert.Assert(t, cq.slotRate < 55, "slot rate %v", cq.slotRate)
 }
--- a/ferry/ferryqueue/snapshot.go
+++ b/ferry/ferryqueue/snapshot.go
@@ -44,29 +44,29 @@
 
 func (q *Queue) view(now time.Time, refusedTokens ferryid.Tokens) *view {
 	v := &view{at: now, snapshot: q.Snapshot(now)}
-	for _, l := range q.classQueues {
-		v.classes = append(v.classes, q.classView(l, now, refusedTokens))
+	for _, cq := range q.classQueues {
+		v.classes = append(v.classes, q.classView(cq, now, refusedTokens))
 	}
 	return v
 }
 
-func (q *Queue) classView(l *classQueue, now time.Time, refusedTokens ferryid.Tokens) classView {
-	lv := classView{class: l.class.Name, maxTokens: l.class.MaxTokens}
+func (q *Queue) classView(cq *classQueue, now time.Time, refusedTokens ferryid.Tokens) classView {
+	cv := classView{class: cq.class.Name, maxTokens: cq.class.MaxTokens}
 	if q.cfg.Policy == ferryservice.QueueFifo {
-		return lv
+		return cv
 	}
-	for _, f := range l.active {
-		if wait, _ := q.predictWait(f.customer, l); q.waitTooLong(l, wait) {
-			if lv.full == nil {
-				lv.full = map[ferryid.CustomerName]bool{}
+	for _, f := range cq.active {
+		if wait, _ := q.predictWait(f.customer, cq); q.waitTooLong(cq, wait) {
+			if cv.full == nil {
+				cv.full = map[ferryid.CustomerName]bool{}
 			}
-			lv.full[f.customer] = true
+			cv.full[f.customer] = true
 		}
 	}
-	if len(lv.full) > 0 {
-		lv.retry = q.retryAfter(&Item{Predicted: refusedTokens}, l, now)
+	if len(cv.full) > 0 {
+		cv.retry = q.retryAfter(&Item{Predicted: refusedTokens}, cq, now)
 	}
-	return lv
+	return cv
 }
 
 // refuses reports whether the item's customer is currently refused in its class, and when to retry.
@@ -75,36 +75,36 @@
 		return 0, false
 	}
 	for i := range v.classes {
-		l := &v.classes[i]
-		if !l.matches(it, i == len(v.classes)-1) {
+		cv := &v.classes[i]
+		if !cv.matches(it, i == len(v.classes)-1) {
 			continue
 		}
-		return l.retry, l.full[it.Customer]
+		return cv.retry, cv.full[it.Customer]
 	}
 	return 0, false
 }
 
 // matches reports whether the item certainly belongs to the class; last marks the last class.
-func (l *classView) matches(it *Item, last bool) bool {
+func (cv *classView) matches(it *Item, last bool) bool {
 	if it.Class != "" {
-		return l.class == it.Class
+		return cv.class == it.Class
 	}
 	if it.Predicted > 0 {
-		return last || it.Predicted <= l.maxTokens
+		return last || it.Predicted <= cv.maxTokens
 	}
-	return it.MaxTokens > 0 && it.MaxTokens <= l.maxTokens
+	return it.MaxTokens > 0 && it.MaxTokens <= cv.maxTokens
 }
 
 // Snapshot returns the state of the queue.
 func (q *Queue) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{At: now, Capacity: q.cfg.Capacity, Waiting: q.waiting, Running: q.running, Counts: q.counts}
-	for _, l := range q.classQueues {
+	for _, cq := range q.classQueues {
 		s.Classes = append(s.Classes, ClassState{
-			Class:         l.class.Name,
-			Waiting:       l.waiting,
-			WaitingTokens: l.backlog,
-			Running:       l.running,
-			Reserved:      l.reserved(q.cfg.Capacity),
+			Class:         cq.class.Name,
+			Waiting:       cq.waiting,
+			WaitingTokens: cq.backlog,
+			Running:       cq.running,
+			Reserved:      cq.reserved(q.cfg.Capacity),
 		})
 	}
 	return s
