--- a/ferry/ferryclock/steady.go
+++ b/ferry/ferryclock/bootclock.go
@@ -19,10 +19,10 @@
 
 // New returns a BootClock, or an error if the system does not support CLOCK_BOOTTIME.
 func New() (*BootClock, error) {
-	s := &BootClock{Clock: clockwork.NewRealClock(), sinceBoot: sinceBoot}
-	booted, err := s.sinceBoot()
-	s.origin, s.bootOffset = time.Now().Round(0), booted
-	return s, err
+	c := &BootClock{Clock: clockwork.NewRealClock(), sinceBoot: sinceBoot}
+	booted, err := c.sinceBoot()
+	c.origin, c.bootOffset = time.Now().Round(0), booted
+	return c, err
 }
 
 func sinceBoot() (time.Duration, error) {
@@ -32,17 +32,17 @@
 }
 
 // Now returns the current time without a monotonic clock reading, since that clock stops during a suspension.
-func (s *BootClock) Now() time.Time {
-	d, err := s.sinceBoot()
+func (c *BootClock) Now() time.Time {
+	d, err := c.sinceBoot()
 	if err != nil {
 		// New read the same clock without an error, so it can't fail here.
 		panic(err)
 	}
-	return s.origin.Add(d - s.bootOffset)
+	return c.origin.Add(d - c.bootOffset)
 }
 
 // Since returns the time passed since t.
-func (s *BootClock) Since(t time.Time) time.Duration { return s.Now().Sub(t) }
+func (c *BootClock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
 // Until returns the time left until t.
-func (s *BootClock) Until(t time.Time) time.Duration { return t.Sub(s.Now()) }
+func (c *BootClock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
--- a/ferry/ferrylog/bound.go
+++ b/ferry/ferrylog/limiter.go
@@ -42,25 +42,25 @@
 }
 
 // Sample reports whether a line is written.
-func (b *limiter) Sample(zerolog.Level) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now := b.cfg.Clock.Now(); now.Sub(b.windowStart) >= window {
-		b.startWindow(now)
+func (l *limiter) Sample(zerolog.Level) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now := l.cfg.Clock.Now(); now.Sub(l.windowStart) >= window {
+		l.startWindow(now)
 	}
-	b.lines++
-	if b.lines <= b.cfg.PerSecond {
+	l.lines++
+	if l.lines <= l.cfg.PerSecond {
 		return true
 	}
-	b.droppedInWindow++
-	b.dropped.Inc(1)
+	l.droppedInWindow++
+	l.dropped.Inc(1)
 	return false
 }
 
 // startWindow starts a new window and logs how many lines the last one dropped; the caller must hold the lock.
-func (b *limiter) startWindow(now time.Time) {
-	if b.droppedInWindow > 0 {
-		b.cfg.Log.Warn().Int("Lines", b.droppedInWindow).Int("PerSecond", b.cfg.PerSecond).Msg("log lines left out")
+func (l *limiter) startWindow(now time.Time) {
+	if l.droppedInWindow > 0 {
+		l.cfg.Log.Warn().Int("Lines", l.droppedInWindow).Int("PerSecond", l.cfg.PerSecond).Msg("log lines left out")
 	}
-	b.windowStart, b.lines, b.droppedInWindow = now, 0, 0
+	l.windowStart, l.lines, l.droppedInWindow = now, 0, 0
 }
