--- a/ferry/ferryclaim/answer.go
+++ b/ferry/ferryclaim/answer.go
@@ -44,7 +44,8 @@
 	Ask(ctx context.Context, id ferryid.Incarnation, q Question) (Answer, error)
 }
 
-// answer decides under the table's lock without waiting, so that a revoked claim can't be dispatched afterwards.
+// answer decides under the table's lock without waiting, so that a revoked claim can't be
+// dispatched afterwards.
 func (t *table) answer(q Question) Answer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/bench_test.go
+++ b/ferry/ferryclaim/bench_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkJournal reports the platform calls for 100 claims/s on 9 entries; each b.Loop simulates one second.
+// BenchmarkJournal reports the platform calls for 100 claims/s on 9 entries; each b.Loop
+// simulates one second.
 func BenchmarkJournal(b *testing.B) {
 	for _, slots := range []int{9, 16, 64} {
 		for _, owners := range []bool{true, false} {
--- a/ferry/ferryclaim/claim.go
+++ b/ferry/ferryclaim/claim.go
@@ -131,6 +131,7 @@
 	Ticket   string
 	// Digest is the digest of the call's method, path and body.
 	Digest Digest
-	// Retention is the lifetime of the key, counted from its claim and again from its outcome; 0 means the default.
+	// Retention is the lifetime of the key, counted from its claim and again from its outcome; 0
+	// means the default.
 	Retention time.Duration
 }
--- a/ferry/ferryclaim/claims_test.go
+++ b/ferry/ferryclaim/claims_test.go
@@ -17,7 +17,8 @@
 	"cactusferry.dev/ferry/ferryplatform/ferryplatformtest"
 )
 
-// testCluster is a few entries that share one fake platform and call each other directly, on a synctest clock.
+// testCluster is a few entries that share one fake platform and call each other directly, on a
+// synctest clock.
 type testCluster struct {
 	platform *ferryplatformtest.Fake
 	claims   map[ferryid.Incarnation]*Claims
--- a/ferry/ferryclaim/lookup.go
+++ b/ferry/ferryclaim/lookup.go
@@ -48,7 +48,8 @@
 	read   map[string]journal
 }
 
-// Lookup returns the status of a key for each customer that uses it, reading each journal object at most once.
+// Lookup returns the status of a key for each customer that uses it, reading each journal object
+// at most once.
 func (c *Claims) Lookup(ctx context.Context, s ferryid.ServiceName, key string, customers []ferryid.CustomerName) ([]KeyStatus, error) {
 	l := &lookup{claims: c, read: map[string]journal{}}
 	found := []KeyStatus{}
--- a/ferry/ferryclaim/seal.go
+++ b/ferry/ferryclaim/seal.go
@@ -17,7 +17,8 @@
 	aeads []cipher.AEAD
 }
 
-// NewSeal returns a seal that encrypts with the first key and decrypts with any; keys have 16, 24 or 32 bytes.
+// NewSeal returns a seal that encrypts with the first key and decrypts with any; keys have 16,
+// 24 or 32 bytes.
 func NewSeal(keys ...[]byte) (*Seal, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("a seal needs at least one key")
--- a/ferry/ferryclaim/simulation_test.go
+++ b/ferry/ferryclaim/simulation_test.go
@@ -335,7 +335,8 @@
 	return err
 }
 
-// allowUnknown records that a call may be answered Unknown, as only an incarnation that ended knew its outcome.
+// allowUnknown records that a call may be answered Unknown, as only an incarnation that ended
+// knew its outcome.
 func (w *simulation) allowUnknown(r Ref) {
 	for _, t := range w.calls {
 		if t.a.claimed.Ref == r {
--- a/ferry/ferryclaim/table.go
+++ b/ferry/ferryclaim/table.go
@@ -106,8 +106,8 @@
 	return true
 }
 
-// dispatch marks a granted operation as possibly sent. A claim must be dispatched within half of its retention,
-// so that it can't run concurrently with a later claim of the same key.
+// dispatch marks a granted operation as possibly sent. A claim must be dispatched within half of its
+// retention, so that it can't run concurrently with a later claim of the same key.
 func (t *table) dispatch(r Ref, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferrydocument/applycore.go
+++ b/ferry/ferrydocument/applycore.go
@@ -170,8 +170,8 @@
 	return endApply{accepted: a, current: c.current}
 }
 
-// endWithAncestor ends the apply with a version that was accepted and already has successors. It rebuilds that
-// version from the request and compares hashes, as ancestors are stored without their texts.
+// endWithAncestor ends the apply with a version that was accepted and already has successors. It rebuilds
+// that version from the request and compares hashes, as ancestors are stored without their texts.
 func (c *applyCore) endWithAncestor(b ferryservice.Ancestor) applyAction {
 	a := ferryservice.Accepted{
 		Service:    c.req.Service,
@@ -208,8 +208,8 @@
 	return c.endLostRace()
 }
 
-// reconcileStore compares the stored version with the one in force here. It repairs a store that is behind and
-// ends the apply with a *ForkError if the branches diverge; nil means that the apply can go on.
+// reconcileStore compares the stored version with the one in force here. It repairs a store that is behind
+// and ends the apply with a *ForkError if the branches diverge; nil means that the apply can go on.
 func (c *applyCore) reconcileStore() applyAction {
 	held := c.req.InForce
 	if held == nil {
--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -99,8 +99,8 @@
 	return d.delta
 }
 
-// Updates returns the documents that the sender of a digest lacks. A document is sent as a delta if the sender
-// accepts deltas and has the predecessor in force.
+// Updates returns the documents that the sender of a digest lacks. A document is sent as a delta if the
+// sender accepts deltas and has the predecessor in force.
 func (h *Holder) Updates(d Digest) []Update {
 	var out []Update
 	for _, a := range h.Missing(d) {
--- a/ferry/ferrydocument/digest.go
+++ b/ferry/ferrydocument/digest.go
@@ -40,7 +40,8 @@
 	return out
 }
 
-// Missing returns the documents of which the sender of a digest has no version, an older one or another branch.
+// Missing returns the documents of which the sender of a digest has no version, an older one or
+// another branch.
 func (h *Holder) Missing(d Digest) []ferryservice.Accepted {
 	theirs := make(map[ferryid.ServiceName]DigestRow, len(d))
 	for _, r := range d {
--- a/ferry/ferrydocument/error.go
+++ b/ferry/ferrydocument/error.go
@@ -10,7 +10,8 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// LostRaceError reports that another change was accepted after the edited version; this change is not accepted.
+// LostRaceError reports that another change was accepted after the edited version; this change
+// is not accepted.
 type LostRaceError struct {
 	// Winner is the version in the store.
 	Winner ferryservice.Accepted
--- a/ferry/ferrydocument/holder.go
+++ b/ferry/ferrydocument/holder.go
@@ -69,8 +69,8 @@
 	subscribers map[*Subscription]struct{}
 }
 
-// NewHolder returns an empty holder that adds its events to the log, or to a small log of its own if events is
-// nil.
+// NewHolder returns an empty holder that adds its events to the log, or to a small log of its
+// own if events is nil.
 func NewHolder(clock clockwork.Clock, events *ferryevent.Log) *Holder {
 	if events == nil {
 		events = ferryevent.NewLog(clock, "", maxAlarms)
@@ -178,8 +178,8 @@
 	h.history[a.Service] = list
 }
 
-// Version returns an earlier or the current version of a document, if it was in force here and is still in the
-// history.
+// Version returns an earlier or the current version of a document, if it was in force here and
+// is still in the history.
 func (h *Holder) Version(service ferryid.ServiceName, g ferryid.Generation) (ferryservice.Accepted, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/ferry/ferrydocument/restore_test.go
+++ b/ferry/ferrydocument/restore_test.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// TestModelNeverStepsBackWhenTheStoreDoes runs random histories with rollbacks of the store. Branches may then
-// form, but each must raise an alarm and be resolvable with --supersedes.
+// TestModelNeverStepsBackWhenTheStoreDoes runs random histories with rollbacks of the store. Branches may
+// then form, but each must raise an alarm and be resolvable with --supersedes.
 func TestModelNeverStepsBackWhenTheStoreDoes(t *testing.T) {
 	forks, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/ferry/ferrydocument/subscription.go
+++ b/ferry/ferrydocument/subscription.go
@@ -5,8 +5,8 @@
 	"cactusferry.dev/ferry/ferryring"
 )
 
-// Subscription receives the documents that come into force. For a slow receiver the versions of one service are
-// coalesced to the latest; no service is dropped.
+// Subscription receives the documents that come into force. For a slow receiver the versions of one
+// service are coalesced to the latest; no service is dropped.
 type Subscription struct {
 	holder *Holder
 	ring   *ferryring.Coalesce[ferryid.ServiceName, *InForce]
--- a/ferry/ferrydocument/watchcore.go
+++ b/ferry/ferrydocument/watchcore.go
@@ -196,9 +196,9 @@
 	return rolledBack
 }
 
-// hasUnseenVersions reports whether a document in force, received by other means than the watch, is newer than
-// the version last read from the store. The store may then have been rolled back to the version that the
-// watch last returned, so that the watch does not show it.
+// hasUnseenVersions reports whether a document in force, received by other means than the watch, is newer
+// than the version last read from the store. The store may then have been rolled back to the version that
+// the watch last returned, so that the watch does not show it.
 func (c *watchCore) hasUnseenVersions() bool {
 	for _, f := range c.holder.All() {
 		if c.storeGenerations[f.Accepted.Service] < f.Accepted.Generation {
--- a/ferry/ferrydocument/watcher.go
+++ b/ferry/ferrydocument/watcher.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// watchContext returns a context that is cancelled when watching is disabled, and false if it is disabled now.
+// watchContext returns a context that is cancelled when watching is disabled, and false if it is
+// disabled now.
 func (w *Watcher) watchContext(ctx context.Context) (context.Context, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/ferry/ferryengine/decoder.go
+++ b/ferry/ferryengine/decoder.go
@@ -22,7 +22,8 @@
 	receipts []Receipt
 }
 
-// Decode is like DecodeItem. Items with equal receipts share one slice of receipts, which must not be modified.
+// Decode is like DecodeItem. Items with equal receipts share one slice of receipts, which must
+// not be modified.
 func (d *ItemDecoder) Decode(line []byte) (Item, error) {
 	it, raw, ok := scanToken(line)
 	if !ok {
--- a/ferry/ferryengine/ferryenginetest/model.go
+++ b/ferry/ferryengine/ferryenginetest/model.go
@@ -32,7 +32,8 @@
 	return mix(seed ^ xxhash.Sum64String(before) ^ uint64(p)*mixFactor)
 }
 
-// ApplyLayer runs one layer of the simulated model and returns the new state and the new KV cache of the layer.
+// ApplyLayer runs one layer of the simulated model and returns the new state and the new KV
+// cache of the layer.
 func ApplyLayer(l ferryid.Layer, state, kv uint64) (nextState, nextKV uint64) {
 	nextState = mix(state ^ bits.RotateLeft64(kv, int(l)%64) ^ (uint64(l)+1)*mixFactor)
 	nextKV = mix(kv + state*mixFactor2 + uint64(l))
@@ -69,7 +70,8 @@
 	return out
 }
 
-// Prefixes returns the ids, as in cache events, of the prefixes of a prompt that engines cache, shortest first.
+// Prefixes returns the ids, as in cache events, of the prefixes of a prompt that engines cache,
+// shortest first.
 func Prefixes(prompt string) []string {
 	var out []string
 	h := xxhash.New()
--- a/ferry/ferryengine/transport.go
+++ b/ferry/ferryengine/transport.go
@@ -83,8 +83,8 @@
 // Dial opens a connection, like DialContext of net.Dialer.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns an HTTP/1.1 transport whose connections count written bytes, which makes the phase of a
-// failed call exact. A nil dial selects TCP.
+// NewTransport returns an HTTP/1.1 transport whose connections count written bytes, which makes the phase
+// of a failed call exact. A nil dial selects TCP.
 func NewTransport(dial Dial) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
--- a/ferry/ferrylimit/share.go
+++ b/ferry/ferrylimit/share.go
@@ -116,9 +116,10 @@
 	return out
 }
 
-// askAmount returns how much to ask for now. If the customer calls in every interval, or its maximum overdraft
-// is one call, that is the overdrawn amount plus the demand since the last Ask. Otherwise it is the overdrawn
-// amount alone, asked for later if more can be admitted. An idle entry returns its balance, as a negative amount.
+// askAmount returns how much to ask for now. If the customer calls in every interval, or its maximum
+// overdraft is one call, that is the overdrawn amount plus the demand since the last Ask. Otherwise it is
+// the overdrawn amount alone, asked for later if more can be admitted. An idle entry returns its balance,
+// as a negative amount.
 func (sh *share) askAmount(rate Units, now time.Time) Units {
 	switch {
 	case sh.balance >= 0 && now.Sub(sh.lastUse) >= idleAfter:
--- a/ferry/ferrylog/limiter.go
+++ b/ferry/ferrylog/limiter.go
@@ -57,7 +57,8 @@
 	return false
 }
 
-// startWindow starts a new window and logs how many lines the last one dropped; the caller must hold the lock.
+// startWindow starts a new window and logs how many lines the last one dropped; the caller must
+// hold the lock.
 func (l *limiter) startWindow(now time.Time) {
 	if l.droppedInWindow > 0 {
 		l.cfg.Log.Warn().Int("Lines", l.droppedInWindow).Int("PerSecond", l.cfg.PerSecond).Msg("log lines left out")
--- a/ferry/ferrypipeline/action.go
+++ b/ferry/ferrypipeline/action.go
@@ -16,7 +16,8 @@
 	Retry   bool
 }
 
-// MoveKV requests a transfer of the stream's KV cache from the stages of the old plan to those of the new one.
+// MoveKV requests a transfer of the stream's KV cache from the stages of the old plan to those
+// of the new one.
 type MoveKV struct {
 	Epoch ferryid.Epoch
 	From  Plan
--- a/ferry/ferrypipeline/checker.go
+++ b/ferry/ferrypipeline/checker.go
@@ -52,8 +52,8 @@
 	position ferryid.Position
 }
 
-// Check returns a *LayerError for the first token whose layers did not run exactly once and in order. It takes
-// the records of all engines for one stream, and sorts them by time.
+// Check returns a *LayerError for the first token whose layers did not run exactly once and in order. It
+// takes the records of all engines for one stream, and sorts them by time.
 func (c *Checker) Check(records []Applied, delivered []Token) error {
 	slices.SortStableFunc(records, func(a, b Applied) int { return cmp.Compare(a.AtNanos, b.AtNanos) })
 	runs := map[appliedKey][]Applied{}
--- a/ferry/ferrypipeline/job.go
+++ b/ferry/ferrypipeline/job.go
@@ -37,7 +37,8 @@
 	return probe.Check()
 }
 
-// Picker chooses plans and tracks the outstanding work of engines; it is safe for concurrent use by many jobs.
+// Picker chooses plans and tracks the outstanding work of engines; it is safe for concurrent use
+// by many jobs.
 type Picker interface {
 	// Pick chooses a plan without the excluded engines and counts its work as outstanding.
 	Pick(job *Job, exclude []ferryid.UpstreamName) (Plan, error)
--- a/ferry/ferrypipeline/place.go
+++ b/ferry/ferrypipeline/place.go
@@ -2,8 +2,9 @@
 
 import "cactusferry.dev/ferry/ferryid"
 
-// Place splits a model's layers over a chain of engines so that its throughput, that of the slowest engine, is
-// highest. Rates are in layers per second. It returns nil if there are no engines, or more than layers.
+// Place splits a model's layers over a chain of engines so that its throughput, that of the
+// slowest engine, is highest. Rates are in layers per second. It returns nil if there are no
+// engines, or more than layers.
 func Place(rates []float64, layers ferryid.Layer) []ferryid.LayerRange {
 	n := len(rates)
 	if n == 0 || n > int(layers) {
--- a/ferry/ferrypipeline/plan.go
+++ b/ferry/ferrypipeline/plan.go
@@ -8,8 +8,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// Candidate is an engine that can run a stage; Layers are the layers that it holds, of which a stage may use a
-// part.
+// Candidate is an engine that can run a stage; Layers are the layers that it holds, of which a
+// stage may use a part.
 type Candidate struct {
 	Name        ferryid.UpstreamName
 	Address     string
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// Choose writes the best plan for a job of the given tokens into plan, reusing its slice of stages. The slices
-// loads and excluded are parallel to the candidates. The error is a *NoChainError.
+// Choose writes the best plan for a job of the given tokens into plan, reusing its slice of stages. The
+// slices loads and excluded are parallel to the candidates. The error is a *NoChainError.
 func (p *Planner) Choose(loads []Load, excluded []bool, tokens ferryid.Tokens, plan *Plan) error {
 	p.chain, p.stageEnds = p.chain[:0], p.stageEnds[:0]
 	found := false
@@ -206,8 +206,8 @@
 	return s
 }
 
-// chooseChain finds the best chain by dynamic programming over the boundaries. It keeps one label per boundary
-// and failure domain of the last stage.
+// chooseChain finds the best chain by dynamic programming over the boundaries. It keeps one label per
+// boundary and failure domain of the last stage.
 func (p *Planner) chooseChain(loads []Load, excluded []bool, tokens ferryid.Tokens) bool {
 	for i := range p.labels {
 		p.labels[i] = label{score: math.Inf(1), candidate: noCandidate}
@@ -354,7 +354,8 @@
 	}
 }
 
-// split returns the layer at which stage i of the chain, which begins at from, ends and the next stage begins.
+// split returns the layer at which stage i of the chain, which begins at from, ends and the next
+// stage begins.
 func (p *Planner) split(i int, from ferryid.Layer, loads []Load, tokens ferryid.Tokens) ferryid.Layer {
 	a, b := p.chain[i], p.chain[i+1]
 	ca, cb := p.candidates[a].Layers, p.candidates[b].Layers
--- a/ferry/ferrypipeline/planner_test.go
+++ b/ferry/ferrypipeline/planner_test.go
@@ -378,8 +378,8 @@
 	b.ReportMetric(equal, "equal-tokens/s")
 }
 
-// Measures the link time per token of chains of eight stages over three failure domains, with and without link
-// costs in the choice.
+// Measures the link time per token of chains of eight stages over three failure domains, with and without
+// link costs in the choice.
 func BenchmarkLinks(b *testing.B) {
 	cfg, loads := fleet48()
 	for pair := range cfg.Links {
--- a/ferry/ferrypipeline/pool.go
+++ b/ferry/ferrypipeline/pool.go
@@ -29,7 +29,8 @@
 	duration time.Duration
 }
 
-// Pool is a Picker over the engines of one service; it counts the work of its own plans as outstanding at once.
+// Pool is a Picker over the engines of one service; it counts the work of its own plans as
+// outstanding at once.
 type Pool struct {
 	clock clockwork.Clock
 
@@ -193,8 +194,8 @@
 	return slices.Clone(p.loads)
 }
 
-// Observe updates the rates of a plan's engines and the times of the links between them by measurements of its
-// stages. Measurements that do not match the plan or cover too few tokens are ignored.
+// Observe updates the rates of a plan's engines and the times of the links between them by measurements of
+// its stages. Measurements that do not match the plan or cover too few tokens are ignored.
 func (p *Pool) Observe(plan Plan, times []ferryengine.StageTime) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,8 +233,8 @@
 	return fmt.Sprintf("load report of %s refused: %s", e.Name, e.Detail)
 }
 
-// Report updates a candidate by a load report, which lags behind. Outstanding work beyond that of this entry is
-// attributed to other entries. An invalid report is refused, counted and changes nothing.
+// Report updates a candidate by a load report, which lags behind. Outstanding work beyond that of this
+// entry is attributed to other entries. An invalid report is refused, counted and changes nothing.
 func (p *Pool) Report(l ferryengine.Load) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// brokeMessage returns the message for an epoch's error. A deadline or a caller's end that may have caused the
-// error is returned before it.
+// brokeMessage returns the message for an epoch's error. A deadline or a caller's end that may have caused
+// the error is returned before it.
 func (s *session) brokeMessage(err error) Message {
 	b := classifyError(s.epoch, err)
 	if m := s.pollMessage(); m != nil {
@@ -341,8 +341,8 @@
 	s.post(KVMoved{Epoch: a.Epoch, OK: ok})
 }
 
-// cancel closes the epoch's connection, sends a cancel to each stage and posts the first stage's answer to the
-// core.
+// cancel closes the epoch's connection, sends a cancel to each stage and posts the first stage's
+// answer to the core.
 func (s *session) cancel(a CancelEpoch) {
 	s.logEvent("EpochCancelled", "epoch %d", a.Epoch)
 	s.closeStream(false)
--- a/ferry/ferryplain/client.go
+++ b/ferry/ferryplain/client.go
@@ -47,7 +47,8 @@
 	unpooled    *http.Transport
 }
 
-// New returns a client. It pools connections for idempotent calls; any other call gets a connection of its own.
+// New returns a client. It pools connections for idempotent calls; any other call gets a
+// connection of its own.
 func New(cfg ClientConfig) *Client {
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
--- a/ferry/ferryplatform/budget.go
+++ b/ferry/ferryplatform/budget.go
@@ -13,8 +13,8 @@
 	defaultCallBurst      = 40
 )
 
-// Budget limits the calls of one process to the platform. Fields that are 0 default to 20 calls per second and
-// a burst of 40.
+// Budget limits the calls of one process to the platform. Fields that are 0 default to 20 calls
+// per second and a burst of 40.
 type Budget struct {
 	// PerSecond is the sustained rate in calls per second.
 	PerSecond float64 `toml:"PerSecond" json:"PerSecond"`
@@ -50,7 +50,8 @@
 	b.limiter.SetBurstAt(now, to.Burst)
 }
 
-// take takes one call from the budget, or returns a *BudgetError with the time until the next one is available.
+// take takes one call from the budget, or returns a *BudgetError with the time until the next
+// one is available.
 func (b *tokenBucket) take(op string) error {
 	now := b.clock.Now()
 	r := b.limiter.ReserveN(now, 1)
--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -16,7 +16,8 @@
 const (
 	// inboxSize is the number of buffered messages; when full, new calls are refused and other messages block.
 	inboxSize = 4096
-	// tickInterval is how often the loop checks deadlines and preemption and publishes its view without a message.
+	// tickInterval is how often the loop checks deadlines and preemption and publishes its view
+	// without a message.
 	tickInterval = 100 * time.Millisecond
 	// publishInterval is how often the view is published under load.
 	publishInterval = 10 * time.Millisecond
@@ -24,7 +25,8 @@
 	maxViewAge = 2 * tickInterval
 )
 
-// Admission runs the queue of one service in a single goroutine; its methods may be called from any goroutine.
+// Admission runs the queue of one service in a single goroutine; its methods may be called from
+// any goroutine.
 type Admission struct {
 	clock         clockwork.Clock
 	inbox         chan message
@@ -176,7 +178,8 @@
 	}
 }
 
-// Progress reports how many tokens the call has produced so far; the report is dropped while the loop is busy.
+// Progress reports how many tokens the call has produced so far; the report is dropped while the
+// loop is busy.
 func (g *Grant) Progress(n ferryid.Tokens) {
 	select {
 	case g.admission.inbox <- progress{id: g.id, tokens: n}:
--- a/ferry/ferryqueue/customer.go
+++ b/ferry/ferryqueue/customer.go
@@ -5,7 +5,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// maxIdleFlows is the number of customers, per class and in total, from which customers without work are purged.
+// maxIdleFlows is the number of customers, per class and in total, from which customers without
+// work are purged.
 const maxIdleFlows = 4096
 
 // customerState counts the waiting and running items of one customer in all classes.
--- a/ferry/ferryqueue/doc.go
+++ b/ferry/ferryqueue/doc.go
@@ -1,3 +1,3 @@
-// Package ferryqueue implements admission control and fair queueing: which waiting call of a service runs next
-// and which is refused.
+// Package ferryqueue implements admission control and fair queueing: which waiting call of a service runs
+// next and which is refused.
 package ferryqueue
--- a/ferry/ferryqueue/excess_test.go
+++ b/ferry/ferryqueue/excess_test.go
@@ -10,7 +10,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// queueWithHeavyCustomer returns a queue in which one customer, hog, used four of ten slots alone for a minute.
+// queueWithHeavyCustomer returns a queue in which one customer, hog, used four of ten slots
+// alone for a minute.
 func queueWithHeavyCustomer(t *testing.T, share float64) (*Queue, time.Time) {
 	t.Helper()
 	q := New(Config{
--- a/ferry/ferryqueue/refuse.go
+++ b/ferry/ferryqueue/refuse.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// newest returns the last item of the customer in the class with most waiting, or nil. It never returns an item
-// that has already run in part.
+// newest returns the last item of the customer in the class with most waiting, or nil. It never returns an
+// item that has already run in part.
 func (q *Queue) newest(c ferryid.CustomerName) *entry {
 	var best *flow
 	for _, cq := range q.classQueues {
--- a/ferry/ferryservice/class.go
+++ b/ferry/ferryservice/class.go
@@ -8,7 +8,8 @@
 	"cactusferry.dev/ferry/ferrytoml"
 )
 
-// Class is a range of predicted work with its own deadline, priority and reserved share of the engines' slots.
+// Class is a range of predicted work with its own deadline, priority and reserved share of the
+// engines' slots.
 type Class struct {
 	Name          ferryid.ClassName `toml:"Name" json:"Name"`
 	MaxTokens     ferryid.Tokens    `toml:"MaxTokens" json:"MaxTokens"`
--- a/ferry/ferryservice/document.go
+++ b/ferry/ferryservice/document.go
@@ -49,7 +49,8 @@
 	LoadLayersPerSecond float64 `toml:"LoadLayersPerSecond" json:"LoadLayersPerSecond,omitempty"`
 }
 
-// Decode decodes and validates a service document and sets its defaults; an error is a *ferrytoml.FaultsError.
+// Decode decodes and validates a service document and sets its defaults; an error is a
+// *ferrytoml.FaultsError.
 func Decode(name string, data []byte) (Document, error) {
 	var d Document
 	if err := ferrytoml.Decode(name, data, &d); err != nil {
@@ -113,7 +114,8 @@
 	}
 }
 
-// Customer returns the customer with the given key, by a linear search that compares digests in constant time.
+// Customer returns the customer with the given key, by a linear search that compares digests in
+// constant time.
 func (d *Document) Customer(key string) (Customer, bool) {
 	sum := sha256.Sum256([]byte(key))
 	digest := []byte(hex.EncodeToString(sum[:]))
--- a/ferry/ferrystream/encode_test.go
+++ b/ferry/ferrystream/encode_test.go
@@ -11,7 +11,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// The fixed fields followed by the variable fields must equal the encoding of the whole Resume by the library.
+// The fixed fields followed by the variable fields must equal the encoding of the whole Resume
+// by the library.
 func TestFixedAndVariableFieldsEqualWholeEncoding(t *testing.T) {
 	numbers := rapid.OneOf(rapid.Uint64(), rapid.SampledFrom([]uint64{0, 23, 24, 255, 256, 65535, 65536, math.MaxUint32, math.MaxUint32 + 1, math.MaxInt64}))
 	rapid.Check(t, func(t *rapid.T) {
--- a/ferry/ferrystream/resume.go
+++ b/ferry/ferrystream/resume.go
@@ -14,7 +14,8 @@
 // Digest identifies the request that a stream answers.
 type Digest [sha256.Size]byte
 
-// RequestDigest returns the digest of what determines the text: the prompt, the number of tokens and the seed.
+// RequestDigest returns the digest of what determines the text: the prompt, the number of tokens
+// and the seed.
 func RequestDigest(prompt string, maxTokens int, seed uint64) Digest {
 	b := binary.LittleEndian.AppendUint64(nil, seed)
 	b = binary.LittleEndian.AppendUint64(b, uint64(maxTokens))
@@ -96,8 +97,8 @@
 	return fmt.Sprintf("regenerated answer differs from the delivered one before token %d", e.Position)
 }
 
-// ResumeFilter filters a regenerated answer: it compares the tokens that the caller already has with the history
-// in the resume token and drops them.
+// ResumeFilter filters a regenerated answer: it compares the tokens that the caller already has with the
+// history in the resume token and drops them.
 type ResumeFilter struct {
 	resume  Resume
 	next    ferryid.Position
--- a/ferry/ferrystream/seal.go
+++ b/ferry/ferrystream/seal.go
@@ -214,7 +214,8 @@
 	return encoding.AppendEncode(b, s.sealed)
 }
 
-// Open opens a token and checks that it belongs to the given customer, service and request and has not expired.
+// Open opens a token and checks that it belongs to the given customer, service and request and
+// has not expired.
 func (s *Sealer) Open(token string, c ferryid.CustomerName, service ferryid.ServiceName, request Digest) (Resume, error) {
 	r, err := s.decode(token)
 	if err != nil {
--- a/ferry/ferrytoml/strict.go
+++ b/ferry/ferrytoml/strict.go
@@ -34,7 +34,8 @@
 	return false
 }
 
-// recordError records a decoding error and blanks the value at fault; it returns false if that is not possible.
+// recordError records a decoding error and blanks the value at fault; it returns false if that
+// is not possible.
 func (c *Check) recordError(err error, lines [][]byte) bool {
 	var decodeErr *toml.DecodeError
 	if !errors.As(err, &decodeErr) {
--- a/ferryd/ferrycaller/claim.go
+++ b/ferryd/ferrycaller/claim.go
@@ -76,7 +76,8 @@
 	return string(p.Outcome)
 }
 
-// answerUnclaimed returns the recorded answer of a call that can't be claimed, or the problem that prevents it.
+// answerUnclaimed returns the recorded answer of a call that can't be claimed, or the problem
+// that prevents it.
 func (s *Server) answerUnclaimed(c *caller, err error) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	var replay *ferryclaim.Replay
 	if errors.As(err, &replay) {
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// run generates the answer and closes tokens at its end. After each preemption it waits for the grant to resume.
+// run generates the answer and closes tokens at its end. After each preemption it waits for the
+// grant to resume.
 func (st *stream) run(ctx context.Context) error {
 	defer close(st.tokens)
 	job := st.job
@@ -250,7 +251,8 @@
 	}
 }
 
-// abortEvents ends an incomplete answer: with a problem response if nothing was sent, else with an error event.
+// abortEvents ends an incomplete answer: with a problem response if nothing was sent, else with
+// an error event.
 func (st *stream) abortEvents(out *eventWriter, r *http.Request, err error) {
 	p := asProblem(err)
 	st.server.Events.Add("StreamFailed", string(st.job.Stream), "after %d tokens: %s", len(st.texts), p.Kind)
--- a/ferryd/ferrycaller/metrics.go
+++ b/ferryd/ferrycaller/metrics.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// recordTokens records n tokens sent in one write; the latency of the first counts from the request's arrival.
+// recordTokens records n tokens sent in one write; the latency of the first counts from the
+// request's arrival.
 func (s *streamMetrics) recordTokens(n int, now time.Time) {
 	s.tokens.Inc(int64(n))
 	if s.last.IsZero() {
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -153,7 +153,8 @@
 	return m
 }
 
-// assignRequestID gives each request an id, which is in its answer, in the log and in the call to the upstream.
+// assignRequestID gives each request an id, which is in its answer, in the log and in the call
+// to the upstream.
 func (s *Server) assignRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := ferryid.NewRequestID()
