--- a/ferry/ferrystream/compose.go
+++ b/ferry/ferrystream/compose.go
@@ -12,18 +12,18 @@
 // ContentType is the media type of a streamed answer.
 const ContentType = "text/event-stream"
 
-// Shape is the format of an answer.
-type Shape int
+// Format is the format of an answer.
+type Format int
 
 // The formats of answers.
 const (
-	ShapeCompletions Shape = iota
-	ShapeChat
+	FormatCompletions Format = iota
+	FormatChat
 )
 
 // ComposerConfig configures a Composer.
 type ComposerConfig struct {
-	Shape   Shape
+	Format   Format
 	ID      ferryid.StreamID
 	Model   ferryid.ServiceName
 	Created time.Time
@@ -42,9 +42,9 @@
 // NewComposer returns a composer for one answer.
 func NewComposer(cfg ComposerConfig) *Composer {
 	c := &Composer{cfg: cfg}
-	head := c.objectPrefix(objectName(cfg.Shape, true))
-	switch cfg.Shape {
-	case ShapeChat:
+	head := c.objectPrefix(objectName(cfg.Format, true))
+	switch cfg.Format {
+	case FormatChat:
 		c.tokenPrefix = append(head, `"choices":[{"index":0,"delta":{"content":`...)
 		c.tokenSuffix = []byte(`},"finish_reason":null}]}` + "\n\n")
 		c.finalPrefix = c.finalEventPrefix(`"delta":{}`)
@@ -56,11 +56,11 @@
 	return c
 }
 
-func objectName(s Shape, chunk bool) string {
+func objectName(f Format, chunk bool) string {
 	switch {
-	case s == ShapeChat && chunk:
+	case f == FormatChat && chunk:
 		return "chat.completion.chunk"
-	case s == ShapeChat:
+	case f == FormatChat:
 		return "chat.completion"
 	}
 	return "text_completion"
@@ -79,7 +79,7 @@
 }
 
 func (c *Composer) finalEventPrefix(choice string) []byte {
-	b := append([]byte("data: "), c.objectPrefix(objectName(c.cfg.Shape, true))...)
+	b := append([]byte("data: "), c.objectPrefix(objectName(c.cfg.Format, true))...)
 	b = append(b, `"choices":[{"index":0,`...)
 	b = append(b, choice...)
 	return append(b, `,"finish_reason":`...)
@@ -87,11 +87,11 @@
 
 // Start appends the event before the first token: in the chat format, the one with the role.
 func (c *Composer) Start(b []byte) []byte {
-	if c.cfg.Shape != ShapeChat {
+	if c.cfg.Format != FormatChat {
 		return b
 	}
 	b = append(b, "data: "...)
-	b = append(b, c.objectPrefix(objectName(ShapeChat, true))...)
+	b = append(b, c.objectPrefix(objectName(FormatChat, true))...)
 	return append(b, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`+"\n\n"...)
 }
 
@@ -141,8 +141,8 @@
 
 // CompleteAnswer appends the JSON body of an answer that is not streamed.
 func (c *Composer) CompleteAnswer(b []byte, text, reason string, promptTokens, tokens int) []byte {
-	b = append(b, c.objectPrefix(objectName(c.cfg.Shape, false))...)
-	if c.cfg.Shape == ShapeChat {
+	b = append(b, c.objectPrefix(objectName(c.cfg.Format, false))...)
+	if c.cfg.Format == FormatChat {
 		b = append(b, `"choices":[{"index":0,"message":{"role":"assistant","content":`...)
 		b = ferryjson.AppendString(b, text)
 		b = append(b, '}')
--- a/ferry/ferrystream/compose_test.go
+++ b/ferry/ferrystream/compose_test.go
@@ -21,14 +21,14 @@
 
 func TestCompose(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		shape ferrystream.Shape
+		name   string
+		format ferrystream.Format
 	}{
-		{"completions", ferrystream.ShapeCompletions},
-		{"chat", ferrystream.ShapeChat},
+		{"completions", ferrystream.FormatCompletions},
+		{"chat", ferrystream.FormatChat},
 	} {
 		c := ferrystream.NewComposer(ferrystream.ComposerConfig{
-			Shape: tt.shape, ID: "s1", Model: "herd-llm", Created: time.Unix(1700000000, 0),
+			Format: tt.format, ID: "s1", Model: "herd-llm", Created: time.Unix(1700000000, 0),
 		})
 		b := c.Start(nil)
 		for i, text := range []string{" plain", " \"quoted\"\n", " мляко", "\x80"} {
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -73,17 +73,17 @@
 	ended := make(chan error, 1)
 	go func() { ended <- st.run(ctx) }()
 	if st.req.Stream {
-		st.writeEvents(cancel, w, r, ended, shapeOf(chat))
+		st.writeEvents(cancel, w, r, ended, formatOf(chat))
 		return
 	}
-	st.writeComplete(w, r, ended, shapeOf(chat))
+	st.writeComplete(w, r, ended, formatOf(chat))
 }
 
-func shapeOf(chat bool) ferrystream.Shape {
+func formatOf(chat bool) ferrystream.Format {
 	if chat {
-		return ferrystream.ShapeChat
+		return ferrystream.FormatChat
 	}
-	return ferrystream.ShapeCompletions
+	return ferrystream.FormatCompletions
 }
 
 // openStream reads and validates the request, authenticates the caller and opens its resume token.
@@ -211,8 +211,8 @@
 }
 
 // writeEvents sends tokens as they arrive, several in one write if the caller reads more slowly.
-func (st *stream) writeEvents(cancel func(), w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
-	out, err := st.newWriter(w, shape)
+func (st *stream) writeEvents(cancel func(), w http.ResponseWriter, r *http.Request, ended chan error, format ferrystream.Format) {
+	out, err := st.newWriter(w, format)
 	if err != nil {
 		cancel()
 		<-ended
@@ -265,7 +265,7 @@
 }
 
 // writeComplete collects the answer and sends it in one response.
-func (st *stream) writeComplete(w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
+func (st *stream) writeComplete(w http.ResponseWriter, r *http.Request, ended chan error, format ferrystream.Format) {
 	var text strings.Builder
 	for t := range st.tokens {
 		text.WriteString(t.Text)
@@ -276,7 +276,7 @@
 		return
 	}
 	composer := ferrystream.NewComposer(ferrystream.ComposerConfig{
-		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: st.server.Clock.Now(),
+		Format: format, ID: st.job.Stream, Model: st.job.Service, Created: st.server.Clock.Now(),
 	})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(StreamHeader, string(st.job.Stream))
--- a/ferryd/ferrycaller/events.go
+++ b/ferryd/ferrycaller/events.go
@@ -31,7 +31,7 @@
 	started       bool
 }
 
-func (st *stream) newWriter(w http.ResponseWriter, shape ferrystream.Shape) (*eventWriter, error) {
+func (st *stream) newWriter(w http.ResponseWriter, format ferrystream.Format) (*eventWriter, error) {
 	s := st.server
 	resume := ferrystream.Resume{
 		Customer: st.job.Customer, Service: st.job.Service, Stream: st.job.Stream,
@@ -44,7 +44,7 @@
 	}
 	out := &eventWriter{w: w, control: http.NewResponseController(w), server: s, metrics: st.metrics, id: string(st.job.Stream), buf: make([]byte, 0, eventBytes)}
 	out.composer = ferrystream.NewComposer(ferrystream.ComposerConfig{
-		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: s.Clock.Now(), Sealer: sealer,
+		Format: format, ID: st.job.Stream, Model: st.job.Service, Created: s.Clock.Now(), Sealer: sealer,
 	})
 	if st.resume != nil {
 		out.resume = ferrystream.NewResumeFilter(*st.resume)
