--- a/ferry/ferrystream/compose.go
+++ b/ferry/ferrystream/compose.go
@@ -23,7 +23,7 @@
 
 // ComposerConfig configures a Composer.
 type ComposerConfig struct {
-	Format   Format
+	Format  Format
 	ID      ferryid.StreamID
 	Model   ferryid.ServiceName
 	Created time.Time
