--- a/ferry/ferryclaim/answer.go
+++ b/ferry/ferryclaim/answer.go
@@ -38,13 +38,14 @@
 	Result Result     `cbor:"2,keyasint"`
 }
 
-// Asker sends questions to other incarnations over the peer transport.
+// Asker sends questions to other incarnations.
 type Asker interface {
 	// Ask returns the incarnation's answer, or an error if the incarnation is unreachable or has ended.
 	Ask(ctx context.Context, id ferryid.Incarnation, q Question) (Answer, error)
 }
 
-// answer decides under the table's lock without waiting, so that a revoked claim can't be dispatched afterwards.
+// answer decides under the table's lock without waiting, so that a revoked claim can't be
+// dispatched afterwards.
 func (t *table) answer(q Question) Answer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferryclaim/table.go
+++ b/ferry/ferryclaim/table.go
@@ -10,7 +10,7 @@
 const (
 	// TicketLifetime is how long a ticket can be used after its issue.
 	TicketLifetime = 15 * time.Minute
-	// ticketRetention is how long a used ticket is recognized after its issue.
+	// ticketRetention is how long a used ticket is recognised after its issue.
 	ticketRetention = 2 * TicketLifetime
 	purgeGrace      = time.Minute
 )
@@ -106,8 +106,8 @@
 	return true
 }
 
-// dispatch marks a granted operation as possibly sent. A claim must be dispatched within half of its retention,
-// so that it can't run concurrently with a later claim of the same key.
+// dispatch marks a granted operation as possibly sent. A claim must be dispatched within half of its
+// retention, so that it can't run concurrently with a later claim of the same key.
 func (t *table) dispatch(r Ref, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ferry/ferrydocument/digest.go
+++ b/ferry/ferrydocument/digest.go
@@ -14,7 +14,7 @@
 	Service    ferryid.ServiceName `json:"Service" cbor:"1,keyasint"`
 	Generation ferryid.Generation  `json:"Generation" cbor:"2,keyasint"`
 	Hash       string              `json:"Hash" cbor:"3,keyasint"`
-	// Differences is set if the sender of the digest accepts deltas to this version.
+	// AcceptsDeltas is set if the sender of the digest accepts deltas to this version.
 	AcceptsDeltas bool `json:"-" cbor:"4,keyasint,omitempty"`
 }
 
@@ -40,7 +40,8 @@
 	return out
 }
 
-// Missing returns the documents of which the sender of a digest has no version, an older one or another branch.
+// Missing returns the documents of which the sender of a digest has no version, an older one or
+// another branch.
 func (h *Holder) Missing(d Digest) []ferryservice.Accepted {
 	theirs := make(map[ferryid.ServiceName]DigestRow, len(d))
 	for _, r := range d {
--- a/ferry/ferrydocument/restore_test.go
+++ b/ferry/ferrydocument/restore_test.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// TestModelNeverStepsBackWhenTheStoreDoes runs random histories with rollbacks of the store. Branches may then
-// form, but each must raise an alarm and be resolvable with --supersedes.
+// TestModelNeverStepsBackWhenTheStoreDoes runs random histories with rollbacks of the store. Branches may
+// then form, but each must raise an alarm and be resolvable with --supersedes.
 func TestModelNeverStepsBackWhenTheStoreDoes(t *testing.T) {
 	forks, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -79,7 +79,7 @@
 	m.n++
 	m.begin(op, ApplyRequest{
 		Service: modelService, Source: f.Accepted.Source, BaseGeneration: m.stored().Generation,
-		Operator: "op", ApplyID: fmt.Sprint("settle-", m.n), Supersedes: []string{f.Hash},
+		Operator: "op", ApplyID: fmt.Sprint("resolve-", m.n), Supersedes: []string{f.Hash},
 	})
 	for range 20 {
 		if op.core != nil {
--- a/ferry/ferryengine/transport.go
+++ b/ferry/ferryengine/transport.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	dialTimeout        = 2 * time.Second
-	idleConnTimeout    = 90 * time.Second
-	maxIdleConns       = 4096
-	maxIdleConnsByHost = 512
+	dialTimeout         = 2 * time.Second
+	idleConnTimeout     = 90 * time.Second
+	maxIdleConns        = 4096
+	maxIdleConnsPerHost = 512
 	// writeBufferBytes is small, as a connection writes one request and then only reads.
 	writeBufferBytes = 1 << 10
 )
@@ -83,8 +83,8 @@
 // Dial opens a connection, like DialContext of net.Dialer.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns an HTTP/1.1 transport whose connections count written bytes, which makes the phase of a
-// failed call exact. A nil dial selects TCP.
+// NewTransport returns an HTTP/1.1 transport whose connections count written bytes, which makes the phase
+// of a failed call exact. A nil dial selects TCP.
 func NewTransport(dial Dial) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -99,7 +99,7 @@
 		},
 		DisableCompression:  true,
 		MaxIdleConns:        maxIdleConns,
-		MaxIdleConnsPerHost: maxIdleConnsByHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		WriteBufferSize:     writeBufferBytes,
 	}
--- a/ferry/ferrypipeline/planner_test.go
+++ b/ferry/ferrypipeline/planner_test.go
@@ -166,7 +166,7 @@
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
 	assert.Equal(t, pick(), ferryid.UpstreamName("slow"), "another job got the engine that just failed")
-	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspected engine is used if there is no other")
+	assert.Equal(t, pick("slow"), ferryid.UpstreamName("quick"), "a suspected engine must be used if there is no other")
 	clock.Advance(time.Second)
 	assert.Equal(t, pick(), ferryid.UpstreamName("quick"))
 	assert.Equal(t, pick("quick"), ferryid.UpstreamName("slow"))
@@ -378,8 +378,8 @@
 	b.ReportMetric(equal, "equal-tokens/s")
 }
 
-// Measures the link time per token of chains of eight stages over three failure domains, with and without link
-// costs in the choice.
+// Measures the link time per token of chains of eight stages over three failure domains, with and without
+// link costs in the choice.
 func BenchmarkLinks(b *testing.B) {
 	cfg, loads := fleet48()
 	for pair := range cfg.Links {
--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -16,7 +16,8 @@
 const (
 	// inboxSize is the number of buffered messages; when full, new calls are refused and other messages block.
 	inboxSize = 4096
-	// tickInterval is how often the loop checks deadlines and preemption and publishes its view without a message.
+	// tickInterval is how often the loop checks deadlines and preemption and publishes its view
+	// without a message.
 	tickInterval = 100 * time.Millisecond
 	// publishInterval is how often the view is published under load.
 	publishInterval = 10 * time.Millisecond
@@ -24,7 +25,8 @@
 	maxViewAge = 2 * tickInterval
 )
 
-// Admission runs the queue of one service in a single goroutine; its methods may be called from any goroutine.
+// Admission runs the queue of one service in a single goroutine; its methods may be called from
+// any goroutine.
 type Admission struct {
 	clock         clockwork.Clock
 	inbox         chan message
@@ -43,29 +45,29 @@
 
 // Run runs the queue until the context ends, then refuses the calls that still wait as NotRun.
 func (a *Admission) Run(ctx context.Context, cfg Config) {
-	o := newAdmissionLoop(a, cfg)
+	loop := newAdmissionLoop(a, cfg)
 	tick := a.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer close(a.ended)
-	o.publish()
+	loop.publish()
 	for {
 		select {
 		case <-ctx.Done():
-			o.refuseAll()
+			loop.refuseAll()
 			return
 		case <-tick.Chan():
-			o.tick()
-			if o.goIdle() {
+			loop.tick()
+			if loop.goIdle() {
 				tick.Stop()
 			}
 		case m := <-a.inbox:
-			o.handle(m)
-			if o.resumeTicks() {
+			loop.handle(m)
+			if loop.resumeTicks() {
 				tick.Reset(tickInterval)
 			}
 		}
-		o.startAndRefuse()
-		o.publishIfDue()
+		loop.startAndRefuse()
+		loop.publishIfDue()
 	}
 }
 
@@ -176,7 +178,8 @@
 	}
 }
 
-// Progress reports how many tokens the call has produced so far; the report is dropped while the loop is busy.
+// Progress reports how many tokens the call has produced so far; the report is dropped while the
+// loop is busy.
 func (g *Grant) Progress(n ferryid.Tokens) {
 	select {
 	case g.admission.inbox <- progress{id: g.id, tokens: n}:
--- a/ferry/ferryqueue/customer.go
+++ b/ferry/ferryqueue/customer.go
@@ -5,7 +5,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// maxIdleFlows is the number of customers from which those without work are purged.
+// maxIdleFlows is the number of customers, per class and in total, from which customers without
+// work are purged.
 const maxIdleFlows = 4096
 
 // customerState counts the waiting and running items of one customer in all classes.
@@ -16,27 +17,27 @@
 	usage   usage
 }
 
-func (q *Queue) flowOf(l *classQueue, c ferryid.CustomerName) *flow {
+func (q *Queue) flowOf(cq *classQueue, c ferryid.CustomerName) *flow {
 	if q.cfg.Policy == ferryservice.QueueFifo {
 		c = ""
 	}
-	f, ok := l.flows[c]
+	f, ok := cq.flows[c]
 	if ok {
 		return f
 	}
-	if len(l.flows) >= maxIdleFlows {
-		l.purge()
+	if len(cq.flows) >= maxIdleFlows {
+		cq.purge()
 	}
 	f = &flow{customer: c, weight: q.weight(c), index: -1}
-	l.flows[c] = f
+	cq.flows[c] = f
 	return f
 }
 
 // purge deletes the flows of customers with nothing waiting or running in the class.
-func (l *classQueue) purge() {
-	for c, f := range l.flows {
+func (cq *classQueue) purge() {
+	for c, f := range cq.flows {
 		if f.n == 0 && f.running == 0 {
-			delete(l.flows, c)
+			delete(cq.flows, c)
 		}
 	}
 }
@@ -49,20 +50,20 @@
 }
 
 func (q *Queue) customer(c ferryid.CustomerName) *customerState {
-	h, ok := q.customers[c]
+	cs, ok := q.customers[c]
 	if !ok {
 		if len(q.customers) >= maxIdleFlows {
 			q.purgeCustomers()
 		}
-		h = &customerState{weight: q.weight(c)}
-		q.customers[c] = h
+		cs = &customerState{weight: q.weight(c)}
+		q.customers[c] = cs
 	}
-	return h
+	return cs
 }
 
 func (q *Queue) purgeCustomers() {
-	for c, h := range q.customers {
-		if h.waiting == 0 && h.running == 0 {
+	for c, cs := range q.customers {
+		if cs.waiting == 0 && cs.running == 0 {
 			delete(q.customers, c)
 		}
 	}
--- a/ferry/ferrystream/compose_test.go
+++ b/ferry/ferrystream/compose_test.go
@@ -21,14 +21,14 @@
 
 func TestCompose(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		shape ferrystream.Shape
+		name   string
+		format ferrystream.Format
 	}{
-		{"completions", ferrystream.ShapeCompletions},
-		{"chat", ferrystream.ShapeChat},
+		{"completions", ferrystream.FormatCompletions},
+		{"chat", ferrystream.FormatChat},
 	} {
 		c := ferrystream.NewComposer(ferrystream.ComposerConfig{
-			Shape: tt.shape, ID: "s1", Model: "herd-llm", Created: time.Unix(1700000000, 0),
+			Format: tt.format, ID: "s1", Model: "herd-llm", Created: time.Unix(1700000000, 0),
 		})
 		b := c.Start(nil)
 		for i, text := range []string{" plain", " \"quoted\"\n", " мляко", "\x80"} {
@@ -41,7 +41,7 @@
 			data, ok := strings.CutPrefix(line, "data: {")
 			assert.Assert(t, !ok || json.Valid([]byte("{"+data)), line)
 		}
-		whole := c.Whole(nil, "a \"b\"", "stop", 3, 4)
+		whole := c.CompleteAnswer(nil, "a \"b\"", "stop", 3, 4)
 		assert.Assert(t, json.Valid(whole))
 		golden.Assert(t, string(b)+string(whole), tt.name+".golden")
 	}
--- a/ferryd/ferrycaller/completion.go
+++ b/ferryd/ferrycaller/completion.go
@@ -73,17 +73,17 @@
 	ended := make(chan error, 1)
 	go func() { ended <- st.run(ctx) }()
 	if st.req.Stream {
-		st.writeEvents(cancel, w, r, ended, shapeOf(chat))
+		st.writeEvents(cancel, w, r, ended, formatOf(chat))
 		return
 	}
-	st.writeWhole(w, r, ended, shapeOf(chat))
+	st.writeComplete(w, r, ended, formatOf(chat))
 }
 
-func shapeOf(chat bool) ferrystream.Shape {
+func formatOf(chat bool) ferrystream.Format {
 	if chat {
-		return ferrystream.ShapeChat
+		return ferrystream.FormatChat
 	}
-	return ferrystream.ShapeCompletions
+	return ferrystream.FormatCompletions
 }
 
 // openStream reads and validates the request, authenticates the caller and opens its resume token.
@@ -124,7 +124,8 @@
 	return st, p
 }
 
-// streamDeadline returns the deadline of the class of a stream that generates n tokens, its maximum.
+// streamDeadline returns the deadline of the class for n tokens, the stream's maximum,
+// or that of the service if the class has none.
 func streamDeadline(d *ferryservice.Document, n ferryid.Tokens) ferryservice.Duration {
 	if cl := d.Classes.ForTokens(n); cl.Deadline > 0 {
 		return cl.Deadline
@@ -160,7 +161,8 @@
 	}
 }
 
-// run generates the answer and closes tokens at its end. After each preemption it waits for the grant to resume.
+// run generates the answer and closes tokens at its end. After each preemption it waits for the
+// grant to resume.
 func (st *stream) run(ctx context.Context) error {
 	defer close(st.tokens)
 	job := st.job
@@ -209,8 +211,8 @@
 }
 
 // writeEvents sends tokens as they arrive, several in one write if the caller reads more slowly.
-func (st *stream) writeEvents(cancel func(), w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
-	out, err := st.newWriter(w, shape)
+func (st *stream) writeEvents(cancel func(), w http.ResponseWriter, r *http.Request, ended chan error, format ferrystream.Format) {
+	out, err := st.newWriter(w, format)
 	if err != nil {
 		cancel()
 		<-ended
@@ -249,7 +251,8 @@
 	}
 }
 
-// abortEvents ends an incomplete answer: with a problem response if nothing was sent, else with an error event.
+// abortEvents ends an incomplete answer: with a problem response if nothing was sent, else with
+// an error event.
 func (st *stream) abortEvents(out *eventWriter, r *http.Request, err error) {
 	p := asProblem(err)
 	st.server.Events.Add("StreamFailed", string(st.job.Stream), "after %d tokens: %s", len(st.texts), p.Kind)
@@ -261,8 +264,8 @@
 	_ = out.failed(p)
 }
 
-// writeWhole collects the answer and sends it in one response.
-func (st *stream) writeWhole(w http.ResponseWriter, r *http.Request, ended chan error, shape ferrystream.Shape) {
+// writeComplete collects the answer and sends it in one response.
+func (st *stream) writeComplete(w http.ResponseWriter, r *http.Request, ended chan error, format ferrystream.Format) {
 	var text strings.Builder
 	for t := range st.tokens {
 		text.WriteString(t.Text)
@@ -273,10 +276,10 @@
 		return
 	}
 	composer := ferrystream.NewComposer(ferrystream.ComposerConfig{
-		Shape: shape, ID: st.job.Stream, Model: st.job.Service, Created: st.server.Clock.Now(),
+		Format: format, ID: st.job.Stream, Model: st.job.Service, Created: st.server.Clock.Now(),
 	})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(StreamHeader, string(st.job.Stream))
 	prompt := 1 + len(st.job.Prompt)/bytesPerToken
-	_, _ = w.Write(composer.Whole(nil, text.String(), st.result.Reason, prompt, len(st.texts)))
+	_, _ = w.Write(composer.CompleteAnswer(nil, text.String(), st.result.Reason, prompt, len(st.texts)))
 }
