--- a/ferrystand/ferryproof/claims.go
+++ b/ferrystand/ferryproof/claims.go
@@ -14,42 +14,43 @@
 
 const (
 	claimKeys = 32
-	// claimFreeze is past the 4 s after which a silent entry is noticed and the 3 s after which a suspect counts as dead.
-	claimFreeze = 8500 * time.Millisecond
-	claimDelay  = 200 * time.Millisecond
-	// claimRun is how long a call runs that is under way when its entry is frozen.
-	claimRun       = 2 * time.Second
-	claimPause     = 250 * time.Millisecond
+	// claimFreezeTime exceeds the 4 s until a silent entry is
+	// suspected plus the 3 s until a suspect is declared dead.
+	claimFreezeTime = 8500 * time.Millisecond
+	claimDelay      = 200 * time.Millisecond
+	// claimRunTime is the run time of a call that is in progress when its entry is frozen.
+	claimRunTime   = 2 * time.Second
+	claimInterval  = 250 * time.Millisecond
 	claimDeadline  = 12 * time.Second
 	claimRetention = 2 * claimDeadline
 	shortDeadline  = 2 * time.Second
 	shortRetention = 2 * shortDeadline
 	expiryRounds   = 2
-	// roundedBy is by how much a retention may be shorter than it says, since its end is kept in whole seconds.
-	roundedBy = time.Second
+	// retentionRounding is the tolerance on a retention time, since its end is stored in whole seconds.
+	retentionRounding = time.Second
 )
 
 var claims = Case{
-	Name:    "claims",
-	Promise: "a call that may not be repeated runs at most once while its key is recognised",
-	Faults:  "an entry that owns slots frozen with claims and calls under way, past the time after which it counts as dead, while its keys go on at the others, and woken; claims that expire under retries at all entries",
-	size:    ferrydemo.Config{Engines: 2, Entries: 3},
-	run: func(ctx context.Context, w *world) error {
-		if err := w.retention(ctx, 1, claimDeadline, claimRetention); err != nil {
+	Name:      "claims",
+	Guarantee: "a non-idempotent call runs at most once while its key is retained",
+	Faults:    "an entry that owns slots is frozen with claims and calls in progress until it is declared dead, while its keys are retried at the others, and then resumed; claims that expire during retries at all entries",
+	size:      ferrydemo.Config{Engines: 2, Entries: 3},
+	run: func(ctx context.Context, w *harness) error {
+		if err := w.applyRetention(ctx, 1, claimDeadline, claimRetention); err != nil {
 			return err
 		}
-		if err := w.frozenOwner(ctx); err != nil {
+		if err := w.freezeOwner(ctx); err != nil {
 			return err
 		}
-		if err := w.retention(ctx, 2, shortDeadline, shortRetention); err != nil {
+		if err := w.applyRetention(ctx, 2, shortDeadline, shortRetention); err != nil {
 			return err
 		}
-		return w.expiring(ctx)
+		return w.expireClaims(ctx)
 	},
 }
 
-// retention puts a document of the plain service in force that recognises keys for a time.
-func (w *world) retention(ctx context.Context, base int, deadline, retention time.Duration) error {
+// applyRetention applies a document of the plain service with the given deadline and claim retention.
+func (w *harness) applyRetention(ctx context.Context, base int, deadline, retention time.Duration) error {
 	limits := fmt.Sprintf("[Limits]\nDeadline = %q\nClaimRetention = %q\n\n[[Upstreams]]", deadline, retention)
 	text := strings.Replace(w.PlainDocument(), "[[Upstreams]]", limits, 1)
 	if err := w.apply(ctx, ferrydemo.PlainService, text, base, "morning"); err != nil {
@@ -58,21 +59,22 @@
 	return w.WaitInForce(ctx, ferrydemo.PlainService, base+1)
 }
 
-// frozenOwner freezes an entry while claims that it took are being written, repeats the keys at the others, and wakes it.
-func (w *world) frozenOwner(ctx context.Context) error {
-	l := newLedger()
+// freezeOwner freezes an entry while its claims are being written,
+// retries the keys at the other entries, and resumes it.
+func (w *harness) freezeOwner(ctx context.Context) error {
+	l := newCallLog()
 	frozen, others := w.Entries[0], []int{1, 2}
-	w.claimAt(ctx, l, "warm", []int{0, 1, 2}, nil)
+	w.sendClaims(ctx, l, "warm", []int{0, 1, 2}, nil)
 	if err := w.platformFaults(ctx, map[string]any{"DelayMS": claimDelay.Milliseconds()}); err != nil {
 		return err
 	}
-	if err := w.plainFaults(ctx, map[string]any{"DelayMS": claimRun.Milliseconds()}); err != nil {
+	if err := w.plainFaults(ctx, map[string]any{"DelayMS": claimRunTime.Milliseconds()}); err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.claimAt(ctx, l, "running", []int{0}, nil) })
-	time.Sleep(claimRun / 2)
-	wg.Go(func() { w.claimAt(ctx, l, "frozen", []int{0}, nil) })
+	wg.Go(func() { w.sendClaims(ctx, l, "running", []int{0}, nil) })
+	time.Sleep(claimRunTime / 2)
+	wg.Go(func() { w.sendClaims(ctx, l, "frozen", []int{0}, nil) })
 	time.Sleep(claimDelay / 2)
 	if err := frozen.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -81,26 +83,27 @@
 	if err := w.plainFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	wg.Go(func() { w.claimAt(ctx, l, "running", others, woken) })
-	wg.Go(func() { w.claimAt(ctx, l, "frozen", others, woken) })
-	wg.Go(func() { w.claimAt(ctx, l, "others", others, woken) })
-	time.Sleep(claimFreeze)
+	wg.Go(func() { w.sendClaims(ctx, l, "running", others, woken) })
+	wg.Go(func() { w.sendClaims(ctx, l, "frozen", others, woken) })
+	wg.Go(func() { w.sendClaims(ctx, l, "others", others, woken) })
+	time.Sleep(claimFreezeTime)
 	if err := frozen.Process.Signal(syscall.SIGCONT); err != nil {
 		return err
 	}
-	time.Sleep(claimPause)
+	time.Sleep(claimInterval)
 	close(woken)
 	wg.Wait()
 	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	w.claimAt(ctx, l, "frozen", []int{0, 1, 2}, nil)
-	return w.judgeClaims(ctx, l, claimRetention, fmt.Sprintf("an entry with claims under way frozen for %s", claimFreeze))
+	w.sendClaims(ctx, l, "frozen", []int{0, 1, 2}, nil)
+	return w.checkClaims(ctx, l, claimRetention, fmt.Sprintf("an entry with claims in progress frozen for %s", claimFreezeTime))
 }
 
-// expiring cuts answers off after the run and repeats the keys at all entries until the claims have expired.
-func (w *world) expiring(ctx context.Context) error {
-	l := newLedger()
+// expireClaims cuts connections after the run and retries
+// the keys at all entries until the claims have expired.
+func (w *harness) expireClaims(ctx context.Context) error {
+	l := newCallLog()
 	if err := w.plainFaults(ctx, map[string]any{"CutAfterRun": claimKeys}); err != nil {
 		return err
 	}
@@ -108,13 +111,14 @@
 		return err
 	}
 	over := make(chan struct{})
-	time.AfterFunc(expiryRounds*shortRetention+2*roundedBy, func() { close(over) })
-	w.claimAt(ctx, l, "expiring", []int{0, 1, 2}, over)
-	return w.judgeClaims(ctx, l, shortRetention, fmt.Sprintf("keys kept for %s repeated for %s", shortRetention, expiryRounds*shortRetention+2*roundedBy))
+	time.AfterFunc(expiryRounds*shortRetention+2*retentionRounding, func() { close(over) })
+	w.sendClaims(ctx, l, "expiring", []int{0, 1, 2}, over)
+	return w.checkClaims(ctx, l, shortRetention, fmt.Sprintf("keys retained for %s retried for %s", shortRetention, expiryRounds*shortRetention+2*retentionRounding))
 }
 
-// claimAt sends each of some keys to the entries at once, and again and again until the end, if there is one.
-func (w *world) claimAt(ctx context.Context, l *ledger, name string, entries []int, end <-chan struct{}) {
+// sendClaims sends each key to the entries concurrently, and
+// repeats that until end is closed; a nil end sends once.
+func (w *harness) sendClaims(ctx context.Context, l *callLog, name string, entries []int, end <-chan struct{}) {
 	var wg sync.WaitGroup
 	for n := range claimKeys {
 		for _, e := range entries {
@@ -127,7 +131,7 @@
 					select {
 					case <-end:
 						return
-					case <-time.After(claimPause):
+					case <-time.After(claimInterval):
 					}
 				}
 			})
@@ -136,8 +140,9 @@
 	wg.Wait()
 }
 
-// judgeClaims checks that no key ran again within its retention, and counts what callers were told.
-func (w *world) judgeClaims(ctx context.Context, l *ledger, retention time.Duration, what string) error {
+// checkClaims checks that no key ran twice within its retention
+// time, and counts the outcomes that callers received.
+func (w *harness) checkClaims(ctx context.Context, l *callLog, retention time.Duration, what string) error {
 	var records []struct {
 		IdempotencyKey string
 		AtMillis       int64
@@ -149,23 +154,23 @@
 	for _, r := range records {
 		runs[r.IdempotencyKey] = append(runs[r.IdempotencyKey], r.AtMillis)
 	}
-	told := map[string]int{}
+	outcomes := map[string]int{}
 	once, again := 0, 0
 	for key, calls := range l.calls {
 		ran := false
 		for _, c := range calls {
-			told[c.told()]++
-			ran = ran || c.told() == "Ran"
+			outcomes[c.reported()]++
+			ran = ran || c.reported() == "Ran"
 		}
 		if ran && len(runs[key]) == 0 {
-			return fmt.Errorf("key %s was answered Ran and did not run", key)
+			return fmt.Errorf("key %s was answered Ran but has no recorded run", key)
 		}
 		times := runs[key]
 		slices.Sort(times)
 		for i := 1; i < len(times); i++ {
 			gap := time.Duration(times[i]-times[i-1]) * time.Millisecond
-			if gap < retention-roundedBy {
-				return fmt.Errorf("key %s ran again after %s, though it is kept for %s", key, gap, retention)
+			if gap < retention-retentionRounding {
+				return fmt.Errorf("key %s ran twice within %s; its retention is %s", key, gap, retention)
 			}
 			again++
 		}
@@ -173,9 +178,9 @@
 			once++
 		}
 	}
-	w.note("%s: %d of %d keys ran, %d runs more after their retention, told %v", what, once, len(l.calls), again, told)
+	w.note("%s: %d of %d keys ran, %d further runs after their retention, outcomes %v", what, once, len(l.calls), again, outcomes)
 	if once == 0 {
-		return fmt.Errorf("no key ran, so nothing was proved")
+		return fmt.Errorf("inconclusive: no key ran")
 	}
 	return nil
 }
--- a/ferrystand/ferryproof/doc.go
+++ b/ferrystand/ferryproof/doc.go
@@ -1,2 +1,3 @@
-// Package ferryproof brings failures about in a fleet of real processes and compares what callers were told with what upstreams did.
+// Package ferryproof injects faults into a fleet of real processes and checks
+// the outcomes reported to callers against the runs recorded by the upstreams.
 package ferryproof
--- a/ferrystand/ferryproof/halves.go
+++ b/ferrystand/ferryproof/halves.go
@@ -11,13 +11,13 @@
 )
 
 // halves returns the first and the second half of the entries.
-func (w *world) halves() (a, b []*ferrydemo.Entry) {
+func (w *harness) halves() (a, b []*ferrydemo.Entry) {
 	n := len(w.Entries) / 2
 	return w.Entries[:n], w.Entries[n:]
 }
 
-// between sets what is done with the links between two sets of entries.
-func (w *world) between(as, bs []*ferrydemo.Entry, f ferryproxy.Fault) {
+// setLinks sets the fault on all links between two sets of entries.
+func (w *harness) setLinks(as, bs []*ferrydemo.Entry, f ferryproxy.Fault) {
 	for _, a := range as {
 		for _, b := range bs {
 			a.Proxy.Set(b.Name, f)
@@ -26,8 +26,8 @@
 	}
 }
 
-// join lets all links pass again.
-func (w *world) join() {
+// restoreLinks removes the faults from all links.
+func (w *harness) restoreLinks() {
 	for _, e := range w.Entries {
 		if e.Proxy != nil {
 			e.Proxy.SetAll(ferryproxy.Pass{})
@@ -35,8 +35,9 @@
 	}
 }
 
-// inForceAt waits until a generation is in force at some entries and returns how long that took.
-func (w *world) inForceAt(ctx context.Context, entries []*ferrydemo.Entry, generation int, limit time.Duration) (time.Duration, error) {
+// waitGeneration waits until a generation, or a later one, is
+// in force at the given entries, and returns the time taken.
+func (w *harness) waitGeneration(ctx context.Context, entries []*ferrydemo.Entry, generation int, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -44,19 +45,19 @@
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
 			g, err := w.generation(ctx, e)
 			if err == nil && g < generation {
-				err = fmt.Errorf("%s has generation %d", e.Name, g)
+				err = fmt.Errorf("%s is at generation %d", e.Name, g)
 			}
 			return err
 		})
 		if err != nil {
-			return time.Since(began), fmt.Errorf("generation %d is not in force after %s: %w", generation, limit, err)
+			return time.Since(began), fmt.Errorf("wait for generation %d: not in force after %s: %w", generation, limit, err)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// generation is the generation of the model's document in force at an entry.
-func (w *world) generation(ctx context.Context, e *ferrydemo.Entry) (int, error) {
+// generation returns the generation of the model service's document in force at an entry, 0 if there is none.
+func (w *harness) generation(ctx context.Context, e *ferrydemo.Entry) (int, error) {
 	s, err := w.Status(ctx, e)
 	if err != nil {
 		return 0, err
@@ -69,37 +70,38 @@
 	return 0, nil
 }
 
-// whole waits until every entry knows every other one as alive and has links, and returns how long that took.
-func (w *world) whole(ctx context.Context, limit time.Duration) (time.Duration, error) {
+// waitMembership waits until every entry sees all entries as alive and has links, and returns the time taken.
+func (w *harness) waitMembership(ctx context.Context, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for _, e := range w.Entries {
-		err := ferryprocess.Poll(ctx, func(ctx context.Context) error { return w.knowsAll(ctx, e) })
+		err := ferryprocess.Poll(ctx, func(ctx context.Context) error { return w.checkMembership(ctx, e) })
 		if err != nil {
-			return time.Since(began), fmt.Errorf("the membership is not whole after %s: %w", limit, err)
+			return time.Since(began), fmt.Errorf("membership incomplete after %s: %w", limit, err)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// split waits until an entry counts at most half of the entries as alive.
-func (w *world) split(ctx context.Context, e *ferrydemo.Entry, limit time.Duration) (time.Duration, error) {
+// waitSplit waits until an entry sees at most half of the entries,
+// rounded up, as alive, and returns the time taken.
+func (w *harness) waitSplit(ctx context.Context, e *ferrydemo.Entry, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-		alive, err := w.alive(ctx, e)
+		alive, err := w.countAlive(ctx, e)
 		if err == nil && alive > (len(w.Entries)+1)/2 {
-			err = fmt.Errorf("%s counts %d entries as alive", e.Name, alive)
+			err = fmt.Errorf("%s still sees %d entries as alive", e.Name, alive)
 		}
 		return err
 	})
 	return time.Since(began), err
 }
 
-// alive counts the entries that an entry holds as alive.
-func (w *world) alive(ctx context.Context, e *ferrydemo.Entry) (int, error) {
+// countAlive returns the number of entries that an entry sees as alive.
+func (w *harness) countAlive(ctx context.Context, e *ferrydemo.Entry) (int, error) {
 	s, err := w.Status(ctx, e)
 	n := 0
 	for _, m := range s.Entries {
@@ -110,17 +112,17 @@
 	return n, err
 }
 
-func (w *world) knowsAll(ctx context.Context, e *ferrydemo.Entry) error {
+func (w *harness) checkMembership(ctx context.Context, e *ferrydemo.Entry) error {
 	s, err := w.Status(ctx, e)
 	if err != nil {
 		return err
 	}
-	alive, err := w.alive(ctx, e)
+	alive, err := w.countAlive(ctx, e)
 	if err != nil {
 		return err
 	}
 	if alive < len(w.Entries) || len(s.Peers) == 0 {
-		return fmt.Errorf("%s knows %d of %d entries as alive and has %d links", e.Name, alive, len(w.Entries), len(s.Peers))
+		return fmt.Errorf("%s sees %d of %d entries as alive and has %d links", e.Name, alive, len(w.Entries), len(s.Peers))
 	}
 	return nil
 }
--- a/ferrystand/ferryproof/keys.go
+++ b/ferrystand/ferryproof/keys.go
@@ -13,18 +13,21 @@
 )
 
 const (
-	// renewLimit is how soon a listener uses new files: it looks at them every 10 s, when somebody connects.
-	renewLimit    = 12 * time.Second
+	// reloadLimit bounds the time until a listener uses new files:
+	// on a connection it checks them if the last check was 10 s ago.
+	reloadLimit   = 12 * time.Second
 	keysTokens    = 60
-	strangersName = "entry-9"
+	untrustedName = "entry-9"
 )
 
-// linkLimit is how soon after the membership is whole a replaced entry has its links, some of which wait for the other side to dial.
+// linkLimit bounds the time from complete membership until a restarted
+// entry has all links, some of which the peer must dial.
 const linkLimit = 5 * time.Second
 
-// authorities sign the keys of one run: before and after the keys are replaced, and a stranger's.
+// authorities are the certificate authorities of one case:
+// before and after the key rotation, and an untrusted one.
 type authorities struct {
-	old, next, stranger *ferrydemo.Authority
+	old, next, untrusted *ferrydemo.Authority
 }
 
 func newAuthorities() (authorities, error) {
@@ -35,11 +38,11 @@
 }
 
 var keys = Case{
-	Name:    "keys",
-	Promise: "a fleet with TLS everywhere serves as without, lets no peer or operator in without a good certificate, and takes new keys while it runs",
-	Faults:  "an entry and an operator with a stranger's certificate, connections without TLS or without a certificate; certificates and authorities replaced",
-	size:    ferrydemo.Config{Engines: 4, Entries: 3},
-	prepare: func(w *world) error {
+	Name:      "keys",
+	Guarantee: "a fleet with TLS on all connections serves as without, rejects peers and operators without a trusted certificate, and reloads keys without a restart",
+	Faults:    "an entry and an operator with an untrusted certificate, connections without TLS or without a certificate; certificates and authorities rotated",
+	size:      ferrydemo.Config{Engines: 4, Entries: 3},
+	prepare: func(w *harness) error {
 		a, err := newAuthorities()
 		if err != nil {
 			return err
@@ -51,43 +54,43 @@
 		}
 		return w.UseKeys(k)
 	},
-	run: func(ctx context.Context, w *world) error {
+	run: func(ctx context.Context, w *harness) error {
 		defer w.Keys.Remove()
 		if err := w.serveOverTLS(ctx); err != nil {
 			return err
 		}
-		s, err := w.startStranger(ctx)
+		s, err := w.startUntrusted(ctx)
 		if err != nil {
 			return err
 		}
 		defer s.keys.Remove()
-		if err := w.renewKeys(ctx); err != nil {
+		if err := w.rotateKeys(ctx); err != nil {
 			return err
 		}
 		if err := w.serveOverTLS(ctx); err != nil {
 			return err
 		}
-		return w.strangerOutside(ctx, s)
+		return w.checkUntrusted(ctx, s)
 	},
 }
 
-// serveOverTLS asks for a stream at each entry, makes one claimed call at all of them, and accepts a document.
-func (w *world) serveOverTLS(ctx context.Context) error {
-	w.served++
+// serveOverTLS requests a stream at each entry, sends one claimed call to all of them, and applies a document.
+func (w *harness) serveOverTLS(ctx context.Context) error {
+	w.tlsRounds++
 	var t tally
 	for n := range w.Entries {
-		w.stream(ctx, n, fmt.Sprintf("over TLS %d", w.served), keysTokens, &t)
+		w.stream(ctx, n, fmt.Sprintf("over TLS %d", w.tlsRounds), keysTokens, &t)
 	}
 	if err := t.err(); err != nil {
 		return err
 	}
-	if t.whole != len(w.Entries) || t.refused+t.unreached+t.resumed > 0 {
-		return fmt.Errorf("not every entry served over TLS: %s", &t)
+	if t.complete != len(w.Entries) || t.refused+t.unreached+t.resumed > 0 {
+		return fmt.Errorf("streams over TLS: not every entry gave a complete answer at once: %s", &t)
 	}
-	key := fmt.Sprintf("tls-%d", w.served)
+	key := fmt.Sprintf("tls-%d", w.tlsRounds)
 	for n := range w.Entries {
-		if c := w.post(ctx, n, key); c.told() != "Ran" {
-			return fmt.Errorf("a claimed call over TLS must have run, is %s: %s %v", c.told(), c.detail, c.err)
+		if c := w.post(ctx, n, key); c.reported() != "Ran" {
+			return fmt.Errorf("claimed call over TLS: expected outcome Ran, got %s: %s %v", c.reported(), c.detail, c.err)
 		}
 	}
 	runs, err := w.runs(ctx)
@@ -95,42 +98,45 @@
 		return err
 	}
 	if runs[key] != 1 {
-		return fmt.Errorf("key %s ran %d times", key, runs[key])
+		return fmt.Errorf("key %s ran %d times, expected 1", key, runs[key])
 	}
 	w.note("over TLS: %s; a claimed call at %d entries ran once", &t, len(w.Entries))
-	return w.accepted(ctx, w.served)
+	return w.applyAndMeasure(ctx, w.tlsRounds)
 }
 
-// stranger is an entry whose certificate another authority signed, but which trusts the others'.
-type stranger struct {
+// untrustedEntry is an entry that trusts the fleet's authorities
+// and whose own certificate is signed by another one.
+type untrustedEntry struct {
 	entry *ferrydemo.Entry
 	keys  *ferrydemo.Keys
 	began time.Time
 }
 
-// startStranger starts it, with the others' addresses and shared key, and lists it as an entry.
-func (w *world) startStranger(ctx context.Context) (stranger, error) {
-	k, err := ferrydemo.NewKeys(w.authorities.stranger, w.authorities.stranger, w.authorities.old, w.authorities.next)
+// startUntrusted starts the untrusted entry with the fleet's
+// addresses and shared key, and lists it as an entry.
+func (w *harness) startUntrusted(ctx context.Context) (untrustedEntry, error) {
+	k, err := ferrydemo.NewKeys(w.authorities.untrusted, w.authorities.untrusted, w.authorities.old, w.authorities.next)
 	if err != nil {
-		return stranger{}, err
+		return untrustedEntry{}, err
 	}
 	good := w.Keys
 	if err := w.UseKeys(k); err != nil {
-		return stranger{}, err
+		return untrustedEntry{}, err
 	}
 	addresses, err := ferryprocess.FreeAddresses(2)
 	if err != nil {
-		return stranger{}, err
+		return untrustedEntry{}, err
 	}
-	e := &ferrydemo.Entry{Name: strangersName, Domain: w.Entries[0].Domain, Callers: addresses[0], Peers: addresses[1]}
+	e := &ferrydemo.Entry{Name: untrustedName, Domain: w.Entries[0].Domain, Callers: addresses[0], Peers: addresses[1]}
 	if err := w.StartEntry(ctx, e); err != nil {
-		return stranger{}, err
+		return untrustedEntry{}, err
 	}
-	return stranger{entry: e, keys: k, began: time.Now()}, w.UseKeys(good)
+	return untrustedEntry{entry: e, keys: k, began: time.Now()}, w.UseKeys(good)
 }
 
-// strangerOutside checks that the stranger reached nobody, and that nobody without a good certificate does.
-func (w *world) strangerOutside(ctx context.Context, s stranger) error {
+// checkUntrusted checks that the untrusted entry has no links,
+// and that no client without a trusted certificate is accepted.
+func (w *harness) checkUntrusted(ctx context.Context, s untrustedEntry) error {
 	good := w.Keys
 	if err := w.UseKeys(s.keys); err != nil {
 		return err
@@ -140,32 +146,33 @@
 		return err
 	}
 	if len(status.Peers) > 0 {
-		return fmt.Errorf("the stranger has links: %v", status.Peers)
+		return fmt.Errorf("the entry with an untrusted certificate has links: %v", status.Peers)
 	}
 	if out, err := w.Ctl(ctx, "status"); err == nil {
-		return fmt.Errorf("an operator with a stranger's certificate got in: %s", out)
+		return fmt.Errorf("an operator with an untrusted certificate was accepted: %s", out)
 	}
 	if err := w.UseKeys(good); err != nil {
 		return err
 	}
 	for _, e := range w.Entries {
-		if err := w.keptOut(ctx, e); err != nil {
+		if err := w.checkRejects(ctx, e); err != nil {
 			return err
 		}
 	}
-	w.note("a stranger's entry had no link after %s and no entry knew it; no operator without a good certificate got in", time.Since(s.began).Round(time.Second))
+	w.note("an entry with an untrusted certificate had no link after %s and was not a member; operators without a trusted certificate were rejected", time.Since(s.began).Round(time.Second))
 	return nil
 }
 
-// keptOut checks that an entry does not know the stranger and answers nobody without a certificate.
-func (w *world) keptOut(ctx context.Context, e *ferrydemo.Entry) error {
+// checkRejects checks that an entry does not list the untrusted
+// one as a member and rejects clients without a certificate.
+func (w *harness) checkRejects(ctx context.Context, e *ferrydemo.Entry) error {
 	s, err := w.Status(ctx, e)
 	if err != nil {
 		return err
 	}
 	for _, m := range s.Entries {
-		if m.Name == strangersName {
-			return fmt.Errorf("%s knows the stranger as %s", e.Name, m.Status)
+		if m.Name == untrustedName {
+			return fmt.Errorf("%s lists the untrusted entry as %s", e.Name, m.Status)
 		}
 	}
 	if len(s.Peers) != len(w.Entries)-1 {
@@ -173,29 +180,30 @@
 	}
 	var v any
 	if err := w.GetJSON(ctx, "http://"+e.Peers+"/admin/status", &v); err == nil {
-		return fmt.Errorf("%s answers operators without TLS", e.Name)
+		return fmt.Errorf("%s answered an operator's request without TLS", e.Name)
 	}
 	cfg, err := w.Keys.Config()
 	if err != nil {
 		return err
 	}
 	cfg.Certificates, cfg.GetClientCertificate = nil, nil
-	if _, err := presented(e.Peers, cfg); err == nil {
-		return fmt.Errorf("%s takes connections without a certificate", e.Name)
+	if _, err := dialTLS(e.Peers, cfg); err == nil {
+		return fmt.Errorf("%s accepted a connection without a client certificate", e.Name)
 	}
 	return nil
 }
 
-// presented connects and returns the certificate that the server shows, once the server has taken the client's.
-func presented(address string, cfg *tls.Config) (*x509.Certificate, error) {
+// dialTLS connects and returns the server's certificate once the server has accepted the client's.
+func dialTLS(address string, cfg *tls.Config) (*x509.Certificate, error) {
 	c, err := tls.Dial("tcp", address, cfg)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
 	cert := c.ConnectionState().PeerCertificates[0]
-	// A refusal of the client's certificate comes only after the handshake's client side is over.
-	if err := c.SetReadDeadline(time.Now().Add(retryPause)); err != nil {
+	// The server's rejection of the client certificate arrives
+	// only after the client side of the handshake is complete.
+	if err := c.SetReadDeadline(time.Now().Add(retryInterval)); err != nil {
 		return nil, err
 	}
 	_, err = c.Read(make([]byte, 1))
@@ -208,8 +216,9 @@
 	return nil, err
 }
 
-// renewKeys replaces the certificates by those of another authority and then takes the trust in the first away, without a restart.
-func (w *world) renewKeys(ctx context.Context) error {
+// rotateKeys replaces the certificates by ones of another authority
+// and then removes the first from the trusted ones, without a restart.
+func (w *harness) rotateKeys(ctx context.Context) error {
 	before, err := w.incarnations(ctx)
 	if err != nil {
 		return err
@@ -223,25 +232,25 @@
 		return err
 	}
 	if err := w.eachListener(ctx, func(address string) error {
-		cert, err := presented(address, old)
+		cert, err := dialTLS(address, old)
 		if err == nil && cert.Issuer.CommonName != "next" {
-			err = fmt.Errorf("%s still shows a certificate of %q", address, cert.Issuer.CommonName)
+			err = fmt.Errorf("%s still presents a certificate issued by %q", address, cert.Issuer.CommonName)
 		}
 		return err
 	}); err != nil {
 		return err
 	}
-	w.note("every listener showed the new certificate after %s", time.Since(began).Round(time.Millisecond))
+	w.note("every listener presented the new certificate after %s", time.Since(began).Round(time.Millisecond))
 	began = time.Now()
 	if err := w.Keys.Trust(w.authorities.next); err != nil {
 		return err
 	}
 	for _, e := range w.Entries {
-		if err := w.refuses(ctx, e, old); err != nil {
+		if err := w.waitRejects(ctx, e, old); err != nil {
 			return err
 		}
 	}
-	w.note("every peers' listener refused the old certificate after %s", time.Since(began).Round(time.Millisecond))
+	w.note("every peer listener rejected the old certificate after %s", time.Since(began).Round(time.Millisecond))
 	if err := w.UseKeys(w.Keys); err != nil {
 		return err
 	}
@@ -251,20 +260,20 @@
 	}
 	for i := range before {
 		if before[i] != after[i] {
-			return fmt.Errorf("%s was started again", w.Entries[i].Name)
+			return fmt.Errorf("%s was restarted during the key rotation", w.Entries[i].Name)
 		}
 	}
-	if err := w.replace(ctx, w.Entries[len(w.Entries)-1]); err != nil {
+	if err := w.restart(ctx, w.Entries[len(w.Entries)-1]); err != nil {
 		return err
 	}
-	if _, err := w.whole(ctx, joinLimit); err != nil {
+	if _, err := w.waitMembership(ctx, rejoinLimit); err != nil {
 		return err
 	}
-	return w.linked(ctx)
+	return w.waitLinked(ctx)
 }
 
-// linked waits until each entry has a link to every other one.
-func (w *world) linked(ctx context.Context) error {
+// waitLinked waits until each entry has a link to every other one.
+func (w *harness) waitLinked(ctx context.Context) error {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, linkLimit)
 	defer cancel()
@@ -277,27 +286,27 @@
 			return err
 		})
 		if err != nil {
-			return fmt.Errorf("not all links stand %s after the membership was whole: %w", linkLimit, err)
+			return fmt.Errorf("links incomplete %s after the membership was complete: %w", linkLimit, err)
 		}
 	}
-	w.note("all links stood %s after the membership was whole", time.Since(began).Round(time.Millisecond))
+	w.note("all links were open %s after the membership was complete", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-func (w *world) refuses(ctx context.Context, e *ferrydemo.Entry, old *tls.Config) error {
-	ctx, cancel := context.WithTimeout(ctx, renewLimit)
+func (w *harness) waitRejects(ctx context.Context, e *ferrydemo.Entry, old *tls.Config) error {
+	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
 	return ferryprocess.Poll(ctx, func(context.Context) error {
-		if _, err := presented(e.Peers, old); err == nil {
-			return fmt.Errorf("%s still takes the old certificate", e.Name)
+		if _, err := dialTLS(e.Peers, old); err == nil {
+			return fmt.Errorf("%s still accepts the old certificate", e.Name)
 		}
 		return nil
 	})
 }
 
-// eachListener waits until a check of both listeners of every entry passes.
-func (w *world) eachListener(ctx context.Context, check func(address string) error) error {
-	ctx, cancel := context.WithTimeout(ctx, renewLimit)
+// eachListener waits until the check passes for both listeners of every entry.
+func (w *harness) eachListener(ctx context.Context, check func(address string) error) error {
+	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
 	for _, e := range w.Entries {
 		for _, address := range []string{e.Callers, e.Peers} {
@@ -309,7 +318,7 @@
 	return nil
 }
 
-func (w *world) incarnations(ctx context.Context) ([]string, error) {
+func (w *harness) incarnations(ctx context.Context) ([]string, error) {
 	var out []string
 	for _, e := range w.Entries {
 		s, err := w.Status(ctx, e)
--- a/ferrystand/ferryproof/kinds.go
+++ b/ferrystand/ferryproof/kinds.go
@@ -23,34 +23,34 @@
 )
 
 const (
-	kindsLoad    = 9 * time.Second
-	kindsCallers = 12
-	// kindsTokens is more than the tokens from which a KV cache is moved and not rebuilt.
-	kindsTokens = 420
-	kindsFirst  = 1500 * time.Millisecond
-	kindsDown   = 1500 * time.Millisecond
-	// kindsCutAt is the token of each stream at which its last engine's links are cut.
-	kindsCutAt = 300
-	kindsAsk   = 200 * time.Millisecond
-	tokenAge   = time.Hour
+	kindsLoadTime = 9 * time.Second
+	kindsCallers  = 12
+	// kindsTokens exceeds the length from which a KV cache is moved instead of rebuilt.
+	kindsTokens     = 420
+	kindsFirstFault = 1500 * time.Millisecond
+	kindsDownTime   = 1500 * time.Millisecond
+	// kindsCutAt is the number of tokens of a stream after which its last engine's links are cut.
+	kindsCutAt          = 300
+	kindsRecordsTimeout = 200 * time.Millisecond
+	tokenMaxAge         = time.Hour
 )
 
 var kinds = Case{
-	Name:     "kinds",
-	Promise:  "every layer runs once for each token, in order, on engines of eight kinds",
-	Faults:   "rates and links that differ a hundredfold; of the busiest engines one killed and started again empty, one frozen and woken, one that forgets its streams; links cut under streams with 300 tokens",
-	size:     ferrydemo.Config{Engines: 16, Entries: 3, Kinds: true, EngineProxies: true},
-	journals: true,
-	run: func(ctx context.Context, w *world) error {
-		load, end := context.WithTimeout(ctx, kindsLoad)
+	Name:      "kinds",
+	Guarantee: "every layer runs once for each token, in order, on engines of eight kinds",
+	Faults:    "rates and link delays that differ by a factor of 100; of the busiest engines one killed and restarted empty, one frozen and resumed, one that loses its streams; links cut during streams with 300 tokens",
+	size:      ferrydemo.Config{Engines: 16, Entries: 3, Kinds: true, EngineProxies: true},
+	journals:  true,
+	run: func(ctx context.Context, w *harness) error {
+		load, end := context.WithTimeout(ctx, kindsLoadTime)
 		defer end()
 		var t tally
 		d, err := newDeliveries()
 		if err != nil {
 			return err
 		}
-		wg := w.noted(load, ctx, d, &t)
-		if err := w.strikeKinds(ctx); err != nil {
+		wg := w.startRecordedStreams(load, ctx, d, &t)
+		if err := w.injectEngineFaults(ctx); err != nil {
 			return err
 		}
 		wg.Wait()
@@ -58,25 +58,25 @@
 		if err := t.err(); err != nil {
 			return err
 		}
-		return w.checkDelivered(d)
+		return w.checkDeliveries(d)
 	},
 }
 
-// noted runs callers that ask for long completions and keep every event's id.
-func (w *world) noted(load, ctx context.Context, d *deliveries, t *tally) *sync.WaitGroup {
+// startRecordedStreams runs callers that request long completions and record the ID of every event.
+func (w *harness) startRecordedStreams(load, ctx context.Context, d *deliveries, t *tally) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range kindsCallers {
 		wg.Go(func() {
 			for n := 0; load.Err() == nil; n++ {
-				q := question{key: ferrydemo.CustomerKey, at: i + n, prompt: fmt.Sprintf("caller %d asks long question %d", i, n), tokens: kindsTokens}
+				q := completion{key: ferrydemo.CustomerKey, index: i + n, prompt: fmt.Sprintf("caller %d asks long question %d", i, n), tokens: kindsTokens}
 				var ids []string
-				q.each = func(p ferrydemo.Chunk) {
+				q.onChunk = func(p ferrydemo.Chunk) {
 					ids = append(ids, p.ID)
 					if len(ids) == kindsCutAt {
-						w.cutUnder(ctx, delivery{q, ids[len(ids)-1:]}, d.sealer)
+						w.cutLastEngine(ctx, delivery{q, ids[len(ids)-1:]}, d.sealer)
 					}
 				}
-				w.ask(ctx, q, t)
+				w.requestCompletion(ctx, q, t)
 				d.add(delivery{q, ids})
 			}
 		})
@@ -84,40 +84,40 @@
 	return &wg
 }
 
-// strikeKinds brings the faults about, each on the engine that runs the most streams then.
-func (w *world) strikeKinds(ctx context.Context) error {
-	struck := map[*ferrydemo.Engine]bool{}
-	time.Sleep(kindsFirst)
-	killed := w.busiest(ctx, struck)
+// injectEngineFaults injects the faults, each into the engine that currently runs the most streams.
+func (w *harness) injectEngineFaults(ctx context.Context) error {
+	faulted := map[*ferrydemo.Engine]bool{}
+	time.Sleep(kindsFirstFault)
+	killed := w.busiest(ctx, faulted)
 	killed.Process.Kill()
-	frozen := w.busiest(ctx, struck)
-	if err := w.freeze(frozen.Process, 2*kindsDown); err != nil {
+	frozen := w.busiest(ctx, faulted)
+	if err := w.freeze(frozen.Process, 2*kindsDownTime); err != nil {
 		return err
 	}
-	time.Sleep(kindsDown)
+	time.Sleep(kindsDownTime)
 	if err := w.StartEngine(ctx, killed); err != nil {
 		return err
 	}
-	emptied := w.busiest(ctx, struck)
+	emptied := w.busiest(ctx, faulted)
 	for _, on := range []bool{true, false} {
 		if err := w.PutJSON(ctx, "http://"+emptied.Address+"/admin/faults", map[string]any{"Empty": on}); err != nil {
 			return err
 		}
 	}
-	w.note("%s (%s) killed and started again, %s (%s) frozen, %s (%s) forgot its streams",
+	w.note("%s (%s) killed and restarted, %s (%s) frozen, %s (%s) lost its streams",
 		killed.Name, killed.Accelerator, frozen.Name, frozen.Accelerator, emptied.Name, emptied.Accelerator)
 	return nil
 }
 
-// cutUnder cuts the links of the engine that made the last token, whose KV cache stays where it is.
-func (w *world) cutUnder(ctx context.Context, d delivery, s *ferrystream.Sealer) {
+// cutLastEngine cuts the links of the engine that produced the stream's last token; its KV cache stays intact.
+func (w *harness) cutLastEngine(ctx context.Context, d delivery, s *ferrystream.Sealer) {
 	stream, tokens, err := d.tokens(s)
 	if err != nil {
 		return
 	}
 	for _, e := range w.Engines {
 		var records []ferrypipeline.Applied
-		short, cancel := context.WithTimeout(ctx, kindsAsk)
+		short, cancel := context.WithTimeout(ctx, kindsRecordsTimeout)
 		err := w.GetJSON(short, "http://"+e.Address+"/admin/records?stream="+string(stream), &records)
 		cancel()
 		if err != nil || len(records) == 0 {
@@ -132,12 +132,12 @@
 	}
 }
 
-// busiest is the engine not struck yet that runs the most streams; it counts as struck then.
-func (w *world) busiest(ctx context.Context, struck map[*ferrydemo.Engine]bool) *ferrydemo.Engine {
+// busiest returns the engine without a fault so far that runs the most streams, and adds it to faulted.
+func (w *harness) busiest(ctx context.Context, faulted map[*ferrydemo.Engine]bool) *ferrydemo.Engine {
 	var out *ferrydemo.Engine
 	most := -1
 	for _, e := range w.Engines {
-		if struck[e] {
+		if faulted[e] {
 			continue
 		}
 		var load struct{ RunningStreams int }
@@ -148,13 +148,13 @@
 			out, most = e, load.RunningStreams
 		}
 	}
-	struck[out] = true
+	faulted[out] = true
 	return out
 }
 
-// delivery is what one caller got: the ids of its stream's events.
+// delivery is one request with the event IDs that its caller received.
 type delivery struct {
-	question
+	completion
 	ids []string
 }
 
@@ -164,13 +164,13 @@
 	all    []delivery
 }
 
-// newDeliveries opens resume tokens with the fleet's own key.
+// newDeliveries returns an empty record that opens resume tokens with the fleet's seal key.
 func newDeliveries() (*deliveries, error) {
 	key, err := hex.DecodeString(ferrydemo.SealKey)
 	if err != nil {
 		return nil, err
 	}
-	s, err := ferrystream.NewSealer(ferrystream.SealerConfig{Keys: [][]byte{key}, MaxAge: tokenAge, Clock: clockwork.NewRealClock()})
+	s, err := ferrystream.NewSealer(ferrystream.SealerConfig{Keys: [][]byte{key}, MaxAge: tokenMaxAge, Clock: clockwork.NewRealClock()})
 	return &deliveries{sealer: s}, err
 }
 
@@ -180,9 +180,10 @@
 	d.all = append(d.all, one)
 }
 
-// tokens reads from the ids of a stream's events which epoch made each token.
+// tokens decodes the event IDs, which are resume tokens, to
+// the stream's ID and the position and epoch of each token.
 func (d delivery) tokens(s *ferrystream.Sealer) (ferryid.StreamID, []ferrypipeline.Token, error) {
-	digest := ferrystream.RequestDigest(d.prompt, d.question.tokens, uint64(d.at))
+	digest := ferrystream.RequestDigest(d.prompt, d.completion.tokens, uint64(d.index))
 	var stream ferryid.StreamID
 	var out []ferrypipeline.Token
 	for _, id := range d.ids {
@@ -196,8 +197,9 @@
 	return stream, out, nil
 }
 
-// checkDelivered holds every token that a caller got against all that all engines ever applied.
-func (w *world) checkDelivered(d *deliveries) error {
+// checkDeliveries checks every token that a caller received
+// against the layers that the engines recorded as applied.
+func (w *harness) checkDeliveries(d *deliveries) error {
 	records, total, err := w.readJournals()
 	if err != nil {
 		return err
@@ -210,20 +212,21 @@
 			return err
 		}
 		if len(delivered) != kindsTokens {
-			return fmt.Errorf("prompt %q: %d tokens have an id, not %d", one.prompt, len(delivered), kindsTokens)
+			return fmt.Errorf("prompt %q: got %d tokens with an event ID, expected %d", one.prompt, len(delivered), kindsTokens)
 		}
 		if err := c.Check(records[stream], delivered); err != nil {
 			return err
 		}
 		tokens += len(delivered)
 	}
-	w.note("%d streams, %d tokens, %d applications of a layer, each token's %d layers once and in order; %d wasted, %d to rebuild",
+	w.note("%d streams, %d tokens, %d layer applications, each token's %d layers once and in order; %d wasted, %d for rebuilding KV caches",
 		len(d.all), tokens, total, ferrydemo.Layers, c.Wasted, c.Prefill)
 	return w.countRecoveries(records)
 }
 
-// readJournals reads what every engine applied, also those that were killed.
-func (w *world) readJournals() (map[ferryid.StreamID][]ferrypipeline.Applied, int, error) {
+// readJournals returns the applied layers by stream from the journals
+// of all engines, including killed ones, and their number.
+func (w *harness) readJournals() (map[ferryid.StreamID][]ferrypipeline.Applied, int, error) {
 	out := map[ferryid.StreamID][]ferrypipeline.Applied{}
 	total := 0
 	for _, e := range w.Engines {
@@ -244,8 +247,9 @@
 	return out, total, nil
 }
 
-// countRecoveries counts the later epochs that went on from a moved KV cache and those that began with the history.
-func (w *world) countRecoveries(records map[ferryid.StreamID][]ferrypipeline.Applied) error {
+// countRecoveries counts the later epochs that continued from
+// a moved KV cache and those that rebuilt it from the history.
+func (w *harness) countRecoveries(records map[ferryid.StreamID][]ferrypipeline.Applied) error {
 	moved, rebuilt := 0, 0
 	for _, rs := range records {
 		first := map[ferryid.Epoch]ferryid.Position{}
@@ -265,7 +269,7 @@
 	}
 	w.note("recoveries: %d by moving the KV cache, %d by rebuilding it", moved, rebuilt)
 	if moved == 0 || rebuilt == 0 {
-		return fmt.Errorf("not both ways of recovery were seen, so nothing was proved of one")
+		return fmt.Errorf("inconclusive: only one of the two ways of recovery occurred")
 	}
 	return nil
 }
--- a/ferrystand/ferryproof/layers.go
+++ b/ferrystand/ferryproof/layers.go
@@ -16,11 +16,11 @@
 )
 
 var layers = Case{
-	Name:    "layers",
-	Promise: "every layer runs once for each token, in order",
-	Faults:  "an engine killed, one frozen and woken, one started again empty, under load",
-	size:    ferrydemo.Config{Engines: 8, Entries: 3},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "layers",
+	Guarantee: "every layer runs once for each token, in order",
+	Faults:    "one engine killed, one frozen and resumed, one restarted empty, under load",
+	size:      ferrydemo.Config{Engines: 8, Entries: 3},
+	run: func(ctx context.Context, w *harness) error {
 		load, end := context.WithTimeout(ctx, loadTime)
 		defer end()
 		var t tally
@@ -42,15 +42,16 @@
 		if err := t.err(); err != nil {
 			return err
 		}
-		if t.whole == 0 {
-			return fmt.Errorf("no answer was whole")
+		if t.complete == 0 {
+			return fmt.Errorf("inconclusive: no answer was complete")
 		}
 		return w.checkRecords(ctx)
 	},
 }
 
-// checkRecords reads what each engine applied: within one epoch of a stream no engine applies a layer twice at a position, and each goes up in order.
-func (w *world) checkRecords(ctx context.Context) error {
+// checkRecords checks the records of all engines: within one
+// epoch of a stream no layer is applied twice at a position.
+func (w *harness) checkRecords(ctx context.Context) error {
 	type record struct {
 		Stream   string
 		Epoch    int
@@ -81,6 +82,6 @@
 			total++
 		}
 	}
-	w.note("%d applications of a layer recorded, none twice in an epoch", total)
+	w.note("%d layer applications recorded, none twice in an epoch", total)
 	return nil
 }
--- a/ferrystand/ferryproof/leaving.go
+++ b/ferrystand/ferryproof/leaving.go
@@ -10,11 +10,11 @@
 )
 
 var leaving = Case{
-	Name:    "leaving",
-	Promise: "a leaving upstream gets nothing new after 5 s",
-	Faults:  "one engine marked by an operator, one by the instance list alone, with the platform down afterwards, under load",
-	size:    ferrydemo.Config{Engines: 8, Entries: 3},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "leaving",
+	Guarantee: "a leaving upstream receives no new work after 5 s",
+	Faults:    "one engine drained by an operator, one marked only in the instance list, the platform down afterwards, under load",
+	size:      ferrydemo.Config{Engines: 8, Entries: 3},
+	run: func(ctx context.Context, w *harness) error {
 		load, end := context.WithTimeout(ctx, 2*loadTime)
 		defer end()
 		var t tally
@@ -22,7 +22,7 @@
 		if _, err := w.Ctl(ctx, "drain", ferrydemo.ModelService, w.Engines[0].Name, "--operator", "morning"); err != nil {
 			return err
 		}
-		if err := w.markListed(ctx, w.Engines[1]); err != nil {
+		if err := w.listAsLeaving(ctx, w.Engines[1]); err != nil {
 			return err
 		}
 		time.Sleep(5 * time.Second)
@@ -31,7 +31,7 @@
 		}
 		before := [2]int{}
 		for i := range before {
-			n, err := w.streamsAt(ctx, w.Engines[i])
+			n, err := w.countStreams(ctx, w.Engines[i])
 			if err != nil {
 				return err
 			}
@@ -40,29 +40,30 @@
 		wg.Wait()
 		w.note("%s", &t)
 		for i := range before {
-			n, err := w.streamsAt(ctx, w.Engines[i])
+			n, err := w.countStreams(ctx, w.Engines[i])
 			if err != nil {
 				return err
 			}
-			w.note("%s: %d streams until 5 s after the mark, %d new ones in the %s after", w.Engines[i].Name, before[i], n-before[i], loadTime)
+			w.note("%s: %d streams until 5 s after it was marked as leaving, %d new ones in the next %s", w.Engines[i].Name, before[i], n-before[i], loadTime)
 			if n > before[i] {
-				return fmt.Errorf("%s got %d new streams more than 5 s after it was marked", w.Engines[i].Name, n-before[i])
+				return fmt.Errorf("%s received %d new streams more than 5 s after it was marked as leaving", w.Engines[i].Name, n-before[i])
 			}
 		}
 		return t.err()
 	},
 }
 
-// markListed changes an engine's row of the instance list, as the platform does when it takes an instance away.
-func (w *world) markListed(ctx context.Context, e *ferrydemo.Engine) error {
+// listAsLeaving marks an engine as leaving in the instance
+// list, as the platform does before it removes an instance.
+func (w *harness) listAsLeaving(ctx context.Context, e *ferrydemo.Engine) error {
 	return w.PutJSON(ctx, "http://"+w.Platform+"/admin/instances/"+e.Name, map[string]any{
 		"Name": e.Name, "Role": "Engine", "Service": ferrydemo.ModelService, "Address": e.Address,
 		"FailureDomain": e.Domain, "State": "Leaving", "Layers": e.Layers,
 	})
 }
 
-// streamsAt counts the streams and epochs that an engine has worked on.
-func (w *world) streamsAt(ctx context.Context, e *ferrydemo.Engine) (int, error) {
+// countStreams returns the number of distinct pairs of stream and epoch that an engine has run.
+func (w *harness) countStreams(ctx context.Context, e *ferrydemo.Engine) (int, error) {
 	var records []struct {
 		Stream string
 		Epoch  int
@@ -82,27 +83,27 @@
 }
 
 var leavingCut = Case{
-	Name:    "leaving-cut",
-	Promise: "a leaving upstream gets nothing new after 5 s at each entry that can hear of it",
-	Faults:  "half of the entries cut off from the other half when an operator marks an engine; then an engine that alone says that it leaves",
-	size:    ferrydemo.Config{Engines: 8, Entries: 6, PeerProxies: true},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "leaving-cut",
+	Guarantee: "a leaving upstream receives no new work after 5 s from any entry that can learn of it",
+	Faults:    "the entries partitioned into halves when an operator drains an engine; then an engine that announces its leaving only in its own answers",
+	size:      ferrydemo.Config{Engines: 8, Entries: 6, PeerProxies: true},
+	run: func(ctx context.Context, w *harness) error {
 		near, far := w.halves()
-		w.between(near, far, ferryproxy.Cut{})
+		w.setLinks(near, far, ferryproxy.Cut{})
 		began := time.Now()
-		if err := w.operatorMark(ctx, w.Engines[0], true); err != nil {
+		if err := w.setDrain(ctx, w.Engines[0], true); err != nil {
 			return err
 		}
-		if err := w.marked(ctx, near, w.Engines[0], true, leaveLimit); err != nil {
+		if err := w.waitLeaving(ctx, near, w.Engines[0], true, leaveLimit); err != nil {
 			return err
 		}
-		w.note("the mark was held by the %d entries of its half after %s", len(near), time.Since(began).Round(time.Millisecond))
-		if err := w.nothingNew(ctx, near, w.Engines[0], began); err != nil {
+		w.note("the drain was known to the %d entries of its half after %s", len(near), time.Since(began).Round(time.Millisecond))
+		if err := w.checkNoNewStreams(ctx, near, w.Engines[0], began); err != nil {
 			return err
 		}
 		unheard := 0
 		for _, e := range far {
-			held, err := w.holdsLeaving(ctx, e, w.Engines[0])
+			held, err := w.reportsLeaving(ctx, e, w.Engines[0])
 			if err != nil {
 				return err
 			}
@@ -110,46 +111,48 @@
 				unheard++
 			}
 		}
-		w.note("%d of the %d entries cut off could not hear of it", unheard, len(far))
-		w.join()
+		w.note("%d of the %d entries of the other half had not learned of it", unheard, len(far))
+		w.restoreLinks()
 		began = time.Now()
-		if err := w.marked(ctx, far, w.Engines[0], true, silenceReplaced); err != nil {
+		if err := w.waitLeaving(ctx, far, w.Engines[0], true, silentLinkLimit); err != nil {
 			return err
 		}
-		w.note("after the halves were joined all held it in %s", time.Since(began).Round(time.Millisecond))
-		return w.ownAnswer(ctx, w.Engines[1])
+		w.note("after the halves were rejoined all entries learned of it within %s", time.Since(began).Round(time.Millisecond))
+		return w.announceLeaving(ctx, w.Engines[1])
 	},
 }
 
-// nothingNew asks only the entries given and checks that the engine gets no new stream from 5 s after the mark.
-func (w *world) nothingNew(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, marked time.Time) error {
+// checkNoNewStreams sends load to the given entries only and checks
+// that the engine gets no new stream from 5 s after the mark.
+func (w *harness) checkNoNewStreams(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, marked time.Time) error {
 	load, end := context.WithTimeout(ctx, loadTime)
 	defer end()
 	var t tally
-	half := &world{Fleet: &ferrydemo.Fleet{Entries: entries}}
+	half := &harness{Fleet: &ferrydemo.Fleet{Entries: entries}}
 	wg := half.streams(load, ctx, loadCallers, loadTokens, &t)
 	time.Sleep(time.Until(marked.Add(leaveLimit)))
-	before, err := w.streamsAt(ctx, e)
+	before, err := w.countStreams(ctx, e)
 	if err != nil {
 		return err
 	}
 	wg.Wait()
-	after, err := w.streamsAt(ctx, e)
+	after, err := w.countStreams(ctx, e)
 	if err != nil {
 		return err
 	}
-	w.note("%s: %d streams until 5 s after the mark, %d new ones later; %s", e.Name, before, after-before, &t)
+	w.note("%s: %d streams until 5 s after it was marked as leaving, %d new ones later; %s", e.Name, before, after-before, &t)
 	if after > before {
-		return fmt.Errorf("%s got %d new streams more than 5 s after it was marked", e.Name, after-before)
+		return fmt.Errorf("%s received %d new streams more than 5 s after it was marked as leaving", e.Name, after-before)
 	}
-	if t.whole == 0 {
-		return fmt.Errorf("no answer was whole, so nothing was proved")
+	if t.complete == 0 {
+		return fmt.Errorf("inconclusive: no answer was complete")
 	}
 	return t.err()
 }
 
-// ownAnswer lets an engine say only in its own answers that it leaves, and waits until every entry knows.
-func (w *world) ownAnswer(ctx context.Context, e *ferrydemo.Engine) error {
+// announceLeaving makes an engine announce its leaving only in its
+// own answers, and waits until every entry has learned of it.
+func (w *harness) announceLeaving(ctx context.Context, e *ferrydemo.Engine) error {
 	if err := w.PutJSON(ctx, "http://"+e.Address+"/admin/faults", map[string]any{"Leaving": true}); err != nil {
 		return err
 	}
@@ -158,12 +161,12 @@
 	defer end()
 	var t tally
 	wg := w.streams(load, ctx, loadCallers, loadTokens, &t)
-	err := w.marked(ctx, w.Entries, e, true, leaveLimit)
+	err := w.waitLeaving(ctx, w.Entries, e, true, leaveLimit)
 	took := time.Since(began)
 	wg.Wait()
 	if err != nil {
 		return err
 	}
-	w.note("%s said itself that it leaves: held by all %d entries after %s; %s", e.Name, len(w.Entries), took.Round(time.Millisecond), &t)
+	w.note("%s announced its leaving in its answers: known to all %d entries after %s; %s", e.Name, len(w.Entries), took.Round(time.Millisecond), &t)
 	return t.err()
 }
--- a/ferrystand/ferryproof/load.go
+++ b/ferrystand/ferryproof/load.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	retryPause = 100 * time.Millisecond
-	// silenceLimit is how long a caller waits for the next piece of a stream.
-	silenceLimit = 5 * time.Second
-	// postLimit is how long a caller waits for the answer to a change.
-	postLimit = 10 * time.Second
+	retryInterval = 100 * time.Millisecond
+	// streamIdleTimeout is the longest time a caller waits for the next chunk of a stream.
+	streamIdleTimeout = 5 * time.Second
+	// postTimeout is the longest time a caller waits for the answer to a POST.
+	postTimeout = 10 * time.Second
 )
 
-// tally counts how the calls of a load ended.
+// tally counts the results of the calls of a load.
 type tally struct {
-	mu      sync.Mutex
-	whole   int
-	resumed int
-	refused int
-	// unreached counts calls to an entry that was gone, with nothing sent back; the caller then uses the next of its list.
+	mu       sync.Mutex
+	complete int
+	resumed  int
+	refused  int
+	// unreached counts calls that failed without any data from the
+	// entry; the caller then tries the next entry of its list.
 	unreached int
-	wrong     []string
-	why       map[string]int
+	failures  []string
+	reasons   map[string]int
 }
 
 func (t *tally) add(f func(*tally)) {
@@ -44,21 +45,22 @@
 func (t *tally) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return fmt.Sprintf("%d whole answers, %d resumes, %d refusals as NotRun %v, %d calls to an entry that was gone, %d wrong", t.whole, t.resumed, t.refused, t.why, t.unreached, len(t.wrong))
+	return fmt.Sprintf("%d complete answers, %d resumes, %d refusals as NotRun %v, %d calls to an unreachable entry, %d failures", t.complete, t.resumed, t.refused, t.reasons, t.unreached, len(t.failures))
 }
 
-// err is the first thing that was wrong, if any.
+// err returns the first failure, if any.
 func (t *tally) err() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.wrong) == 0 {
+	if len(t.failures) == 0 {
 		return nil
 	}
-	return errors.New(t.wrong[0])
+	return errors.New(t.failures[0])
 }
 
-// streams runs callers that ask for one completion after another until the context of the load ends; those begun are finished.
-func (w *world) streams(load, ctx context.Context, callers, tokens int, t *tally) *sync.WaitGroup {
+// streams starts callers that request one completion after another
+// until the load context ends; requests in progress are completed.
+func (w *harness) streams(load, ctx context.Context, callers, tokens int, t *tally) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -70,81 +72,82 @@
 	return &wg
 }
 
-// stream asks for one completion as the first customer and resumes it at the next entry until it is whole.
-func (w *world) stream(ctx context.Context, at int, prompt string, tokens int, t *tally) {
-	w.ask(ctx, question{key: ferrydemo.CustomerKey, at: at, prompt: prompt, tokens: tokens}, t)
+// stream requests one completion as the first customer and resumes it at the next entry until it is complete.
+func (w *harness) stream(ctx context.Context, at int, prompt string, tokens int, t *tally) {
+	w.requestCompletion(ctx, completion{key: ferrydemo.CustomerKey, index: at, prompt: prompt, tokens: tokens}, t)
 }
 
-// question is one completion that a customer asks for.
-type question struct {
+// completion is one completion request of a customer.
+type completion struct {
 	key    string
-	at     int
+	index  int
 	prompt string
 	tokens int
-	// first, if set, is the address of the first try.
-	first string
-	// each, if set, is told of every piece.
-	each func(ferrydemo.Chunk)
+	// firstAddress, if set, is the address used for the first attempt.
+	firstAddress string
+	// onChunk, if set, is called for every chunk.
+	onChunk func(ferrydemo.Chunk)
 }
 
-func (q question) body() string {
-	return ferrydemo.CompletionBody(q.prompt, q.tokens, uint64(q.at))
+func (q completion) body() string {
+	return ferrydemo.CompletionBody(q.prompt, q.tokens, uint64(q.index))
 }
 
-func (q question) want() string {
-	return strings.Join(ferryenginetest.Reference(uint64(q.at), q.prompt, q.tokens, ferrydemo.Layers), "")
+func (q completion) expectedText() string {
+	return strings.Join(ferryenginetest.Reference(uint64(q.index), q.prompt, q.tokens, ferrydemo.Layers), "")
 }
 
-// ask sends a question, resumes it at the next entry whenever its stream breaks or goes silent, and compares the text, as a careful caller does.
-func (w *world) ask(ctx context.Context, q question, t *tally) {
+// requestCompletion sends a request, resumes it at the next entry whenever its
+// stream breaks or goes silent, and compares the text with the expected one.
+func (w *harness) requestCompletion(ctx context.Context, q completion, t *tally) {
 	var text strings.Builder
 	last := ""
 	for try := 0; ctx.Err() == nil; try++ {
-		c := w.Caller(w.Entries[(q.at+try)%len(w.Entries)].Callers, q.key)
-		if try == 0 && q.first != "" {
-			c.Entry = q.first
+		c := w.Caller(w.Entries[(q.index+try)%len(w.Entries)].Callers, q.key)
+		if try == 0 && q.firstAddress != "" {
+			c.Entry = q.firstAddress
 		}
-		err := streamUntilSilent(ctx, c, q.body(), last, func(p ferrydemo.Chunk) {
+		err := streamWithIdleTimeout(ctx, c, q.body(), last, func(p ferrydemo.Chunk) {
 			text.WriteString(p.Text)
 			last = p.ID
-			if q.each != nil {
-				q.each(p)
+			if q.onChunk != nil {
+				q.onChunk(p)
 			}
 		})
 		if err == nil {
 			break
 		}
 		t.add(func(t *tally) { count(t, err, last) })
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 	if ctx.Err() != nil {
 		t.add(func(t *tally) {
-			t.wrong = append(t.wrong, fmt.Sprintf("prompt %q: no whole answer before the end of the case", q.prompt))
+			t.failures = append(t.failures, fmt.Sprintf("prompt %q: answer incomplete at the end of the case", q.prompt))
 		})
 		return
 	}
 	t.add(func(t *tally) {
-		if text.String() == q.want() {
-			t.whole++
+		if text.String() == q.expectedText() {
+			t.complete++
 			return
 		}
-		t.wrong = append(t.wrong, fmt.Sprintf("prompt %q: the text must be %q, is %q", q.prompt, q.want(), text.String()))
+		t.failures = append(t.failures, fmt.Sprintf("prompt %q: expected text %q, got %q", q.prompt, q.expectedText(), text.String()))
 	})
 }
 
-// streamUntilSilent gives a stream up that brings nothing for the silence limit.
-func streamUntilSilent(ctx context.Context, c ferrydemo.Caller, body, last string, each func(ferrydemo.Chunk)) error {
+// streamWithIdleTimeout reads a stream and cancels it when no chunk arrives within the idle timeout.
+func streamWithIdleTimeout(ctx context.Context, c ferrydemo.Caller, body, last string, each func(ferrydemo.Chunk)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(silenceLimit, cancel)
+	timer := time.AfterFunc(streamIdleTimeout, cancel)
 	defer timer.Stop()
 	return c.Stream(ctx, body, last, func(p ferrydemo.Chunk) {
-		timer.Reset(silenceLimit)
+		timer.Reset(streamIdleTimeout)
 		each(p)
 	})
 }
 
-// problemText is the kind and the sentence of a problem.
+// problemText returns the kind and the detail of a problem answer, or the body as it is.
 func problemText(body string) string {
 	var p ferryoutcome.Problem
 	if err := json.Unmarshal([]byte(body), &p); err != nil {
@@ -157,10 +160,10 @@
 	var s *ferrydemo.StatusError
 	if errors.As(err, &s) && s.Header.Get("Outcome") == "NotRun" {
 		t.refused++
-		if t.why == nil {
-			t.why = map[string]int{}
+		if t.reasons == nil {
+			t.reasons = map[string]int{}
 		}
-		t.why[problemText(s.Body)]++
+		t.reasons[problemText(s.Body)]++
 		return
 	}
 	if last != "" {
@@ -170,7 +173,7 @@
 	t.unreached++
 }
 
-// plainCall is one call to the plain service and what the caller was told.
+// plainCall is one call to the plain service and its answer.
 type plainCall struct {
 	key     string
 	status  int
@@ -180,8 +183,8 @@
 	err     error
 }
 
-// told is the outcome as the caller was told it.
-func (c plainCall) told() string {
+// reported returns the outcome as reported to the caller.
+func (c plainCall) reported() string {
 	switch {
 	case c.err != nil:
 		return "no answer"
@@ -193,19 +196,19 @@
 
 const ration = `{"Kilograms":2}`
 
-// post sends one change under a key to an entry.
-func (w *world) post(ctx context.Context, entry int, key string) plainCall {
+// post sends one ration change with an idempotency key to an entry.
+func (w *harness) post(ctx context.Context, entry int, key string) plainCall {
 	return w.send(ctx, entry, key, ration, http.Header{"Idempotency-Key": {key}})
 }
 
-// send sends one change with the headers to an entry.
-func (w *world) send(ctx context.Context, entry int, key, body string, header http.Header) plainCall {
+// send sends one ration change with the given headers to an entry.
+func (w *harness) send(ctx context.Context, entry int, key, body string, header http.Header) plainCall {
 	return w.sendTo(ctx, entry, "417", key, body, header)
 }
 
-// sendTo sends one change of a cow's ration to an entry and gives it up after the limit.
-func (w *world) sendTo(ctx context.Context, entry int, cow, key, body string, header http.Header) plainCall {
-	ctx, cancel := context.WithTimeout(ctx, postLimit)
+// sendTo sends a change of one cow's ration to an entry, with a time limit of postTimeout.
+func (w *harness) sendTo(ctx context.Context, entry int, cow, key, body string, header http.Header) plainCall {
+	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
 	c := w.Caller(w.Entries[entry%len(w.Entries)].Callers, ferrydemo.CustomerKey)
 	status, h, body, err := c.Do(ctx, http.MethodPost, "/v1/services/"+ferrydemo.PlainService+"/rations/"+cow, body, header)
@@ -219,8 +222,8 @@
 	return out
 }
 
-// runs counts how often the plain service ran each key.
-func (w *world) runs(ctx context.Context) (map[string]int, error) {
+// runs returns the number of runs of each key at the plain service.
+func (w *harness) runs(ctx context.Context) (map[string]int, error) {
 	var records []struct{ IdempotencyKey string }
 	if err := w.GetJSON(ctx, "http://"+w.Plain+"/admin/records", &records); err != nil {
 		return nil, err
--- a/ferrystand/ferryproof/marks.go
+++ b/ferrystand/ferryproof/marks.go
@@ -9,30 +9,31 @@
 	"cactusferry.dev/ferrystand/ferryprocess"
 )
 
-// leaveLimit is how soon after the first mark no entry that can hear of it gives an upstream new work.
+// leaveLimit is the time after the first mark from which no
+// entry that can learn of it gives the upstream new work.
 const leaveLimit = 5 * time.Second
 
-// marked waits until the entries hold an engine as leaving, or no longer as that.
-func (w *world) marked(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, leaving bool, limit time.Duration) error {
+// waitLeaving waits until the entries report an engine as leaving, or no longer as leaving.
+func (w *harness) waitLeaving(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, leaving bool, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for _, entry := range entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-			got, err := w.holdsLeaving(ctx, entry, e)
+			got, err := w.reportsLeaving(ctx, entry, e)
 			if err == nil && got != leaving {
-				err = fmt.Errorf("at %s engine %s is leaving: %t", entry.Name, e.Name, got)
+				err = fmt.Errorf("%s reports engine %s as leaving: %t", entry.Name, e.Name, got)
 			}
 			return err
 		})
 		if err != nil {
-			return fmt.Errorf("a mark was not heard in %s: %w", limit, err)
+			return fmt.Errorf("change of the leaving mark did not arrive within %s: %w", limit, err)
 		}
 	}
 	return nil
 }
 
-// holdsLeaving reports whether an entry holds an engine as leaving.
-func (w *world) holdsLeaving(ctx context.Context, entry *ferrydemo.Entry, e *ferrydemo.Engine) (bool, error) {
+// reportsLeaving reports whether an entry's status shows an engine as leaving.
+func (w *harness) reportsLeaving(ctx context.Context, entry *ferrydemo.Entry, e *ferrydemo.Engine) (bool, error) {
 	s, err := w.Status(ctx, entry)
 	if err != nil {
 		return false, err
@@ -44,11 +45,11 @@
 			}
 		}
 	}
-	return false, fmt.Errorf("%s does not know %s", entry.Name, e.Name)
+	return false, fmt.Errorf("status of %s does not list engine %s", entry.Name, e.Name)
 }
 
-// operatorMark marks an engine as leaving, or takes the mark back, at the first entry that answers.
-func (w *world) operatorMark(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
+// setDrain drains or undrains an engine with ferryctl, at the first entry that answers.
+func (w *harness) setDrain(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
 	command := "drain"
 	if !leaving {
 		command = "undrain"
--- a/ferrystand/ferryproof/notrun.go
+++ b/ferrystand/ferryproof/notrun.go
@@ -15,55 +15,56 @@
 	shortTimeout = "0.5"
 )
 
-// cutPoint is one place at which a dispatch is cut, what callers must be told there, and how often each call runs.
+// cutPoint is one point at which a dispatch is interrupted, with
+// the outcomes allowed there and the number of runs of each call.
 type cutPoint struct {
 	name string
-	set  func(ctx context.Context, w *world) error
-	// told lists the outcomes that are true and say all that can be known at this point.
-	told []string
-	runs int
-	// timeout is the caller's own limit in seconds, none if empty.
+	set  func(ctx context.Context, w *harness) error
+	// allowed lists the outcomes that are correct and as precise as possible at this point.
+	allowed []string
+	runs    int
+	// timeout is the value of the caller's Request-Timeout header, in seconds; none if empty.
 	timeout string
 }
 
-func plainFault(name string, value any) func(context.Context, *world) error {
-	return func(ctx context.Context, w *world) error {
+func plainFault(name string, value any) func(context.Context, *harness) error {
+	return func(ctx context.Context, w *harness) error {
 		return w.plainFaults(ctx, map[string]any{name: value})
 	}
 }
 
-func plainLink(f ferryproxy.Fault) func(context.Context, *world) error {
-	return func(_ context.Context, w *world) error {
+func plainLink(f ferryproxy.Fault) func(context.Context, *harness) error {
+	return func(_ context.Context, w *harness) error {
 		w.PlainProxy.SetAll(f)
 		return nil
 	}
 }
 
-func closePlainLink(_ context.Context, w *world) error {
+func closePlainLink(_ context.Context, w *harness) error {
 	w.PlainProxy.Close()
 	return nil
 }
 
 var cutPoints = []cutPoint{
-	{name: "no fault", set: plainLink(ferryproxy.Pass{}), told: []string{"Ran"}, runs: 1},
-	{name: "cut before the read", set: plainFault("CutBeforeRead", 1), told: []string{"Unknown"}},
-	{name: "cut after the run", set: plainFault("CutAfterRun", 1), told: []string{"Unknown"}, runs: 1},
-	{name: "cut in the answer's body", set: plainFault("CutInBody", 1), told: []string{"Ran"}, runs: 1},
-	{name: "silent after the run", set: plainFault("Silent", true), told: []string{"Unknown"}, runs: 1, timeout: shortTimeout},
-	{name: "silent connection", set: plainLink(ferryproxy.Silent{}), told: []string{"Unknown"}, timeout: shortTimeout},
-	// Whether the close is seen before the first byte is written is a race; both answers are then all that is known.
-	{name: "closed after accept", set: plainLink(ferryproxy.Cut{}), told: []string{"Unknown", "NotRun"}},
-	{name: "connection refused", set: closePlainLink, told: []string{"NotRun"}},
+	{name: "no fault", set: plainLink(ferryproxy.Pass{}), allowed: []string{"Ran"}, runs: 1},
+	{name: "cut before the read", set: plainFault("CutBeforeRead", 1), allowed: []string{"Unknown"}},
+	{name: "cut after the run", set: plainFault("CutAfterRun", 1), allowed: []string{"Unknown"}, runs: 1},
+	{name: "cut in the answer's body", set: plainFault("CutInBody", 1), allowed: []string{"Ran"}, runs: 1},
+	{name: "silent after the run", set: plainFault("Silent", true), allowed: []string{"Unknown"}, runs: 1, timeout: shortTimeout},
+	{name: "silent connection", set: plainLink(ferryproxy.Silent{}), allowed: []string{"Unknown"}, timeout: shortTimeout},
+	// The close may be detected before or after the first byte is written, so both outcomes are allowed.
+	{name: "closed after accept", set: plainLink(ferryproxy.Cut{}), allowed: []string{"Unknown", "NotRun"}},
+	{name: "connection refused", set: closePlainLink, allowed: []string{"NotRun"}},
 }
 
 var notRun = Case{
-	Name:    "notrun",
-	Promise: "a call answered NotRun was not run, and Unknown is answered only where nothing better is known",
-	Faults:  "each point at which a dispatch can be cut; the service leaving; its process killed",
-	size:    ferrydemo.Config{Engines: 2, Entries: 3, PlainProxy: true},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "notrun",
+	Guarantee: "a call answered NotRun did not run, and Unknown is answered only where the outcome cannot be determined",
+	Faults:    "each point at which a dispatch can be interrupted; the service leaving; its process killed",
+	size:      ferrydemo.Config{Engines: 2, Entries: 3, PlainProxy: true},
+	run: func(ctx context.Context, w *harness) error {
 		for _, c := range cutPoints {
-			if err := w.cut(ctx, c); err != nil {
+			if err := w.runCutPoint(ctx, c); err != nil {
 				return err
 			}
 		}
@@ -71,8 +72,8 @@
 	},
 }
 
-// cut makes calls that are all cut at one point and holds what was told against what ran.
-func (w *world) cut(ctx context.Context, c cutPoint) error {
+// runCutPoint sends calls that are all interrupted at one point and checks their outcomes against the runs.
+func (w *harness) runCutPoint(ctx context.Context, c cutPoint) error {
 	if err := w.plainFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
@@ -89,11 +90,11 @@
 		}
 		calls = append(calls, w.send(ctx, n, key, ration, h))
 	}
-	return w.compare(ctx, c, calls)
+	return w.checkCalls(ctx, c, calls)
 }
 
-// compare holds what callers were told at one cut point against what the plain service ran.
-func (w *world) compare(ctx context.Context, c cutPoint, calls []plainCall) error {
+// checkCalls checks the outcomes reported at one cut point against the runs recorded by the plain service.
+func (w *harness) checkCalls(ctx context.Context, c cutPoint, calls []plainCall) error {
 	runs, err := w.runs(ctx)
 	if err != nil {
 		return err
@@ -101,34 +102,34 @@
 	counts := map[string]int{}
 	ran := 0
 	for _, call := range calls {
-		counts[call.told()]++
+		counts[call.reported()]++
 		ran += runs[call.key]
-		if !slices.Contains(c.told, call.told()) {
-			return fmt.Errorf("%s: key %s must be answered %v, is %s (%d %s)", c.name, call.key, c.told, call.told(), call.status, call.detail)
+		if !slices.Contains(c.allowed, call.reported()) {
+			return fmt.Errorf("%s: key %s: expected one of the outcomes %v, got %s (%d %s)", c.name, call.key, c.allowed, call.reported(), call.status, call.detail)
 		}
 		if runs[call.key] != c.runs {
-			return fmt.Errorf("%s: key %s was answered %s and ran %d times, not %d", c.name, call.key, call.told(), runs[call.key], c.runs)
+			return fmt.Errorf("%s: key %s was answered %s and ran %d times, expected %d", c.name, call.key, call.reported(), runs[call.key], c.runs)
 		}
 	}
 	w.note("%-24s %2d calls: %2d NotRun, %2d Ran, %2d Unknown; %2d executions", c.name, len(calls), counts["NotRun"], counts["Ran"], counts["Unknown"], ran)
 	return nil
 }
 
-// leavingPlain lets the service refuse calls as leaving and then kills it.
-func (w *world) leavingPlain(ctx context.Context) error {
+// leavingPlain makes the plain service refuse calls as leaving, and then kills it.
+func (w *harness) leavingPlain(ctx context.Context) error {
 	proxy, err := ferryproxy.New(ferryproxy.Config{Listen: w.PlainProxy.Address(), Target: w.Plain})
 	if err != nil {
 		return err
 	}
 	w.PlainProxy = proxy
 	notRun := []string{"NotRun"}
-	if err := w.cut(ctx, cutPoint{name: "service leaving", set: plainFault("Leaving", true), told: notRun, timeout: shortTimeout}); err != nil {
+	if err := w.runCutPoint(ctx, cutPoint{name: "service leaving", set: plainFault("Leaving", true), allowed: notRun, timeout: shortTimeout}); err != nil {
 		return err
 	}
 	w.Plains.Kill()
 	dead := w.send(ctx, 0, "notrun-dead", ration, http.Header{"Idempotency-Key": {"notrun-dead"}, "Request-Timeout": {shortTimeout}})
-	if dead.told() != "NotRun" {
-		return fmt.Errorf("a call to a dead service must be NotRun, is %q", dead.told())
+	if dead.reported() != "NotRun" {
+		return fmt.Errorf("call to a killed service: expected outcome NotRun, got %q", dead.reported())
 	}
 	w.note("%-24s  1 call:   1 NotRun", "service killed")
 	return nil
--- a/ferrystand/ferryproof/once.go
+++ b/ferrystand/ferryproof/once.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	changes     = 40
-	killBursts  = 3
-	killWithin  = 60 * time.Millisecond
-	outageWait  = 30 * time.Millisecond
-	settleTime  = 20 * time.Second
-	outageLimit = 20 * time.Second
-	settlePause = 200 * time.Millisecond
+	burstKeys      = 40
+	killBursts     = 3
+	killWindow     = 60 * time.Millisecond
+	outageDelay    = 30 * time.Millisecond
+	settleTime     = 20 * time.Second
+	outageLimit    = 20 * time.Second
+	settleInterval = 200 * time.Millisecond
 )
 
-// ledger keeps what callers were told about each key.
-type ledger struct {
+// callLog records the answers that callers received for each key.
+type callLog struct {
 	mu    sync.Mutex
 	calls map[string][]plainCall
 }
 
-func (l *ledger) add(c plainCall) {
+func (l *callLog) add(c plainCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[c.key] = append(l.calls[c.key], c)
 }
 
-func newLedger() *ledger {
-	return &ledger{calls: map[string][]plainCall{}}
+func newCallLog() *callLog {
+	return &callLog{calls: map[string][]plainCall{}}
 }
 
 var atMostOnce = Case{
-	Name:    "once",
-	Promise: "a call that may not be repeated runs at most once",
-	Faults:  "the same key at all entries at once, entries killed, platform answers lost and late, platform down before, during and after, tickets of stopped and killed entries",
-	size:    ferrydemo.Config{Engines: 2, Entries: 3},
-	run: func(ctx context.Context, w *world) error {
-		l := newLedger()
+	Name:      "once",
+	Guarantee: "a non-idempotent call runs at most once",
+	Faults:    "the same key at all entries concurrently, entries killed, platform answers lost and late, platform down before, during and after calls, tickets of stopped and killed entries",
+	size:      ferrydemo.Config{Engines: 2, Entries: 3},
+	run: func(ctx context.Context, w *harness) error {
+		l := newCallLog()
 		w.burst(ctx, l, "plain")
 		if err := w.platformFaults(ctx, map[string]any{"LoseAnswers": 5, "LateEffectMS": 300}); err != nil {
 			return err
@@ -57,7 +57,7 @@
 		if err := w.outageBursts(ctx, l); err != nil {
 			return err
 		}
-		if err := w.otherBody(ctx); err != nil {
+		if err := w.reuseKey(ctx); err != nil {
 			return err
 		}
 		if err := w.tickets(ctx); err != nil {
@@ -67,10 +67,10 @@
 	},
 }
 
-// burst sends each of some keys to all entries at once.
-func (w *world) burst(ctx context.Context, l *ledger, name string) {
+// burst sends each of burstKeys keys to all entries concurrently.
+func (w *harness) burst(ctx context.Context, l *callLog, name string) {
 	var wg sync.WaitGroup
-	for n := range changes {
+	for n := range burstKeys {
 		for e := range w.Entries {
 			wg.Go(func() { l.add(w.post(ctx, e, fmt.Sprintf("%s-%d", name, n))) })
 		}
@@ -78,10 +78,10 @@
 	wg.Wait()
 }
 
-// killInBurst kills an entry at a random moment of a burst and starts another run of it.
-func (w *world) killInBurst(ctx context.Context, l *ledger, name string) error {
+// killInBurst kills an entry at a random time during a burst and restarts it.
+func (w *harness) killInBurst(ctx context.Context, l *callLog, name string) error {
 	e := w.Entries[w.rand.IntN(len(w.Entries))]
-	after := time.Duration(w.rand.Int64N(int64(killWithin)))
+	after := time.Duration(w.rand.Int64N(int64(killWindow)))
 	killed := make(chan struct{})
 	time.AfterFunc(after, func() {
 		e.Process.Kill()
@@ -93,8 +93,8 @@
 	return w.StartEntry(ctx, e)
 }
 
-// outageBursts takes the platform away before, during and after calls.
-func (w *world) outageBursts(ctx context.Context, l *ledger) error {
+// outageBursts sends bursts with a platform outage before, during and after the calls.
+func (w *harness) outageBursts(ctx context.Context, l *callLog) error {
 	if err := w.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 		return err
 	}
 	errs := make(chan error, 1)
-	time.AfterFunc(outageWait, func() { errs <- w.platformFaults(ctx, map[string]any{"Outage": true}) })
+	time.AfterFunc(outageDelay, func() { errs <- w.platformFaults(ctx, map[string]any{"Outage": true}) })
 	w.burst(ctx, l, "down-during")
 	if err := <-errs; err != nil {
 		return err
@@ -115,55 +115,56 @@
 	if err := w.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
 		return err
 	}
-	// A retry in the outage is answered from what entries know; it must not run anything anew.
+	// A retry during the outage is answered from the entries' own state and must not run a call again.
 	w.burst(ctx, l, "down-after")
 	return w.platformFaults(ctx, map[string]any{})
 }
 
-// pastOutage repeats a call while an entry still holds the platform for away, which it may for a while after an outage.
-func (w *world) pastOutage(ctx context.Context, call func() plainCall) (plainCall, error) {
+// retryPastOutage repeats a call while it is refused because the entry
+// still considers the platform down, as it may shortly after an outage.
+func (w *harness) retryPastOutage(ctx context.Context, call func() plainCall) (plainCall, error) {
 	ctx, cancel := context.WithTimeout(ctx, outageLimit)
 	defer cancel()
 	for {
 		c := call()
-		if c.status != http.StatusServiceUnavailable || c.told() != "NotRun" {
+		if c.status != http.StatusServiceUnavailable || c.reported() != "NotRun" {
 			return c, nil
 		}
 		select {
 		case <-ctx.Done():
-			return c, fmt.Errorf("still refused %s after the outage: %s", outageLimit, c.detail)
-		case <-time.After(retryPause):
+			return c, fmt.Errorf("call still refused %s after the outage: %s", outageLimit, c.detail)
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// otherBody reuses a key for another body, which must be refused.
-func (w *world) otherBody(ctx context.Context) error {
+// reuseKey sends a used key with another body, which must be refused.
+func (w *harness) reuseKey(ctx context.Context) error {
 	const key = "reused"
-	if _, err := w.untilTold(ctx, "Ran", func(n int) plainCall { return w.post(ctx, n, key) }); err != nil {
+	if _, err := w.retryUntil(ctx, "Ran", func(n int) plainCall { return w.post(ctx, n, key) }); err != nil {
 		return err
 	}
 	for e := range w.Entries {
-		c, err := w.pastOutage(ctx, func() plainCall {
+		c, err := w.retryPastOutage(ctx, func() plainCall {
 			return w.send(ctx, e, key, `{"Kilograms":9}`, http.Header{"Idempotency-Key": {key}})
 		})
 		if err != nil {
 			return err
 		}
-		if c.told() != "NotRun" || c.status != http.StatusUnprocessableEntity {
-			return fmt.Errorf("a key reused with another body must be refused, is %d %s %s", c.status, c.told(), c.detail)
+		if c.reported() != "NotRun" || c.status != http.StatusUnprocessableEntity {
+			return fmt.Errorf("key reused with another body: expected 422 and NotRun, got %d %s %s", c.status, c.reported(), c.detail)
 		}
 	}
 	runs, err := w.runs(ctx)
 	if err == nil && runs[key] != 1 {
-		err = fmt.Errorf("key %s ran %d times", key, runs[key])
+		err = fmt.Errorf("key %s ran %d times, expected 1", key, runs[key])
 	}
 	w.note("a key reused with another body: refused at %d entries", len(w.Entries))
 	return err
 }
 
-// ticket asks an entry for a ticket.
-func (w *world) ticket(ctx context.Context, e *ferrydemo.Entry) (string, error) {
+// ticket requests a ticket for the plain service from an entry.
+func (w *harness) ticket(ctx context.Context, e *ferrydemo.Entry) (string, error) {
 	c := ferrydemo.Caller{Entry: e.Callers, Key: ferrydemo.CustomerKey}
 	status, _, body, err := c.Do(ctx, http.MethodPost, "/v1/tickets?service="+ferrydemo.PlainService, "", nil)
 	if err != nil {
@@ -171,13 +172,13 @@
 	}
 	var t struct{ Ticket string }
 	if err := json.Unmarshal([]byte(body), &t); err != nil || t.Ticket == "" {
-		return "", fmt.Errorf("ticket: status %d: %s", status, body)
+		return "", fmt.Errorf("request a ticket: expected a ticket, got status %d: %s", status, body)
 	}
 	return t.Ticket, nil
 }
 
-// tickets uses tickets of an entry that was stopped as planned and of one that was killed.
-func (w *world) tickets(ctx context.Context) error {
+// tickets uses tickets issued by an entry that then had a planned stop, and by one that was killed.
+func (w *harness) tickets(ctx context.Context) error {
 	for _, tt := range []struct {
 		name string
 		stop func(e *ferrydemo.Entry) error
@@ -197,18 +198,18 @@
 		}
 		key := "ticket-of-" + tt.name
 		header := http.Header{"Ticket": {t}}
-		c, err := w.untilTold(ctx, tt.told, func(n int) plainCall { return w.sendTo(ctx, 1+n%2, key, key, ration, header) })
+		c, err := w.retryUntil(ctx, tt.told, func(n int) plainCall { return w.sendTo(ctx, 1+n%2, key, key, ration, header) })
 		if err != nil {
-			return fmt.Errorf("a ticket of a %s entry: %w", tt.name, err)
+			return fmt.Errorf("ticket of a %s entry: %w", tt.name, err)
 		}
 		again := w.sendTo(ctx, 2, key, key, ration, header)
 		runs, err := w.runsOf(ctx, key)
 		if err != nil {
 			return err
 		}
-		w.note("a ticket of a %s entry: %s, again %s, %d executions", tt.name, c.told(), again.told(), runs)
+		w.note("a ticket of a %s entry: %s, on a retry %s, %d executions", tt.name, c.reported(), again.reported(), runs)
 		if runs != tt.runs {
-			return fmt.Errorf("a ticket of a %s entry ran %d times, not %d", tt.name, runs, tt.runs)
+			return fmt.Errorf("ticket of a %s entry ran %d times, expected %d", tt.name, runs, tt.runs)
 		}
 		if err := w.StartEntry(ctx, e); err != nil {
 			return err
@@ -217,22 +218,22 @@
 	return nil
 }
 
-// untilTold repeats a call until its outcome is the one wanted.
-func (w *world) untilTold(ctx context.Context, want string, call func(n int) plainCall) (plainCall, error) {
+// retryUntil repeats a call until it reports the expected outcome.
+func (w *harness) retryUntil(ctx context.Context, want string, call func(n int) plainCall) (plainCall, error) {
 	var c plainCall
 	limit := time.Now().Add(settleTime)
 	for n := 0; time.Now().Before(limit) && ctx.Err() == nil; n++ {
 		c = call(n)
-		if c.told() == want {
+		if c.reported() == want {
 			return c, nil
 		}
-		time.Sleep(settlePause)
+		time.Sleep(settleInterval)
 	}
-	return c, fmt.Errorf("must be %s, is %s: %d %s %v", want, c.told(), c.status, c.detail, c.err)
+	return c, fmt.Errorf("expected outcome %s, got %s: %d %s %v", want, c.reported(), c.status, c.detail, c.err)
 }
 
-// runsOf counts the executions for one cow.
-func (w *world) runsOf(ctx context.Context, cow string) (int, error) {
+// runsOf returns the number of runs for one cow's ration.
+func (w *harness) runsOf(ctx context.Context, cow string) (int, error) {
 	var records []struct{ Path string }
 	if err := w.GetJSON(ctx, "http://"+w.Plain+"/admin/records", &records); err != nil {
 		return 0, err
@@ -246,9 +247,10 @@
 	return n, nil
 }
 
-// settle repeats every key until it is known to have run or will never be known, and compares all that was told with what ran.
-func (w *world) settle(ctx context.Context, l *ledger) error {
-	first, err := w.judge(ctx, l)
+// settle retries every key until its outcome is final, Ran or Unknown,
+// and checks all reported outcomes against the recorded runs.
+func (w *harness) settle(ctx context.Context, l *callLog) error {
+	first, err := w.checkOutcomes(ctx, l)
 	if err != nil {
 		return err
 	}
@@ -266,35 +268,35 @@
 			defer mu.Unlock()
 			ends[end]++
 		})
-		if n%changes == 0 {
+		if n%burstKeys == 0 {
 			wg.Wait()
 		}
 	}
 	wg.Wait()
-	if _, err := w.judge(ctx, l); err != nil {
+	if _, err := w.checkOutcomes(ctx, l); err != nil {
 		return err
 	}
-	w.note("after retries: %d keys ran, %d refused as NotRun, %d Unknown, %d unsettled; none ran twice", ends["Ran"], ends["NotRun"], ends["Unknown"], ends["no answer"])
+	w.note("after retries: %d keys ran, %d refused as NotRun, %d Unknown, %d without a final outcome; none ran twice", ends["Ran"], ends["NotRun"], ends["Unknown"], ends["no answer"])
 	return nil
 }
 
-func (w *world) settleKey(ctx context.Context, l *ledger, at int, key string) string {
+func (w *harness) settleKey(ctx context.Context, l *callLog, at int, key string) string {
 	last := plainCall{}
 	limit := time.Now().Add(settleTime)
 	for n := at; time.Now().Before(limit) && ctx.Err() == nil; n++ {
 		last = w.post(ctx, n, key)
 		l.add(last)
-		inProgress := last.told() == "Unknown" && last.status == http.StatusConflict
-		if last.told() == "Ran" || (last.told() == "Unknown" && !inProgress) {
+		inProgress := last.reported() == "Unknown" && last.status == http.StatusConflict
+		if last.reported() == "Ran" || (last.reported() == "Unknown" && !inProgress) {
 			break
 		}
-		time.Sleep(settlePause)
+		time.Sleep(settleInterval)
 	}
-	return last.told()
+	return last.reported()
 }
 
-// judge compares all that was told about each key with what ran.
-func (w *world) judge(ctx context.Context, l *ledger) (map[string]int, error) {
+// checkOutcomes checks all outcomes reported for each key against the recorded runs, and counts them.
+func (w *harness) checkOutcomes(ctx context.Context, l *callLog) (map[string]int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runs, err := w.runs(ctx)
@@ -305,8 +307,8 @@
 	for key, calls := range l.calls {
 		ran, notRun := 0, 0
 		for _, c := range calls {
-			counts[c.told()]++
-			switch c.told() {
+			counts[c.reported()]++
+			switch c.reported() {
 			case "Ran":
 				ran++
 			case "NotRun":
@@ -315,12 +317,13 @@
 		}
 		switch {
 		case runs[key] > 1:
-			return nil, fmt.Errorf("key %s ran %d times", key, runs[key])
+			return nil, fmt.Errorf("key %s ran %d times, expected at most 1", key, runs[key])
 		case ran > 0 && runs[key] == 0:
-			return nil, fmt.Errorf("key %s was answered Ran and did not run", key)
+			return nil, fmt.Errorf("key %s was answered Ran but has no recorded run", key)
 		case notRun == len(calls) && runs[key] > 0:
-			// A single NotRun may be followed by another call's run; all of them may not.
-			return nil, fmt.Errorf("key %s was answered NotRun by every entry and ran", key)
+			// After a NotRun answer another call with the key may
+			// still run, unless all calls were answered NotRun.
+			return nil, fmt.Errorf("key %s was answered NotRun on every call but ran", key)
 		}
 	}
 	return counts, nil
--- a/ferrystand/ferryproof/order.go
+++ b/ferrystand/ferryproof/order.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	orderLimit  = 40 * time.Second
-	frozenFor   = 16 * time.Second
-	wokenFor    = 5 * time.Second
-	leaseObject = "/v1/objects/leases/orders-" + ferrydemo.ModelService
+	orderLimit        = 40 * time.Second
+	holderFreezeTime  = 16 * time.Second
+	holderResumedTime = 5 * time.Second
+	leaseObject       = "/v1/objects/leases/orders-" + ferrydemo.ModelService
 )
 
 var orders = Case{
-	Name:    "orders",
-	Promise: "no engine ends in a state that the current document does not ask for",
-	Faults:  "the lease's holder frozen past its lease, its successor acts on a newer document, the old holder woken; one engine ignores fencing numbers",
-	size:    ferrydemo.Config{Engines: 4, Entries: 3},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "orders",
+	Guarantee: "no engine ends in a state other than that of the current document",
+	Faults:    "the lease holder frozen past the end of its lease, its successor acts on a newer document, the old holder resumed; one engine ignores fencing numbers",
+	size:      ferrydemo.Config{Engines: 4, Entries: 3},
+	run: func(ctx context.Context, w *harness) error {
 		err := w.PutJSON(ctx, "http://"+w.Engines[0].Address+"/admin/faults", map[string]any{"IgnoreFencing": true})
 		if err != nil {
 			return err
 		}
-		if err := w.ordered(ctx, "1"); err != nil {
+		if err := w.waitVersion(ctx, "1"); err != nil {
 			return err
 		}
-		holder, err := w.holder(ctx)
+		holder, err := w.leaseHolder(ctx)
 		if err != nil {
 			return err
 		}
-		w.note("%s holds the lease; it is frozen", holder.Name)
+		w.note("%s holds the lease and is frozen", holder.Name)
 		if err := holder.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -43,23 +43,23 @@
 		if err := w.applyVersion(ctx, holder, "2"); err != nil {
 			return err
 		}
-		if err := w.ordered(ctx, "2"); err != nil {
+		if err := w.waitVersion(ctx, "2"); err != nil {
 			return err
 		}
-		if rest := frozenFor - time.Since(frozen); rest > 0 {
+		if rest := holderFreezeTime - time.Since(frozen); rest > 0 {
 			time.Sleep(rest)
 		}
 		if err := holder.Process.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
-		w.note("%s woken", holder.Name)
-		time.Sleep(wokenFor)
-		return w.ordered(ctx, "2")
+		w.note("%s resumed", holder.Name)
+		time.Sleep(holderResumedTime)
+		return w.waitVersion(ctx, "2")
 	},
 }
 
-// holder finds the entry whose incarnation the lease's object names.
-func (w *world) holder(ctx context.Context) (*ferrydemo.Entry, error) {
+// leaseHolder returns the entry whose incarnation is the holder in the lease object.
+func (w *harness) leaseHolder(ctx context.Context) (*ferrydemo.Entry, error) {
 	var record struct{ Holder string }
 	if err := w.GetJSON(ctx, "http://"+w.Platform+leaseObject, &record); err != nil {
 		return nil, err
@@ -70,11 +70,11 @@
 			return e, nil
 		}
 	}
-	return nil, fmt.Errorf("no entry holds the lease; its object names %q", record.Holder)
+	return nil, fmt.Errorf("no running entry has the incarnation of the lease holder %q", record.Holder)
 }
 
-// applyVersion asks for another version of the model, through an entry that is not frozen.
-func (w *world) applyVersion(ctx context.Context, frozen *ferrydemo.Entry, version string) error {
+// applyVersion applies a document with another model version, through an entry that is not frozen.
+func (w *harness) applyVersion(ctx context.Context, frozen *ferrydemo.Entry, version string) error {
 	text := strings.Replace(w.ModelDocument(128), `Version = "1"`, fmt.Sprintf("Version = %q", version), 1)
 	all := w.Entries
 	defer func() { w.Entries = all }()
@@ -87,8 +87,8 @@
 	return w.apply(ctx, ferrydemo.ModelService, text, 1, "afternoon")
 }
 
-// ordered waits until every engine has the version loaded.
-func (w *world) ordered(ctx context.Context, version string) error {
+// waitVersion waits until every engine has loaded the version.
+func (w *harness) waitVersion(ctx context.Context, version string) error {
 	ctx, cancel := context.WithTimeout(ctx, orderLimit)
 	defer cancel()
 	began := time.Now()
@@ -99,7 +99,7 @@
 				return err
 			}
 			if load.Version != version {
-				return fmt.Errorf("%s has version %q and not %q", e.Name, load.Version, version)
+				return fmt.Errorf("%s has version %q loaded, expected %q", e.Name, load.Version, version)
 			}
 			return nil
 		})
@@ -107,6 +107,6 @@
 			return err
 		}
 	}
-	w.note("all %d engines have version %s after %s", len(w.Engines), version, time.Since(began).Round(time.Millisecond))
+	w.note("all %d engines have loaded version %s after %s", len(w.Engines), version, time.Since(began).Round(time.Millisecond))
 	return nil
 }
--- a/ferrystand/ferryproof/proof.go
+++ b/ferrystand/ferryproof/proof.go
@@ -17,27 +17,27 @@
 
 const caseTimeout = 90 * time.Second
 
-// Case is one promise and the failures it is proved under.
+// Case is one guarantee and the faults under which it is checked.
 type Case struct {
 	Name string
-	// Promise is what must hold.
-	Promise string
-	// Faults is what is brought about.
+	// Promise describes the property that must hold.
+	Guarantee string
+	// Faults describes the injected faults.
 	Faults string
-	run    func(ctx context.Context, w *world) error
+	run    func(ctx context.Context, w *harness) error
 	size   ferrydemo.Config
-	// journals says that engines write their steps to files, which outlive them.
+	// journals makes engines write their steps to files that remain readable after a kill.
 	journals bool
-	// prepare, if set, runs before anything is started.
-	prepare func(w *world) error
+	// prepare, if set, runs before any process is started.
+	prepare func(w *harness) error
 }
 
-// Cases are all cases, in the order of the brief's promises.
+// Cases are all cases, in the order of the guarantees in the requirements.
 var Cases = []Case{
-	layers, kinds, wholeAnswers, notRun, atMostOnce, claims, leaving, leavingCut, plannedStops, staleAnswers, configuration, partition, silence, orders, keys, together,
+	layers, kinds, completeAnswers, notRun, atMostOnce, claims, leaving, leavingCut, plannedStops, staleAnswers, configuration, partition, silence, orders, keys, together,
 }
 
-// Report says how one case went.
+// Report is the result of one case.
 type Report struct {
 	Case  Case
 	Took  time.Duration
@@ -45,35 +45,35 @@
 	Err   error
 }
 
-// world is what one case works with.
-type world struct {
+// harness is the fleet and the state of one case.
+type harness struct {
 	*ferrydemo.Fleet
 	out   io.Writer
 	rand  *rand.Rand
 	dir   string
 	notes []string
-	// authorities and served belong to the case with TLS.
+	// authorities and served are used by the TLS case only.
 	authorities authorities
-	served      int
+	tlsRounds   int
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *harness) note(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	w.notes = append(w.notes, line)
 	fmt.Fprintln(w.out, "   ", line)
 }
 
-// Run runs one case with a fleet of its own.
+// Run runs one case with a new fleet, with the programs of the given directory.
 func (c Case) Run(ctx context.Context, out io.Writer, programs string, seed uint64) Report {
 	ctx, cancel := context.WithTimeout(ctx, caseTimeout)
 	defer cancel()
 	began := time.Now()
-	w := &world{out: out, rand: rand.New(rand.NewPCG(seed, 0))}
-	err := c.with(ctx, w, programs)
+	w := &harness{out: out, rand: rand.New(rand.NewPCG(seed, 0))}
+	err := c.runWithFleet(ctx, w, programs)
 	return Report{Case: c, Took: time.Since(began), Notes: w.notes, Err: err}
 }
 
-func (c Case) with(ctx context.Context, w *world, programs string) (err error) {
+func (c Case) runWithFleet(ctx context.Context, w *harness, programs string) (err error) {
 	size := c.size
 	size.Dir = programs
 	w.Fleet, err = ferrydemo.New(size)
@@ -94,14 +94,14 @@
 			return err
 		}
 	}
-	if err := w.begin(ctx); err != nil {
+	if err := w.startFleet(ctx); err != nil {
 		return err
 	}
 	return c.run(ctx, w)
 }
 
-// begin starts everything and accepts both documents.
-func (w *world) begin(ctx context.Context) error {
+// startFleet starts all processes, applies both documents and waits until they are in force.
+func (w *harness) startFleet(ctx context.Context) error {
 	if err := w.StartUpstreams(ctx); err != nil {
 		return err
 	}
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// apply sends a document with ferryctl.
-func (w *world) apply(ctx context.Context, service, text string, base int, operator string) error {
+// apply applies a document with ferryctl.
+func (w *harness) apply(ctx context.Context, service, text string, base int, operator string) error {
 	file := filepath.Join(w.dir, fmt.Sprintf("%s-%s-%d.toml", service, operator, base))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
@@ -137,12 +137,12 @@
 	return merry.Prepend(err, strings.TrimSpace(out))
 }
 
-// platformFaults sets the platform's switches.
-func (w *world) platformFaults(ctx context.Context, faults map[string]any) error {
+// platformFaults sets the platform stand-in's faults.
+func (w *harness) platformFaults(ctx context.Context, faults map[string]any) error {
 	return w.PutJSON(ctx, "http://"+w.Platform+"/admin/faults", faults)
 }
 
-// plainFaults sets the plain service's switches.
-func (w *world) plainFaults(ctx context.Context, faults map[string]any) error {
+// plainFaults sets the plain service's faults.
+func (w *harness) plainFaults(ctx context.Context, faults map[string]any) error {
 	return w.PutJSON(ctx, "http://"+w.Plain+"/admin/faults", faults)
 }
--- a/ferrystand/ferryproof/silence.go
+++ b/ferrystand/ferryproof/silence.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// silenceReplaced is how soon links gone silent are replaced: 4 s until they are noticed, and the time to dial.
-	silenceReplaced = 8 * time.Second
+	// silentLinkLimit bounds the time until silent links are replaced:
+	// 4 s until they are detected, plus the time to dial.
+	silentLinkLimit = 8 * time.Second
 	silenceRounds   = 3
-	// silentClosedLimit is how soon both ends have closed a silent connection.
+	// silentClosedLimit bounds the time until both ends have closed a silent connection.
 	silentClosedLimit = 10 * time.Second
 )
 
 var silence = Case{
-	Name:    "silence",
-	Promise: "links gone silent for good are replaced, and accepted configuration still reaches every entry",
-	Faults:  "every open link between seven entries silent for good, three times, while new connections work",
-	size:    ferrydemo.Config{Engines: 2, Entries: 7, PeerProxies: true},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "silence",
+	Guarantee: "permanently silent links are replaced, and accepted configuration still reaches every entry",
+	Faults:    "every open link between seven entries permanently silent, three times, while new connections work",
+	size:      ferrydemo.Config{Engines: 2, Entries: 7, PeerProxies: true},
+	run: func(ctx context.Context, w *harness) error {
 		for n := range silenceRounds {
 			links := 0
 			for _, e := range w.Entries {
 				links += e.Proxy.Silence()
 			}
 			if links < len(w.Entries)-1 {
-				return fmt.Errorf("only %d connections were open, so nothing was proved", links)
+				return fmt.Errorf("inconclusive: only %d connections were open", links)
 			}
 			if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(100+n), n+1, "morning"); err != nil {
 				return err
 			}
-			took, err := w.inForceAt(ctx, w.Entries, n+2, inForceLimit)
+			took, err := w.waitGeneration(ctx, w.Entries, n+2, inForceLimit)
 			if err != nil {
 				return err
 			}
 			mark := time.Now()
-			if err := w.drainSeen(ctx, w.Engines[n%2], n < 2); err != nil {
+			if err := w.drainAndWait(ctx, w.Engines[n%2], n < 2); err != nil {
 				return err
 			}
-			w.note("%d links silent: a document in force everywhere after %s, an operator's mark after %s", links, took.Round(time.Millisecond), time.Since(mark).Round(time.Millisecond))
-			whole, err := w.whole(ctx, silenceReplaced)
+			w.note("%d links silent: a document in force everywhere after %s, an operator's drain after %s", links, took.Round(time.Millisecond), time.Since(mark).Round(time.Millisecond))
+			whole, err := w.waitMembership(ctx, silentLinkLimit)
 			if err != nil {
 				return err
 			}
-			w.note("membership whole %s later", whole.Round(time.Millisecond))
-			if err := w.silentClosed(ctx); err != nil {
+			w.note("membership complete %s later", whole.Round(time.Millisecond))
+			if err := w.waitSilentClosed(ctx); err != nil {
 				return err
 			}
 		}
@@ -56,8 +57,8 @@
 	},
 }
 
-// silentClosed waits until no end holds a silent connection open any more.
-func (w *world) silentClosed(ctx context.Context) error {
+// waitSilentClosed waits until both ends have closed every silent connection.
+func (w *harness) waitSilentClosed(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, silentClosedLimit)
 	defer cancel()
 	began := time.Now()
@@ -67,18 +68,19 @@
 			n += e.Proxy.Silenced()
 		}
 		if n > 0 {
-			return fmt.Errorf("%d silent connections are still held open after %s", n, silentClosedLimit)
+			return fmt.Errorf("%d silent connections still open after %s", n, silentClosedLimit)
 		}
 		return nil
 	})
-	w.note("every silent connection closed by both ends %s later", time.Since(began).Round(time.Millisecond))
+	w.note("all silent connections closed by both ends %s later", time.Since(began).Round(time.Millisecond))
 	return err
 }
 
-// drainSeen marks an engine at one entry, or takes the mark back, and waits until the others have heard it, which only links can bring.
-func (w *world) drainSeen(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
-	if err := w.operatorMark(ctx, e, leaving); err != nil {
+// drainAndWait drains or undrains an engine at one entry and waits
+// until the others have learned of it, which only links can carry.
+func (w *harness) drainAndWait(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
+	if err := w.setDrain(ctx, e, leaving); err != nil {
 		return err
 	}
-	return w.marked(ctx, w.Entries, e, leaving, silenceReplaced)
+	return w.waitLeaving(ctx, w.Entries, e, leaving, silentLinkLimit)
 }
--- a/ferrystand/ferryproof/stops.go
+++ b/ferrystand/ferryproof/stops.go
@@ -8,31 +8,31 @@
 	"cactusferry.dev/ferrystand/ferrydemo"
 )
 
-// stragglerTokens make a stream that runs for some seconds.
+// stragglerTokens gives a stream that runs for several seconds.
 const stragglerTokens = 6000
 
 var plannedStops = Case{
-	Name:    "stops",
-	Promise: "a planned stop cuts off no request",
-	Faults:  "each of nine entries stopped and replaced under load, then the three of one failure domain at once; stops of an entry with a long stream open, the second while the platform is down",
-	size:    ferrydemo.Config{Engines: 6, Entries: 9},
-	run: func(ctx context.Context, w *world) error {
+	Name:      "stops",
+	Guarantee: "a planned stop interrupts no request",
+	Faults:    "each of nine entries stopped and restarted under load, then the three of one failure domain concurrently; stops of an entry with a long stream open, the second while the platform is down",
+	size:      ferrydemo.Config{Engines: 6, Entries: 9},
+	run: func(ctx context.Context, w *harness) error {
 		load, end := context.WithCancel(ctx)
 		defer end()
 		var t tally
 		wg := w.streams(load, ctx, loadCallers, loadTokens, &t)
 		for _, e := range w.Entries {
-			if err := w.replace(ctx, e); err != nil {
+			if err := w.restart(ctx, e); err != nil {
 				return err
 			}
 		}
-		w.note("nine entries replaced one after another: %s", &t)
+		w.note("nine entries restarted one after another: %s", &t)
 		errs := make(chan error, len(w.Entries))
 		n := 0
 		for _, e := range w.Entries {
 			if e.Domain == w.Entries[0].Domain {
 				n++
-				go func() { errs <- w.replace(ctx, e) }()
+				go func() { errs <- w.restart(ctx, e) }()
 			}
 		}
 		for range n {
@@ -42,9 +42,9 @@
 		}
 		end()
 		wg.Wait()
-		w.note("then %d of one failure domain at once: %s", n, &t)
+		w.note("then %d of one failure domain concurrently: %s", n, &t)
 		if t.resumed > 0 {
-			return fmt.Errorf("%d streams were cut off", t.resumed)
+			return fmt.Errorf("planned stops interrupted %d streams", t.resumed)
 		}
 		if err := t.err(); err != nil {
 			return err
@@ -53,8 +53,8 @@
 	},
 }
 
-// stopStragglers stops an entry that runs a long stream, first as usual and then while the platform is down.
-func (w *world) stopStragglers(ctx context.Context) error {
+// stopStragglers stops an entry that runs a long stream, first with the platform up and then during an outage.
+func (w *harness) stopStragglers(ctx context.Context) error {
 	for n, outage := range []bool{false, true} {
 		if err := w.platformFaults(ctx, map[string]any{"Outage": outage}); err != nil {
 			return err
@@ -63,8 +63,8 @@
 		started := make(chan struct{})
 		ended := make(chan struct{})
 		pieces := 0
-		q := question{key: ferrydemo.CustomerKey, at: n, prompt: "summarise the night's robot log", tokens: stragglerTokens}
-		q.each = func(ferrydemo.Chunk) {
+		q := completion{key: ferrydemo.CustomerKey, index: n, prompt: "summarise the night's robot log", tokens: stragglerTokens}
+		q.onChunk = func(ferrydemo.Chunk) {
 			pieces++
 			if pieces == 1 {
 				close(started)
@@ -72,7 +72,7 @@
 		}
 		go func() {
 			defer close(ended)
-			w.ask(ctx, q, &t)
+			w.requestCompletion(ctx, q, &t)
 		}()
 		select {
 		case <-started:
@@ -85,9 +85,9 @@
 		}
 		took := time.Since(began)
 		<-ended
-		w.note("stop with a straggler of %d tokens open, platform down %t: ended after %s; %s", stragglerTokens, outage, took.Round(time.Millisecond), &t)
+		w.note("stop with a straggler of %d tokens open, platform down %t: entry exited after %s; %s", stragglerTokens, outage, took.Round(time.Millisecond), &t)
 		if t.resumed > 0 {
-			return fmt.Errorf("the straggler was cut off")
+			return fmt.Errorf("planned stop interrupted the straggler's stream")
 		}
 		if err := t.err(); err != nil {
 			return err
@@ -99,8 +99,8 @@
 	return w.platformFaults(ctx, map[string]any{})
 }
 
-// replace stops an entry as planned and starts another run of it.
-func (w *world) replace(ctx context.Context, e *ferrydemo.Entry) error {
+// restart makes a planned stop of an entry and starts it again.
+func (w *harness) restart(ctx context.Context, e *ferrydemo.Entry) error {
 	if err := e.Process.Terminate(ctx); err != nil {
 		return err
 	}
--- a/ferrystand/ferryproof/together.go
+++ b/ferrystand/ferryproof/together.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	togetherLoad    = 20 * time.Second
-	togetherHeal    = 30 * time.Second
-	togetherCallers = 6
-	togetherTokens  = 80
-	faultPause      = 400 * time.Millisecond
-	freezeTime      = 3 * time.Second
-	postPause       = 20 * time.Millisecond
+	togetherLoadTime    = 20 * time.Second
+	togetherRepairLimit = 30 * time.Second
+	togetherCallers     = 6
+	togetherTokens      = 80
+	faultInterval       = 400 * time.Millisecond
+	freezeTime          = 3 * time.Second
+	postInterval        = 20 * time.Millisecond
 )
 
 var together = Case{
-	Name:    "together",
-	Promise: "all promises at once",
-	Faults:  "random combinations of killed, frozen, stopped and cut-off processes, platform faults and changes under load",
-	size:    ferrydemo.Config{Engines: 6, Entries: 6, PeerProxies: true, EngineProxies: true, PlainProxy: true},
-	run: func(ctx context.Context, w *world) error {
-		load, end := context.WithTimeout(ctx, togetherLoad)
+	Name:      "together",
+	Guarantee: "all guarantees hold together",
+	Faults:    "random combinations of killed, frozen, stopped and partitioned processes, platform faults and document changes under load",
+	size:      ferrydemo.Config{Engines: 6, Entries: 6, PeerProxies: true, EngineProxies: true, PlainProxy: true},
+	run: func(ctx context.Context, w *harness) error {
+		load, end := context.WithTimeout(ctx, togetherLoadTime)
 		defer end()
 		var t tally
-		l := newLedger()
+		l := newCallLog()
 		wg := w.streams(load, ctx, togetherCallers, togetherTokens, &t)
 		w.posts(load, ctx, wg, l)
-		d := &disorder{world: w, accepted: 1, faults: map[string]int{}}
-		if err := d.bring(load, ctx); err != nil {
+		d := &faultInjector{harness: w, accepted: 1, faults: map[string]int{}}
+		if err := d.inject(load, ctx); err != nil {
 			return err
 		}
-		if err := d.heal(ctx); err != nil {
+		if err := d.repair(ctx); err != nil {
 			return err
 		}
 		wg.Wait()
@@ -50,40 +50,40 @@
 		if err != nil {
 			return err
 		}
-		took, err := w.inForceAt(ctx, w.Entries, d.accepted, togetherHeal)
-		w.note("generation %d in force at all %d entries, %s after the rest", d.accepted, len(w.Entries), took.Round(time.Millisecond))
+		took, err := w.waitGeneration(ctx, w.Entries, d.accepted, togetherRepairLimit)
+		w.note("generation %d in force at all %d entries, %s after the other checks", d.accepted, len(w.Entries), took.Round(time.Millisecond))
 		return err
 	},
 }
 
-// posts sends changes, each key to two entries, until the load ends.
-func (w *world) posts(load, ctx context.Context, wg *sync.WaitGroup, l *ledger) {
+// posts starts callers that send ration changes, each key to two entries, until the load ends.
+func (w *harness) posts(load, ctx context.Context, wg *sync.WaitGroup, l *callLog) {
 	for c := range 2 {
 		wg.Go(func() {
 			for n := 0; load.Err() == nil; n++ {
 				l.add(w.post(ctx, c+n, fmt.Sprintf("together-%d", n)))
-				time.Sleep(postPause)
+				time.Sleep(postInterval)
 			}
 		})
 	}
 }
 
-// disorder brings random faults about, one after another, several of them in force at once.
-type disorder struct {
-	*world
+// faultInjector injects random faults one after another; several may be active at once.
+type faultInjector struct {
+	*harness
 	accepted int
 	faults   map[string]int
 	running  sync.WaitGroup
 	mu       sync.Mutex
 	err      error
-	// busy holds the processes that a fault is at work on, so that no other takes them too.
+	// busy contains the processes with an active fault, so that none gets a second one.
 	busy map[string]bool
 }
 
-// bring strikes until the load ends; each choice comes from the seed.
-func (d *disorder) bring(load, ctx context.Context) error {
+// inject injects faults until the load ends; each choice comes from the seeded generator.
+func (d *faultInjector) inject(load, ctx context.Context) error {
 	d.busy = map[string]bool{}
-	strikes := []struct {
+	actions := []struct {
 		name string
 		run  func(ctx context.Context)
 	}{
@@ -92,22 +92,22 @@
 		{"entry frozen", func(ctx context.Context) { d.entry(ctx, "frozen") }},
 		{"engine killed", func(ctx context.Context) { d.engine(ctx, true) }},
 		{"engine frozen", func(ctx context.Context) { d.engine(ctx, false) }},
-		{"links", func(context.Context) { d.links() }},
+		{"links", func(context.Context) { d.changeLinks() }},
 		{"engine links silent", func(context.Context) { d.Engines[d.rand.IntN(len(d.Engines))].Proxy.Silence() }},
 		{"plain links cut", func(context.Context) { d.plainLinks() }},
 		{"platform", d.platform},
 		{"change", d.change},
 	}
 	for load.Err() == nil {
-		s := strikes[d.rand.IntN(len(strikes))]
+		s := actions[d.rand.IntN(len(actions))]
 		d.faults[s.name]++
 		s.run(ctx)
-		time.Sleep(faultPause)
+		time.Sleep(faultInterval)
 	}
 	return nil
 }
 
-func (d *disorder) fail(err error) {
+func (d *faultInjector) fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.err == nil {
@@ -115,8 +115,9 @@
 	}
 }
 
-// take reserves a process, and at most half of a kind at once.
-func (d *disorder) take(name, kind string, most int) bool {
+// reserve marks a process as busy, and reports false if it
+// is busy already or if the limit for its kind is reached.
+func (d *faultInjector) reserve(name, kind string, most int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -132,19 +133,19 @@
 	return true
 }
 
-func (d *disorder) giveBack(name string) {
+func (d *faultInjector) release(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.busy, name)
 }
 
-func (d *disorder) entry(ctx context.Context, how string) {
+func (d *faultInjector) entry(ctx context.Context, how string) {
 	e := d.Entries[d.rand.IntN(len(d.Entries))]
-	if !d.take(e.Name, "entry", len(d.Entries)/2) {
+	if !d.reserve(e.Name, "entry", len(d.Entries)/2) {
 		return
 	}
 	d.running.Go(func() {
-		defer d.giveBack(e.Name)
+		defer d.release(e.Name)
 		var err error
 		switch how {
 		case "frozen":
@@ -153,7 +154,7 @@
 			e.Process.Kill()
 			err = d.StartEntry(ctx, e)
 		case "stopped":
-			err = d.replace(ctx, e)
+			err = d.restart(ctx, e)
 		}
 		if err != nil {
 			d.fail(merry.Prepend(err, e.Name+" "+how))
@@ -161,13 +162,13 @@
 	})
 }
 
-func (d *disorder) engine(ctx context.Context, killed bool) {
+func (d *faultInjector) engine(ctx context.Context, killed bool) {
 	e := d.Engines[d.rand.IntN(len(d.Engines))]
-	if !d.take(e.Name, "engine", 2) {
+	if !d.reserve(e.Name, "engine", 2) {
 		return
 	}
 	d.running.Go(func() {
-		defer d.giveBack(e.Name)
+		defer d.release(e.Name)
 		if !killed {
 			if err := d.pause(e.Process); err != nil {
 				d.fail(err)
@@ -182,7 +183,7 @@
 	})
 }
 
-func (d *disorder) pause(p freezer) error {
+func (d *faultInjector) pause(p signaler) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -190,25 +191,25 @@
 	return p.Signal(syscall.SIGCONT)
 }
 
-// links cuts, silences or joins the links between two random sets of entries.
-func (d *disorder) links() {
+// changeLinks cuts or silences the links between two random sets of entries, or restores all links.
+func (d *faultInjector) changeLinks() {
 	n := 1 + d.rand.IntN(len(d.Entries)-1)
 	switch d.rand.IntN(4) {
 	case 0:
-		d.between(d.Entries[:n], d.Entries[n:], ferryproxy.Cut{})
+		d.setLinks(d.Entries[:n], d.Entries[n:], ferryproxy.Cut{})
 	case 1:
-		d.between(d.Entries[:n], d.Entries[n:], ferryproxy.Silent{})
+		d.setLinks(d.Entries[:n], d.Entries[n:], ferryproxy.Silent{})
 	default:
-		d.join()
+		d.restoreLinks()
 	}
 }
 
-func (d *disorder) plainLinks() {
+func (d *faultInjector) plainLinks() {
 	d.PlainProxy.SetAll(ferryproxy.Cut{})
 	d.PlainProxy.SetAll(ferryproxy.Pass{})
 }
 
-func (d *disorder) platform(ctx context.Context) {
+func (d *faultInjector) platform(ctx context.Context) {
 	choices := []map[string]any{
 		{"Outage": true}, {"DelayMS": 300}, {"LoseAnswers": 3, "LateEffectMS": 200}, {"WatchLagMS": 1000, "ListLagMS": 1000}, {}, {},
 	}
@@ -217,8 +218,9 @@
 	}
 }
 
-// change applies a document against the last one known to be accepted; what was refused or lost stays as it is.
-func (d *disorder) change(ctx context.Context) {
+// change applies a document on top of the last generation known
+// to be accepted; a refused or lost change is not retried.
+func (d *faultInjector) change(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, freezeTime)
 	defer cancel()
 	err := d.apply(ctx, ferrydemo.ModelService, d.ModelDocument(100+d.accepted), d.accepted, "morning")
@@ -227,9 +229,9 @@
 	}
 }
 
-// heal ends every fault and waits until all processes run.
-func (d *disorder) heal(ctx context.Context) error {
-	d.join()
+// repair removes every fault and waits until all processes run and the membership is complete.
+func (d *faultInjector) repair(ctx context.Context) error {
+	d.restoreLinks()
 	if err := d.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
@@ -239,9 +241,9 @@
 	if d.err != nil {
 		return d.err
 	}
-	took, err := d.whole(ctx, togetherHeal)
+	took, err := d.waitMembership(ctx, togetherRepairLimit)
 	if err == nil {
-		d.note("membership whole %s after the last fault", took.Round(time.Millisecond))
+		d.note("membership complete %s after the last fault", took.Round(time.Millisecond))
 	}
 	return err
 }
--- a/ferrystand/proof.go
+++ b/ferrystand/proof.go
@@ -51,7 +51,7 @@
 		if !c.wanted(cs.Name) {
 			continue
 		}
-		fmt.Printf("== %s: %s\n    %s\n", cs.Name, cs.Promise, cs.Faults)
+		fmt.Printf("== %s: %s\n    %s\n", cs.Name, cs.Guarantee, cs.Faults)
 		for n := range c.Runs {
 			if !c.one(cs, c.Seed+n) {
 				failed++
