--- a/ferrystand/ferrydemo/caller.go
+++ b/ferrystand/ferrydemo/caller.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// Chunk is one piece of a streamed answer.
+// Chunk is one event with text of a streamed completion.
 type Chunk struct {
 	ID   string
 	Text string
 }
 
-// Caller calls one entry as a customer's program would.
+// Caller is a client of one entry with a customer's key.
 type Caller struct {
 	Entry  string
 	Key    string
@@ -36,7 +36,7 @@
 	return cmp.Or(c.scheme, "http://") + c.Entry + path
 }
 
-// Do sends one call and returns the whole answer.
+// Do sends one call and returns the status, the header and the body of the answer.
 func (c Caller) Do(ctx context.Context, method, path, body string, header http.Header) (int, http.Header, string, error) {
 	r, err := http.NewRequestWithContext(ctx, method, c.url(path), strings.NewReader(body))
 	if err != nil {
@@ -55,7 +55,8 @@
 	return w.StatusCode, w.Header, string(b), err
 }
 
-// Stream asks for a completion and calls each for every piece; it returns an error unless the stream ended with [DONE].
+// Stream requests a completion and calls each for every chunk.
+// It returns an error unless the stream ended with [DONE].
 func (c Caller) Stream(ctx context.Context, body, lastEventID string, each func(Chunk)) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url("/v1/completions"), strings.NewReader(body))
 	if err != nil {
@@ -77,7 +78,7 @@
 	return readEvents(w.Body, each)
 }
 
-// StatusError is an answer other than 200.
+// StatusError reports an answer with a status other than 200.
 type StatusError struct {
 	Status int
 	Header http.Header
@@ -114,7 +115,7 @@
 	if err := s.Err(); err != nil {
 		return err
 	}
-	return fmt.Errorf("the stream ended without [DONE]")
+	return fmt.Errorf("read completion stream: connection ended before [DONE]")
 }
 
 func chunkText(data string) (string, error) {
@@ -127,10 +128,10 @@
 		} `json:"error"`
 	}
 	if err := json.Unmarshal([]byte(data), &v); err != nil {
-		return "", fmt.Errorf("chunk %q: %w", data, err)
+		return "", fmt.Errorf("decode chunk %q: %w", data, err)
 	}
 	if v.Error != nil {
-		return "", fmt.Errorf("the stream failed: %s", data)
+		return "", fmt.Errorf("completion stream ended with an error event: %s", data)
 	}
 	if len(v.Choices) == 0 {
 		return "", nil
--- a/ferrystand/ferrydemo/demo.go
+++ b/ferrystand/ferrydemo/demo.go
@@ -28,14 +28,15 @@
 	demoSeed    = 7
 )
 
-// Demo is one run of the demo; it writes what it does to Out.
+// Demo is one run of the demo; it writes a transcript of its steps to Out.
 type Demo struct {
 	Out   io.Writer
 	fleet *Fleet
 	dir   string
 }
 
-// Run starts everything, uses it as callers and operators do, stops it and returns an error if anything was not as it must be.
+// Run starts all processes, uses them as callers and operators do, and stops
+// them. It returns an error if a step does not have the expected result.
 func (d *Demo) Run(ctx context.Context, programs string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
@@ -54,10 +55,10 @@
 		run   func(ctx context.Context) error
 	}{
 		{"start a platform, six engines, one plain service and three ferryd", d.start},
-		{"accept the two service documents", d.accept},
+		{"accept the two service documents", d.applyDocuments},
 		{"stream a completion", d.stream},
-		{"read a status that may be read twice", d.read},
-		{"send a change that must not run twice", d.change},
+		{"send an idempotent read", d.read},
+		{"send a non-idempotent change with the same key to every entry", d.change},
 		{"change a service document", d.reconfigure},
 		{"show the time line of all processes", d.timeline},
 		{"stop every process gracefully", d.stop},
@@ -68,7 +69,7 @@
 			return merry.Prepend(err, s.title)
 		}
 	}
-	fmt.Fprintln(d.Out, "\ndemo: everything was as it must be")
+	fmt.Fprintln(d.Out, "\ndemo: every step had the expected result")
 	return nil
 }
 
@@ -86,7 +87,7 @@
 	return d.fleet.WaitMembers(ctx)
 }
 
-func (d *Demo) accept(ctx context.Context) error {
+func (d *Demo) applyDocuments(ctx context.Context) error {
 	for name, text := range map[string]string{ModelService: d.fleet.ModelDocument(128), PlainService: d.fleet.PlainDocument()} {
 		file := filepath.Join(d.dir, name+".toml")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// WaitInForce waits until a generation of a service's document, or a later one, is in force at every running entry.
+// WaitInForce waits until a generation of a service's document,
+// or a later one, is in force at every running entry.
 func (f *Fleet) WaitInForce(ctx context.Context, service string, generation int) error {
 	for _, e := range f.Entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
@@ -129,16 +131,16 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("generation %d of %s is not in force", generation, service)
+	return fmt.Errorf("document not in force: expected generation %d of %s or later", generation, service)
 }
 
-// WaitMembers waits until every entry knows every other one.
+// WaitMembers waits until every entry lists all entries as members and has at least one link.
 func (f *Fleet) WaitMembers(ctx context.Context) error {
 	for _, e := range f.Entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
 			s, err := f.Status(ctx, e)
 			if err == nil && (len(s.Entries) < len(f.Entries) || len(s.Peers) == 0) {
-				err = fmt.Errorf("%s knows %d of %d entries and has %d links", e.Name, len(s.Entries), len(f.Entries), len(s.Peers))
+				err = fmt.Errorf("%s lists %d of %d entries and has %d links", e.Name, len(s.Entries), len(f.Entries), len(s.Peers))
 			}
 			return err
 		})
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// Status is the part of an entry's status that the demo and the proofs read.
+// Status is the part of an entry's status that the demo and the cases of ferryproof read.
 type Status struct {
 	Entry       string
 	Incarnation string
@@ -176,25 +178,25 @@
 	}
 }
 
-// Status asks one entry for its status.
+// Status requests the status of one entry.
 func (f *Fleet) Status(ctx context.Context, e *Entry) (Status, error) {
 	var s Status
 	return s, f.admin(ctx, e, "/admin/status", &s)
 }
 
-// Events asks one entry for its part of the time line.
+// Events requests one entry's events of the time line.
 func (f *Fleet) Events(ctx context.Context, e *Entry) (ferryevent.Events, error) {
 	var out ferryevent.Events
 	return out, f.admin(ctx, e, "/admin/events", &out)
 }
 
-// admin reads an operator's answer of one entry.
+// admin decodes the answer of a GET request to the operator interface of one entry.
 func (f *Fleet) admin(ctx context.Context, e *Entry, path string, v any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.scheme()+e.Peers+path, nil)
 	if err != nil {
 		return err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
+	r.Header.Set("Authorization", "Bearer "+operatorToken)
 	w, err := f.HTTP().Do(r)
 	if err != nil {
 		return err
@@ -203,8 +205,9 @@
 	return json.NewDecoder(w.Body).Decode(v)
 }
 
-// entry asks the system which entry to use, as a caller does.
-func (d *Demo) entry(ctx context.Context, service string) (Caller, error) {
+// requestEntry requests the entry list of a service, as
+// a caller does, and returns a client of the first entry.
+func (d *Demo) requestEntry(ctx context.Context, service string) (Caller, error) {
 	c := Caller{Entry: d.fleet.Entries[0].Callers, Key: CustomerKey}
 	status, _, body, err := c.Do(ctx, http.MethodGet, "/v1/entries?service="+service, "", nil)
 	if err != nil {
@@ -214,20 +217,20 @@
 		Entries []struct{ Name, Address string }
 	}
 	if err := json.Unmarshal([]byte(body), &answer); err != nil || status != http.StatusOK || len(answer.Entries) == 0 {
-		return c, fmt.Errorf("which entry to use: status %d: %s", status, body)
+		return c, fmt.Errorf("request entry list: status %d: %s", status, body)
 	}
 	fmt.Fprintf(d.Out, "use entry %s at %s\n", answer.Entries[0].Name, answer.Entries[0].Address)
 	c.Entry = answer.Entries[0].Address
 	return c, nil
 }
 
-// CompletionBody is the JSON of a streamed completion request.
+// CompletionBody returns the JSON body of a streamed completion request.
 func CompletionBody(prompt string, tokens int, seed uint64) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"seed":%d,"stream":true}`, ModelService, prompt, tokens, seed)
 }
 
 func (d *Demo) stream(ctx context.Context) error {
-	c, err := d.entry(ctx, ModelService)
+	c, err := d.requestEntry(ctx, ModelService)
 	if err != nil {
 		return err
 	}
@@ -242,14 +245,14 @@
 	}
 	want := strings.Join(ferryenginetest.Reference(demoSeed, demoPrompt, demoTokens, Layers), "")
 	if text.String() != want {
-		return fmt.Errorf("the text must be %q, is %q", want, text.String())
+		return fmt.Errorf("completion: expected text %q, got %q", want, text.String())
 	}
-	fmt.Fprintln(d.Out, "the text is the model's own, byte for byte")
+	fmt.Fprintln(d.Out, "the text equals the model's reference output")
 	return nil
 }
 
 func (d *Demo) read(ctx context.Context) error {
-	c, err := d.entry(ctx, PlainService)
+	c, err := d.requestEntry(ctx, PlainService)
 	if err != nil {
 		return err
 	}
@@ -259,7 +262,7 @@
 	}
 	fmt.Fprintf(d.Out, "%d %s\n", status, strings.TrimSpace(body))
 	if status != http.StatusOK {
-		return fmt.Errorf("status %d", status)
+		return fmt.Errorf("read teat-cup status: expected status 200, got %d", status)
 	}
 	return nil
 }
@@ -279,14 +282,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(d.Out, "the plain service ran it %d time(s)\n", n)
+	fmt.Fprintf(d.Out, "the plain service ran the change %d time(s)\n", n)
 	if n != 1 {
-		return fmt.Errorf("the change ran %d times", n)
+		return fmt.Errorf("plain service ran the change %d times, expected 1", n)
 	}
 	return nil
 }
 
-// PlainRuns counts how often the plain stand-in ran the call with the key.
+// PlainRuns returns how many times the plain stand-in ran the call with the key.
 func (f *Fleet) PlainRuns(ctx context.Context, key string) (int, error) {
 	var records []struct{ IdempotencyKey string }
 	if err := f.GetJSON(ctx, "http://"+f.Plain+"/admin/records", &records); err != nil {
--- a/ferrystand/ferrydemo/doc.go
+++ b/ferrystand/ferrydemo/doc.go
@@ -1,2 +1,3 @@
-// Package ferrydemo runs the whole system in separate processes, serves real requests with it and checks what comes back.
+// Package ferrydemo starts a fleet of ferryd and stand-ins as separate processes,
+// and runs a demo that sends requests to it and checks the answers.
 package ferrydemo
--- a/ferrystand/ferrydemo/document.go
+++ b/ferrystand/ferrydemo/document.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// ModelDocument is the document of the model service.
+// ModelDocument returns the document of the model service. Completions
+// of at most shortTokens are of the class "short".
 func (f *Fleet) ModelDocument(shortTokens int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Service = %q\nTeam = \"herd\"\nKind = \"Model\"\n\n", ModelService)
@@ -16,13 +17,13 @@
 	fmt.Fprintf(&b, "[[Classes]]\nName = \"short\"\nMaxTokens = %d\nDeadline = \"10s\"\nReservedShare = 0.5\n\n", shortTokens)
 	fmt.Fprintf(&b, "[[Classes]]\nName = \"long\"\nDeadline = \"5m\"\nPriority = 1\n\n")
 	for _, e := range f.Engines {
-		fmt.Fprintf(&b, "[[Upstreams]]\nName = %q\nAddress = %q\nFailureDomain = %q\nAccelerator = %q\n", e.Name, e.Reached(), e.Domain, e.Accelerator)
+		fmt.Fprintf(&b, "[[Upstreams]]\nName = %q\nAddress = %q\nFailureDomain = %q\nAccelerator = %q\n", e.Name, e.AdvertisedAddress(), e.Domain, e.Accelerator)
 		fmt.Fprintf(&b, "Layers = { From = %d, To = %d }\nTokensPerSecond = %d.0\nSlots = %d\n\n", e.Layers.From, e.Layers.To, e.TokensPerSecond, f.slots)
 	}
 	return b.String() + f.customerRows()
 }
 
-// PlainDocument is the document of the plain service.
+// PlainDocument returns the document of the plain service.
 func (f *Fleet) PlainDocument() string {
 	return fmt.Sprintf(`Service = %q
 Team = "parlour"
@@ -44,10 +45,10 @@
 Path = "/rations/*"
 Idempotent = false
 
-`, PlainService, f.plainReached(), domains[0]) + f.customerRows()
+`, PlainService, f.plainAdvertisedAddress(), domains[0]) + f.customerRows()
 }
 
-func (f *Fleet) plainReached() string {
+func (f *Fleet) plainAdvertisedAddress() string {
 	if f.PlainProxy != nil {
 		return f.PlainProxy.Address()
 	}
--- a/ferrystand/ferrydemo/fleet.go
+++ b/ferrystand/ferrydemo/fleet.go
@@ -21,17 +21,17 @@
 	"cactusferry.dev/ferrystand/ferryproxy"
 )
 
-// The names and sizes of the fleet that the demo and the proofs start.
+// The names and sizes of the fleet of the demo and of the cases of ferryproof.
 const (
-	ModelService = "herd-llm"
-	PlainService = "parlour-api"
-	Customer     = "dobrich"
-	CustomerKey  = "demo-key-dobrich"
-	OtherKey     = "demo-key-smolyan"
-	Operator     = "morning"
-	token        = "demo-operator-token"
-	Layers       = 16
-	// SealKey is the key with which the entries seal resume tokens and tickets, in hexadecimal.
+	ModelService     = "herd-llm"
+	PlainService     = "parlour-api"
+	Customer         = "dobrich"
+	CustomerKey      = "demo-key-dobrich"
+	OtherCustomerKey = "demo-key-smolyan"
+	Operator         = "morning"
+	operatorToken    = "demo-operator-token"
+	Layers           = 16
+	// SealKey is the hexadecimal key that the entries use to seal resume tokens and tickets.
 	SealKey = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 )
 
@@ -46,13 +46,13 @@
 	Accelerator     string
 	TokensPerSecond int
 	Process         *ferryprocess.Process
-	// Proxy, if any, is what entries and other engines connect to.
-	Proxy *ferryproxy.Proxy
-	link  time.Duration
+	// Proxy, if set, is the fault proxy that entries and other engines connect to.
+	Proxy     *ferryproxy.Proxy
+	linkDelay time.Duration
 }
 
-// Reached is the address that the service document names.
-func (e *Engine) Reached() string {
+// AdvertisedAddress returns the engine's address in the service document.
+func (e *Engine) AdvertisedAddress() string {
 	if e.Proxy != nil {
 		return e.Proxy.Address()
 	}
@@ -66,37 +66,38 @@
 	Peers   string
 	Domain  string
 	Process *ferryprocess.Process
-	// Proxy, if any, is what the other entries connect to.
+	// Proxy, if set, is the fault proxy that the other entries connect to.
 	Proxy *ferryproxy.Proxy
 }
 
-// reached is the address that peers are told.
-func (e *Entry) reached() string {
+// advertisedAddress returns the address that is advertised to peers.
+func (e *Entry) advertisedAddress() string {
 	if e.Proxy != nil {
 		return e.Proxy.Address()
 	}
 	return e.Peers
 }
 
-// Fleet is a platform, engines, one plain service and entries, each a process of its own.
+// Fleet is a platform, engines, one plain service and entries, each in a separate process.
 type Fleet struct {
 	ferryprocess.Group
-	Platform string
-	Plain    string
-	Plains   *ferryprocess.Process
-	// PlainProxy, if any, is what entries connect to in place of the plain service.
+	Platform     string
+	Plain        string
+	PlainProcess *ferryprocess.Process
+	// PlainProxy, if set, is the fault proxy that entries connect to instead of the plain service.
 	PlainProxy *ferryproxy.Proxy
 	Engines    []*Engine
 	Entries    []*Entry
-	// Journals, if set, is the directory in which each engine writes its steps to a file of its name.
+	// Journals, if set, is the directory of the engines' journals;
+	// each engine writes its steps to a file with its name.
 	Journals string
-	// Keys, if set before entries start, make both of their listeners use TLS.
-	Keys      *Keys
-	client    *http.Client
-	grace     []string
-	slots     int
-	policy    string
-	customers []Tenant
+	// Keys, if set before entries start, are the TLS keys of both listeners of every entry.
+	Keys       *Keys
+	client     *http.Client
+	graceFlags []string
+	slots      int
+	policy     string
+	customers  []Tenant
 }
 
 // Tenant is one customer of both services.
@@ -106,35 +107,36 @@
 	Share float64
 }
 
-// Config says how large a fleet is.
+// Config is the size and the kind of a fleet.
 type Config struct {
-	// Dir holds the programs.
+	// Dir is the directory of the programs.
 	Dir     string
 	Engines int
 	Entries int
-	// Slots is how many streams each engine runs at once, 16 if 0.
+	// Slots is the number of streams that each engine runs concurrently, 16 if 0.
 	Slots int
-	// Policy is the text of the section [Policy] of the model's document, if any.
+	// Policy is the text of the [Policy] section of the model service's document, if any.
 	Policy string
-	// Customers are those of both services; if there are none, the demo's two.
+	// Customers are the customers of both services; if empty, the demo's two.
 	Customers []Tenant
-	// TokensPerSecond is the rate of every engine; if 0 they differ.
+	// TokensPerSecond is the rate of every engine; if 0, the rates differ by accelerator.
 	TokensPerSecond int
-	// Kinds makes the engines of eight kinds whose rates differ a hundredfold, and with EngineProxies their links too.
-	Kinds bool
-	// DefaultGrace leaves ferryd's own time of grace in a planned stop in place of a short one.
+	// EightKinds gives the engines eight kinds whose rates differ by
+	// a factor of 100, and with EngineProxies their link delays too.
+	EightKinds bool
+	// DefaultGrace keeps ferryd's default grace period of a planned stop instead of setting a short one.
 	DefaultGrace bool
-	// PeerProxies puts a fault proxy before each entry's peers' listener.
+	// PeerProxies puts a fault proxy in front of each entry's peer listener.
 	PeerProxies bool
-	// EngineProxies puts a fault proxy before each engine.
+	// EngineProxies puts a fault proxy in front of each engine.
 	EngineProxies bool
-	// PlainProxy puts a fault proxy before the plain service.
+	// PlainProxy puts a fault proxy in front of the plain service.
 	PlainProxy bool
 }
 
 const defaultSlots = 16
 
-// New lays out a fleet on free loopback addresses and starts nothing.
+// New returns a fleet on free loopback addresses. It starts the configured fault proxies but no processes.
 func New(cfg Config) (*Fleet, error) {
 	addresses, err := ferryprocess.FreeAddresses(2 + cfg.Engines + 2*cfg.Entries)
 	if err != nil {
@@ -142,19 +144,19 @@
 	}
 	f := &Fleet{Group: ferryprocess.Group{Dir: cfg.Dir}, slots: cfg.Slots, policy: cfg.Policy, customers: cfg.Customers}
 	if len(f.customers) == 0 {
-		f.customers = []Tenant{{Customer, CustomerKey, 1}, {"smolyan", OtherKey, 1}}
+		f.customers = []Tenant{{Customer, CustomerKey, 1}, {"smolyan", OtherCustomerKey, 1}}
 	}
 	if f.slots == 0 {
 		f.slots = defaultSlots
 	}
 	if !cfg.DefaultGrace {
-		f.grace = []string{"--stop.grace", "300ms"}
+		f.graceFlags = []string{"--stop.grace", "300ms"}
 	}
 	f.Platform, f.Plain = addresses[0], addresses[1]
 	addresses = addresses[2:]
 	for i := range cfg.Engines {
 		e := newEngine(i, addresses[i])
-		if cfg.Kinds {
+		if cfg.EightKinds {
 			e.setKind(kinds[(i/2)%len(kinds)], i%2)
 		}
 		if cfg.TokensPerSecond > 0 {
@@ -174,7 +176,7 @@
 	return f, f.addProxies(cfg)
 }
 
-// addProxies starts the proxies that the configuration asks for.
+// addProxies starts the configured fault proxies.
 func (f *Fleet) addProxies(cfg Config) (err error) {
 	if cfg.PeerProxies {
 		for _, e := range f.Entries {
@@ -196,13 +198,13 @@
 			if err != nil {
 				return err
 			}
-			e.Proxy.SetAll(e.Link())
+			e.Proxy.SetAll(e.LinkFault())
 		}
 	}
 	return nil
 }
 
-// KillAll ends every process and proxy.
+// KillAll kills every process and closes every proxy.
 func (f *Fleet) KillAll() {
 	f.Group.KillAll()
 	if f.PlainProxy != nil {
@@ -238,11 +240,12 @@
 	}
 }
 
-// kind is a kind of accelerator with its rate, the time a piece takes on its link, and where its two engines share the layers.
+// kind is a kind of accelerator: its rate, the delay of its link,
+// and the layer at which its two engines split the model.
 type kind struct {
 	name            string
 	tokensPerSecond int
-	link            time.Duration
+	linkDelay       time.Duration
 	split           ferryid.Layer
 }
 
@@ -258,22 +261,23 @@
 }
 
 func (e *Engine) setKind(k kind, half int) {
-	e.Accelerator, e.TokensPerSecond, e.link = k.name, k.tokensPerSecond, k.link
+	e.Accelerator, e.TokensPerSecond, e.linkDelay = k.name, k.tokensPerSecond, k.linkDelay
 	e.Layers = ferryid.LayerRange{From: 0, To: k.split}
 	if half == 1 {
 		e.Layers = ferryid.LayerRange{From: k.split, To: Layers}
 	}
 }
 
-// Link is what the engine's proxy does while nothing is wrong.
-func (e *Engine) Link() ferryproxy.Fault {
-	if e.link > 0 {
-		return ferryproxy.Delay{Time: e.link}
+// LinkFault returns the setting of the engine's proxy without
+// an injected fault: the delay of its link, if it has one.
+func (e *Engine) LinkFault() ferryproxy.Fault {
+	if e.linkDelay > 0 {
+		return ferryproxy.Delay{Time: e.linkDelay}
 	}
 	return ferryproxy.Pass{}
 }
 
-// StartUpstreams starts the platform, the plain service and the engines, and waits for each.
+// StartUpstreams starts the platform, the plain service and the engines, and waits until each is ready.
 func (f *Fleet) StartUpstreams(ctx context.Context) error {
 	if _, err := f.StartReady(ctx, "platform", "ferrystand", "platform", "--listen", f.Platform); err != nil {
 		return err
@@ -283,10 +287,10 @@
 	if err != nil {
 		return err
 	}
-	f.Plains = p
+	f.PlainProcess = p
 	if f.PlainProxy != nil {
 		row := ferryplatform.Instance{
-			Role: ferryplatform.RolePlain, Service: PlainService, Address: f.plainReached(), FailureDomain: ferryid.DomainName(domains[0]),
+			Role: ferryplatform.RolePlain, Service: PlainService, Address: f.plainAdvertisedAddress(), FailureDomain: ferryid.DomainName(domains[0]),
 			Incarnation: ferryid.NewIncarnation(), State: ferryplatform.StateLive,
 		}
 		if err := f.list(ctx, "robots-1", row); err != nil {
@@ -301,7 +305,7 @@
 	return nil
 }
 
-// StartEngine starts one engine and waits for it.
+// StartEngine starts one engine and waits until it is ready.
 func (f *Fleet) StartEngine(ctx context.Context, e *Engine) error {
 	args := []string{
 		"engine", "--name", e.Name, "--listen", e.Address,
@@ -318,30 +322,31 @@
 		return err
 	}
 	return f.list(ctx, e.Name, ferryplatform.Instance{
-		Role: ferryplatform.RoleEngine, Service: ModelService, Address: e.Reached(), FailureDomain: ferryid.DomainName(e.Domain),
+		Role: ferryplatform.RoleEngine, Service: ModelService, Address: e.AdvertisedAddress(), FailureDomain: ferryid.DomainName(e.Domain),
 		Incarnation: ferryid.NewIncarnation(), State: ferryplatform.StateLive, Accelerator: e.Accelerator, Layers: e.Layers,
 	})
 }
 
-// list puts an instance behind a proxy into the list by the proxy's address, since entries add what the list names to their documents.
+// list registers an instance under its proxy's address. Entries add the instances of the list
+// to those of their documents, so the address of the process itself would bypass the proxy.
 func (f *Fleet) list(ctx context.Context, name string, row ferryplatform.Instance) error {
 	return f.PutJSON(ctx, "http://"+f.Platform+"/admin/instances/"+name, row)
 }
 
-// StartEntry starts one ferryd, enters it in the instance list and waits until it is ready.
+// StartEntry starts one ferryd, registers it in the instance list and waits until it is ready.
 func (f *Fleet) StartEntry(ctx context.Context, e *Entry) error {
 	args := []string{
-		"--name", e.Name, "--failure-domain", e.Domain, "--callers.listen", e.Callers, "--peers.listen", e.Peers, "--peers.advertise", e.reached(),
-		"--platform.url", "http://" + f.Platform, "--keys.seal", SealKey, "--keys.operator-token", token,
+		"--name", e.Name, "--failure-domain", e.Domain, "--callers.listen", e.Callers, "--peers.listen", e.Peers, "--peers.advertise", e.advertisedAddress(),
+		"--platform.url", "http://" + f.Platform, "--keys.seal", SealKey, "--keys.operator-token", operatorToken,
 		"--log.level", "info",
 	}
-	args = append(args, f.grace...)
+	args = append(args, f.graceFlags...)
 	if f.Keys != nil {
 		args = append(args, f.Keys.entryFlags()...)
 	}
 	for _, other := range f.Entries {
 		if other != e {
-			args = append(args, "--peers.seed", other.reached())
+			args = append(args, "--peers.seed", other.advertisedAddress())
 		}
 	}
 	p, err := f.Start(e.Name, "ferryd", args...)
@@ -355,14 +360,14 @@
 	return p.WaitHTTP(ctx, f.HTTP(), f.scheme()+e.Callers+"/readyz")
 }
 
-// UseKeys makes the entries to be started, and all that connects to them, use TLS with the keys.
+// UseKeys sets the TLS keys of entries started later and of all clients of entries.
 func (f *Fleet) UseKeys(k *Keys) error {
 	client, err := k.client()
 	f.Keys, f.client = k, client
 	return err
 }
 
-// HTTP is the client for connecting to entries.
+// HTTP returns the client for connections to entries.
 func (f *Fleet) HTTP() *http.Client {
 	if f.client == nil {
 		return http.DefaultClient
@@ -377,21 +382,21 @@
 	return "http://"
 }
 
-// Caller calls an entry's callers' address with a customer's key.
+// Caller returns a client of the caller address of an entry, with a customer's key.
 func (f *Fleet) Caller(address, key string) Caller {
 	return Caller{Entry: address, Key: key, http: f.HTTP(), scheme: f.scheme()}
 }
 
-// Register writes an entry's row of the instance list, as the users' platform would.
+// Register writes an entry's row of the instance list, as the users' platform does.
 func (f *Fleet) Register(ctx context.Context, e *Entry, state ferryplatform.InstanceState) error {
 	row := ferryplatform.Instance{
-		Name: e.Name, Role: ferryplatform.RoleEntry, Address: e.Callers, PeerAddress: e.reached(),
+		Name: e.Name, Role: ferryplatform.RoleEntry, Address: e.Callers, PeerAddress: e.advertisedAddress(),
 		FailureDomain: ferryid.DomainName(e.Domain), State: state,
 	}
 	return f.PutJSON(ctx, "http://"+f.Platform+"/admin/instances/"+e.Name, row)
 }
 
-// PutJSON sends a stand-in's administrative call.
+// PutJSON sends a PUT request with a JSON body to a stand-in.
 func (f *Fleet) PutJSON(ctx context.Context, url string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -413,7 +418,7 @@
 	return nil
 }
 
-// GetJSON reads a stand-in's answer.
+// GetJSON sends a GET request to a stand-in and decodes its JSON answer.
 func (f *Fleet) GetJSON(ctx context.Context, url string, v any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -430,13 +435,13 @@
 	return json.NewDecoder(w.Body).Decode(v)
 }
 
-// Ctl runs ferryctl against the fleet.
+// Ctl runs ferryctl against the fleet and returns its output.
 func (f *Fleet) Ctl(ctx context.Context, args ...string) (string, error) {
 	var peers []string
 	for _, e := range f.Entries {
 		peers = append(peers, f.scheme()+e.Peers)
 	}
-	args = append(args, "--entry", strings.Join(peers, ","), "--token", token)
+	args = append(args, "--entry", strings.Join(peers, ","), "--token", operatorToken)
 	if f.Keys != nil {
 		args = append(args, f.Keys.ctlFlags()...)
 	}
@@ -460,7 +465,7 @@
 	return f.WaitInForce(ctx, service, 1)
 }
 
-// Admin is a client of an entry's operators' interface.
+// Admin returns a client of an entry's operator interface.
 func (f *Fleet) Admin(e *Entry) *ferryadmin.Client {
-	return ferryadmin.NewClient("http://"+e.Peers, token, nil)
+	return ferryadmin.NewClient("http://"+e.Peers, operatorToken, nil)
 }
--- a/ferrystand/ferrydemo/keys.go
+++ b/ferrystand/ferrydemo/keys.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	keyLifetime = time.Hour
-	keyMode     = 0o600
-	serialBits  = 64
+	certificateLifetime = time.Hour
+	keyMode             = 0o600
+	serialBits          = 64
 )
 
-// Keys are a fleet's TLS files in a directory of their own: one pair for all processes, and the authorities that they trust.
+// Keys is a temporary directory with a fleet's TLS files: one key
+// pair for all processes, and the authorities that they trust.
 type Keys struct {
 	dir string
 }
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority with a fresh key.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -62,11 +63,11 @@
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-keyLifetime), NotAfter: now.Add(keyLifetime),
+		NotBefore: now.Add(-certificateLifetime), NotAfter: now.Add(certificateLifetime),
 	}, nil
 }
 
-// NewKeys writes a pair signed by the authority to a temporary directory, with the authorities that are trusted.
+// NewKeys writes a key pair signed by the authority and the trusted authorities to a temporary directory.
 func NewKeys(by *Authority, trusted ...*Authority) (*Keys, error) {
 	dir, err := os.MkdirTemp("", "cactusferry-keys")
 	if err != nil {
@@ -79,7 +80,7 @@
 	return k, k.Trust(trusted...)
 }
 
-// Issue replaces the pair by one that the authority signs.
+// Issue replaces the key pair with one signed by the authority.
 func (k *Keys) Issue(by *Authority) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -100,46 +101,46 @@
 	if err != nil {
 		return err
 	}
-	if err := write(k.key(), block("PRIVATE KEY", secret)); err != nil {
+	if err := writeAtomically(k.keyFile(), block("PRIVATE KEY", secret)); err != nil {
 		return err
 	}
-	return write(k.certificate(), block("CERTIFICATE", der))
+	return writeAtomically(k.certificateFile(), block("CERTIFICATE", der))
 }
 
-// Trust replaces the authorities.
+// Trust replaces the trusted authorities.
 func (k *Keys) Trust(trusted ...*Authority) error {
 	var b []byte
 	for _, a := range trusted {
 		b = append(b, block("CERTIFICATE", a.cert.Raw)...)
 	}
-	return write(k.authorities(), b)
+	return writeAtomically(k.authoritiesFile(), b)
 }
 
-// Remove removes the files.
+// Remove deletes the directory.
 func (k *Keys) Remove() { _ = os.RemoveAll(k.dir) }
 
-func (k *Keys) certificate() string { return filepath.Join(k.dir, "certificate.pem") }
+func (k *Keys) certificateFile() string { return filepath.Join(k.dir, "certificate.pem") }
 
-func (k *Keys) key() string { return filepath.Join(k.dir, "key.pem") }
+func (k *Keys) keyFile() string { return filepath.Join(k.dir, "key.pem") }
 
-func (k *Keys) authorities() string { return filepath.Join(k.dir, "authorities.pem") }
+func (k *Keys) authoritiesFile() string { return filepath.Join(k.dir, "authorities.pem") }
 
-// entryFlags are ferryd's flags for both listeners.
+// entryFlags returns ferryd's flags for both listeners.
 func (k *Keys) entryFlags() []string {
 	return []string{
-		"--callers.tls.certificate", k.certificate(), "--callers.tls.key", k.key(),
-		"--peers.tls.certificate", k.certificate(), "--peers.tls.key", k.key(), "--peers.tls.client-ca", k.authorities(),
+		"--callers.tls.certificate", k.certificateFile(), "--callers.tls.key", k.keyFile(),
+		"--peers.tls.certificate", k.certificateFile(), "--peers.tls.key", k.keyFile(), "--peers.tls.client-ca", k.authoritiesFile(),
 	}
 }
 
-// ctlFlags are ferryctl's flags.
+// ctlFlags returns ferryctl's TLS flags.
 func (k *Keys) ctlFlags() []string {
-	return []string{"--tls-certificate", k.certificate(), "--tls-key", k.key(), "--tls-ca", k.authorities()}
+	return []string{"--tls-certificate", k.certificateFile(), "--tls-key", k.keyFile(), "--tls-ca", k.authoritiesFile()}
 }
 
-// Config is how a client connects that has the pair.
+// Config returns the TLS configuration of a client with the key pair.
 func (k *Keys) Config() (*tls.Config, error) {
-	return ferrycert.Client(k.certificate(), k.key(), k.authorities())
+	return ferrycert.Client(k.certificateFile(), k.keyFile(), k.authoritiesFile())
 }
 
 func (k *Keys) client() (*http.Client, error) {
@@ -154,8 +155,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b})
 }
 
-// write replaces a file in one step, so that no process reads half of it.
-func write(name string, b []byte) error {
+// writeAtomically replaces a file atomically, so that no process reads a partial file.
+func writeAtomically(name string, b []byte) error {
 	if err := os.WriteFile(name+".new", b, keyMode); err != nil {
 		return err
 	}
--- a/ferrystand/ferryproof/answers.go
+++ b/ferrystand/ferryproof/answers.go
@@ -77,7 +77,7 @@
 func (w *harness) streamAsOtherCustomer(load, ctx context.Context, wg *sync.WaitGroup, ids *eventIDs, t *tally) {
 	wg.Go(func() {
 		for n := 0; load.Err() == nil; n++ {
-			q := completion{key: ferrydemo.OtherKey, index: n, prompt: fmt.Sprintf("caller 0 asks question %d", n), tokens: loadTokens}
+			q := completion{key: ferrydemo.OtherCustomerKey, index: n, prompt: fmt.Sprintf("caller 0 asks question %d", n), tokens: loadTokens}
 			own := q
 			q.onChunk = func(p ferrydemo.Chunk) { ids.add(p.ID, own) }
 			w.requestCompletion(ctx, q, t)
--- a/ferrystand/ferryproof/kinds.go
+++ b/ferrystand/ferryproof/kinds.go
@@ -39,7 +39,7 @@
 	Name:      "kinds",
 	Guarantee: "every layer runs once for each token, in order, on engines of eight kinds",
 	Faults:    "rates and link delays that differ by a factor of 100; of the busiest engines one killed and restarted empty, one frozen and resumed, one that loses its streams; links cut during streams with 300 tokens",
-	size:      ferrydemo.Config{Engines: 16, Entries: 3, Kinds: true, EngineProxies: true},
+	size:      ferrydemo.Config{Engines: 16, Entries: 3, EightKinds: true, EngineProxies: true},
 	journals:  true,
 	run: func(ctx context.Context, w *harness) error {
 		load, end := context.WithTimeout(ctx, kindsLoadTime)
@@ -126,7 +126,7 @@
 		last := records[len(records)-1]
 		if last.Epoch == tokens[0].Epoch && last.Layer == ferrydemo.Layers-1 {
 			e.Proxy.SetAll(ferryproxy.Cut{})
-			e.Proxy.SetAll(e.Link())
+			e.Proxy.SetAll(e.LinkFault())
 			return
 		}
 	}
--- a/ferrystand/ferryproof/notrun.go
+++ b/ferrystand/ferryproof/notrun.go
@@ -126,7 +126,7 @@
 	if err := w.runCutPoint(ctx, cutPoint{name: "service leaving", set: plainFault("Leaving", true), allowed: notRun, timeout: shortTimeout}); err != nil {
 		return err
 	}
-	w.Plains.Kill()
+	w.PlainProcess.Kill()
 	dead := w.send(ctx, 0, "notrun-dead", ration, http.Header{"Idempotency-Key": {"notrun-dead"}, "Request-Timeout": {shortTimeout}})
 	if dead.reported() != "NotRun" {
 		return fmt.Errorf("call to a killed service: expected outcome NotRun, got %q", dead.reported())
