--- a/ferrystand/ferryprocess/doc.go
+++ b/ferrystand/ferryprocess/doc.go
@@ -1,2 +1,2 @@
-// Package ferryprocess starts, watches, freezes and kills the processes of an experiment; only the test programs use it.
+// Package ferryprocess starts, signals and kills the processes of an experiment. Only test programs use it.
 package ferryprocess
--- a/ferrystand/ferryprocess/group.go
+++ b/ferrystand/ferryprocess/group.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Group is all processes of one experiment, ended together.
+// Group is the set of processes of one experiment, which are stopped together.
 type Group struct {
 	Dir string
 	mu  sync.Mutex
 	all []*Process
 }
 
-// Start runs a program of the group's directory.
+// Start starts a program of the group's directory.
 func (g *Group) Start(name, program string, args ...string) (*Process, error) {
 	p, err := Start(name, filepath.Join(g.Dir, program), args, nil)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return p, nil
 }
 
-// StartReady runs a program of the group's directory and waits until it is ready.
+// StartReady starts a program of the group's directory and waits until it is ready.
 func (g *Group) StartReady(ctx context.Context, name, program string, args ...string) (*Process, error) {
 	p, err := g.Start(name, program, args...)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return p, p.WaitReady(ctx)
 }
 
-// Terminate asks every process to stop, the latest first, and returns the errors of those that did not end well.
+// Terminate sends SIGTERM to the processes one after another, the
+// latest first, and waits for each. It returns the joined errors.
 func (g *Group) Terminate(ctx context.Context) error {
 	g.mu.Lock()
 	all := slices.Clone(g.all)
@@ -50,7 +51,7 @@
 	return errors.Join(errs...)
 }
 
-// KillAll ends whatever still runs.
+// KillAll kills the processes that still run.
 func (g *Group) KillAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// Run runs a program of the group's directory to its end and returns what it wrote.
+// Run runs a program of the group's directory, for at most 30 s, and returns its output.
 func (g *Group) Run(ctx context.Context, program string, args ...string) (string, error) {
 	p, err := Start(program, filepath.Join(g.Dir, program), args, nil)
 	if err != nil {
--- a/ferrystand/ferryprocess/process.go
+++ b/ferrystand/ferryprocess/process.go
@@ -37,7 +37,8 @@
 	log   bytes.Buffer
 }
 
-// Start runs the program; its output is kept, and a line "ready" on standard output marks it ready.
+// Start starts the program and records its output. A line on
+// standard output that begins with "ready" marks it as ready.
 func Start(name, program string, args, env []string) (*Process, error) {
 	p := &Process{Name: name, ready: make(chan struct{}), done: make(chan struct{})}
 	p.cmd = exec.Command(program, args...)
@@ -80,36 +81,36 @@
 	return len(b), nil
 }
 
-// Log returns what the process has written.
+// Log returns the recorded output; output beyond about 1 MiB is discarded.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// PID is the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
 
-// WaitReady waits for the line "ready" on standard output.
+// WaitReady waits for the line that begins with "ready" on standard output.
 func (p *Process) WaitReady(ctx context.Context) error {
 	select {
 	case <-p.ready:
 		return nil
 	case <-p.done:
-		return fmt.Errorf("%s ended before it was ready: %v\n%s", p.Name, p.err, p.Log())
+		return fmt.Errorf("%s exited before it was ready: %v\n%s", p.Name, p.err, p.Log())
 	case <-ctx.Done():
-		return fmt.Errorf("%s was not ready in time:\n%s", p.Name, p.Log())
+		return fmt.Errorf("%s was not ready before the deadline:\n%s", p.Name, p.Log())
 	}
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error {
 	return p.cmd.Process.Signal(s)
 }
 
-// Wait waits for the end of the process and returns its error.
+// Wait waits until the process exits and returns its error.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -118,11 +119,11 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%s did not end in time:\n%s", p.Name, p.Log())
+		return fmt.Errorf("%s did not exit before the deadline:\n%s", p.Name, p.Log())
 	}
 }
 
-// Terminate asks the process to stop and waits for its end.
+// Terminate sends SIGTERM and waits until the process exits.
 func (p *Process) Terminate(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return merry.Prepend(err, "terminate "+p.Name)
@@ -130,13 +131,14 @@
 	return p.Wait(ctx)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process exits.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Poll calls a check until it returns nil.
+// Poll calls check every 20 ms until it returns nil. When
+// the context ends, it returns the last error of check.
 func Poll(ctx context.Context, check func(ctx context.Context) error) error {
 	for {
 		err := check(ctx)
@@ -145,13 +147,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return merry.Prepend(err, "gave up waiting")
+			return merry.Prepend(err, "condition not met before the deadline")
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// WaitHTTP waits until a GET of the URL with the client answers 200 or the process ends.
+// WaitHTTP waits until a GET request to the URL is answered
+// with status 200. It fails if the process exits first.
 func (p *Process) WaitHTTP(ctx context.Context, client *http.Client, url string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -188,13 +191,13 @@
 	})
 }
 
-// The ports that FreeAddresses chooses from lie below those that the system gives to outgoing connections.
+// The port range of FreeAddresses is below the ephemeral port range of the system.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// FreeAddresses returns loopback addresses that nothing listens on and no outgoing connection will take.
+// FreeAddresses returns n loopback addresses without a listener and outside the ephemeral port range.
 func FreeAddresses(n int) ([]string, error) {
 	var out []string
 	port := firstPort + rand.IntN(lastPort-firstPort)
@@ -214,5 +217,5 @@
 		_ = l.Close()
 		out = append(out, address)
 	}
-	return nil, fmt.Errorf("only %d of %d ports are free", len(out), n)
+	return nil, fmt.Errorf("choose free ports: found %d of %d", len(out), n)
 }
