--- a/ferrystand/ferryproxy/doc.go
+++ b/ferrystand/ferryproxy/doc.go
@@ -1,2 +1,3 @@
-// Package ferryproxy stands between two processes of an experiment and cuts, delays or silences their TCP connections.
+// Package ferryproxy is a TCP proxy that cuts, delays or silences
+// the connections between two processes of an experiment.
 package ferryproxy
--- a/ferrystand/ferryproxy/proxy.go
+++ b/ferrystand/ferryproxy/proxy.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	pieceBytes  = 32 << 10
+	bufferBytes = 32 << 10
 	dialTimeout = 5 * time.Second
 )
 
-// Config sets up a proxy.
+// Config is the configuration of a proxy.
 type Config struct {
 	// Listen is the address to listen on, a free loopback port if empty.
 	Listen string
-	// Target is the address that connections are passed on to.
+	// Target is the address that connections are forwarded to.
 	Target string
 	Clock  clockwork.Clock
-	// Named reads each connection's first HTTP header, so that Set can tell sources by the name after the slash of their User-Agent.
+	// Named makes the proxy read the first HTTP header of each connection and identify
+	// its source by the name after the slash of the User-Agent, for Set.
 	Named bool
 }
 
-// Proxy forwards connections and can disturb them.
+// Proxy forwards TCP connections and injects faults into them.
 type Proxy struct {
 	cfg      Config
 	listener net.Listener
@@ -75,12 +76,12 @@
 	return p, nil
 }
 
-// Address is what to connect to.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -95,30 +96,31 @@
 	p.wg.Wait()
 }
 
-// SetAll sets what is done with all connections, and forgets what was set for single sources.
+// SetAll sets the fault of all connections and removes the faults of single sources.
 func (p *Proxy) SetAll(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.all = f
 	clear(p.sources)
 	for c := range p.conns {
-		strike(c, f)
+		apply(c, f)
 	}
 }
 
-// Set sets what is done with the connections of one source.
+// Set sets the fault of the connections of one source.
 func (p *Proxy) Set(source string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sources[source] = f
 	for c := range p.conns {
 		if c.source == source {
-			strike(c, f)
+			apply(c, f)
 		}
 	}
 }
 
-// Silence makes the connections open now silent for good, returns how many they are, and lets new ones pass.
+// Silence makes all open connections permanently silent and returns
+// how many were not silent before. New connections are unaffected.
 func (p *Proxy) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +134,7 @@
 	return n
 }
 
-// Silenced is how many silent connections at least one end still holds open.
+// Silenced returns the number of silent connections that at least one end keeps open.
 func (p *Proxy) Silenced() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,8 +147,8 @@
 	return n
 }
 
-// strike applies a fault to an open connection.
-func strike(c *connection, f Fault) {
+// apply applies a fault to an open connection.
+func apply(c *connection, f Fault) {
 	switch f.(type) {
 	case Cut:
 		c.close()
@@ -169,7 +171,7 @@
 	}
 }
 
-// add keeps a new connection, or closes it if the proxy is closed.
+// add registers a new connection, or closes it if the proxy is closed.
 func (p *Proxy) add(c *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,10 +190,10 @@
 	c.close()
 }
 
-// forward passes both directions on until either end closes.
+// forward copies both directions until either end closes.
 func (p *Proxy) forward(c *connection) {
 	defer p.remove(c)
-	first, err := p.first(c)
+	first, err := p.readSource(c)
 	if err != nil {
 		return
 	}
@@ -204,8 +206,9 @@
 	wg.Wait()
 }
 
-// first reads the first header where sources are named, and returns every byte it read.
-func (p *Proxy) first(c *connection) ([]byte, error) {
+// readSource reads the first HTTP header if the proxy is Named,
+// sets the connection's source, and returns all bytes read.
+func (p *Proxy) readSource(c *connection) ([]byte, error) {
 	if !p.cfg.Named {
 		return nil, nil
 	}
@@ -221,7 +224,8 @@
 	return read.Bytes(), nil
 }
 
-// connect opens the other half unless the connection is to be cut.
+// connect dials the target and applies the current fault.
+// It reports whether the connection is to be forwarded.
 func (p *Proxy) connect(c *connection) bool {
 	target, err := net.DialTimeout("tcp", p.cfg.Target, dialTimeout)
 	if err != nil {
@@ -231,12 +235,12 @@
 	defer p.mu.Unlock()
 	c.target = target
 	f := p.fault(c)
-	strike(c, f)
+	apply(c, f)
 	_, cut := f.(Cut)
 	return !cut && !p.closed
 }
 
-// fault is what is to be done with a connection; the lock is held.
+// fault returns the current fault of a connection; p.mu must be held.
 func (p *Proxy) fault(c *connection) Fault {
 	if c.silent {
 		return Silent{}
@@ -253,15 +257,16 @@
 	return p.fault(c)
 }
 
-// copy passes one direction on; its end is the end of the connection, unless that is silent.
+// copy forwards one direction, and closes the connection when that ends, unless the connection is silent.
 func (p *Proxy) copy(c *connection, w io.Writer, r io.Reader) {
-	piece := make([]byte, pieceBytes)
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := r.Read(piece)
+		n, err := r.Read(buffer)
 		switch f := p.current(c).(type) {
 		case Silent:
 			if err != nil {
-				// The other end must not learn that this one is gone, so its half stays open until it closes too.
+				// The other half must stay open until its own end closes
+				// it, since a silent connection forwards no close.
 				return
 			}
 			continue
@@ -269,17 +274,17 @@
 			c.close()
 			return
 		case Delay:
-			p.wait(f.Time)
+			p.delay(f.Time)
 		case Pass:
 		}
-		if _, werr := w.Write(piece[:n]); werr != nil || err != nil {
+		if _, werr := w.Write(buffer[:n]); werr != nil || err != nil {
 			c.close()
 			return
 		}
 	}
 }
 
-func (p *Proxy) wait(d time.Duration) {
+func (p *Proxy) delay(d time.Duration) {
 	select {
 	case <-p.cfg.Clock.After(d):
 	case <-p.done:
--- a/ferrystand/ferryproxy/proxy_test.go
+++ b/ferrystand/ferryproxy/proxy_test.go
@@ -15,8 +15,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo answers each line with the same line, and says when a line came and when a connection ended.
-func echo(t *testing.T) (string, chan string) {
+// startEcho starts a server that answers each line with the same line,
+// and returns its address and a channel of the received lines.
+func startEcho(t *testing.T) (string, chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -41,21 +42,21 @@
 	return l.Addr().String(), got
 }
 
-// end is one caller's connection.
-type end struct {
+// conn is one client's connection.
+type conn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, address string) end {
+func dial(t *testing.T, address string) conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return end{Conn: c, r: bufio.NewReader(c)}
+	return conn{Conn: c, r: bufio.NewReader(c)}
 }
 
-func (e end) say(t *testing.T, line string) {
+func (e conn) roundTrip(t *testing.T, line string) {
 	t.Helper()
 	_, err := fmt.Fprintln(e, line)
 	assert.NilError(t, err)
@@ -73,41 +74,42 @@
 }
 
 func TestPassAndCut(t *testing.T) {
-	target, _ := echo(t)
+	target, _ := startEcho(t)
 	p := newProxy(t, Config{Target: target})
 	a := dial(t, p.Address())
-	a.say(t, "one")
+	a.roundTrip(t, "one")
 	p.SetAll(Cut{})
 	_, err := a.r.ReadString('\n')
-	assert.Assert(t, err != nil, "an open connection must be cut")
+	assert.Assert(t, err != nil, "expected the open connection to be closed")
 	b := dial(t, p.Address())
 	_, err = b.r.ReadString('\n')
-	assert.Assert(t, err != nil, "a new connection must be cut")
+	assert.Assert(t, err != nil, "expected the new connection to be closed")
 	p.SetAll(Pass{})
-	dial(t, p.Address()).say(t, "two")
+	dial(t, p.Address()).roundTrip(t, "two")
 }
 
-// A silent connection stays open and brings nothing, also after new ones pass again; it ends when its caller closes.
-func TestSilentForGood(t *testing.T) {
-	target, got := echo(t)
+// A silent connection stays open and delivers nothing in either
+// direction, also while new connections are forwarded.
+func TestSilentConnectionStaysSilent(t *testing.T) {
+	target, got := startEcho(t)
 	p := newProxy(t, Config{Target: target})
 	a := dial(t, p.Address())
-	a.say(t, "one")
+	a.roundTrip(t, "one")
 	assert.Equal(t, <-got, "one")
 	assert.Equal(t, p.Silence(), 1)
 	_, err := fmt.Fprintln(a, "lost")
 	assert.NilError(t, err)
 	b := dial(t, p.Address())
-	b.say(t, "two")
+	b.roundTrip(t, "two")
 	assert.Equal(t, <-got, "two")
 	_, err = fmt.Fprintln(a, "lost again")
 	assert.NilError(t, err)
-	b.say(t, "three")
+	b.roundTrip(t, "three")
 	assert.Equal(t, <-got, "three")
 	assert.NilError(t, a.SetReadDeadline(time.Now().Add(-time.Second)))
 	_, err = a.r.ReadString('\n')
 	var timeout net.Error
-	assert.Assert(t, err != nil && asTimeout(err, &timeout), "must be open and silent, is %v", err)
+	assert.Assert(t, err != nil && asTimeout(err, &timeout), "expected a read time-out on the silent connection, got %v", err)
 }
 
 func asTimeout(err error, to *net.Error) bool {
@@ -117,7 +119,7 @@
 }
 
 func TestDelay(t *testing.T) {
-	target, got := echo(t)
+	target, got := startEcho(t)
 	clock := clockwork.NewFakeClock()
 	p := newProxy(t, Config{Target: target, Clock: clock})
 	p.SetAll(Delay{Time: time.Second})
@@ -135,7 +137,7 @@
 	assert.Equal(t, back, "late\n")
 }
 
-// A fault for one source leaves the others alone.
+// A fault of one source does not affect the others.
 func TestSources(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -144,7 +146,7 @@
 	defer s.Close()
 	p := newProxy(t, Config{Target: strings.TrimPrefix(s.URL, "http://"), Named: true})
 	p.Set("entry-2", Cut{})
-	// The source is that of a whole connection, so each call has its own.
+	// The source is determined once per connection, so each request needs a new connection.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, tt := range []struct {
 		agent string
