--- a/ferrystand/ferrycommand/command.go
+++ b/ferrystand/ferrycommand/command.go
@@ -18,7 +18,7 @@
 // Adder adds one subcommand to the parser.
 type Adder func(*flags.Parser) error
 
-// Run parses the arguments, runs the subcommand that they name and returns the exit code.
+// Run parses the arguments, runs the selected subcommand and returns the exit code.
 func Run(name, description string, subcommands []Adder, args []string, out, errs io.Writer) int {
 	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	p.ShortDescription = description
--- a/ferrystand/ferrycommand/command_test.go
+++ b/ferrystand/ferrycommand/command_test.go
@@ -12,7 +12,7 @@
 
 type failing struct{}
 
-func (failing) Execute([]string) error { return errors.New("it broke") }
+func (failing) Execute([]string) error { return errors.New("connection refused") }
 
 type passing struct{}
 
@@ -26,7 +26,7 @@
 		_, err := p.AddCommand("pass", "passes", "", &passing{})
 		return err
 	}
-	broken := func(*flags.Parser) error { return errors.New("no such thing") }
+	broken := func(*flags.Parser) error { return errors.New("duplicate command") }
 	tests := []struct {
 		name      string
 		adders    []Adder
@@ -35,10 +35,10 @@
 		out, errs string
 	}{
 		{"done", []Adder{add}, []string{"pass"}, ExitDone, "", ""},
-		{"failed", []Adder{add}, []string{"fail"}, ExitFailed, "", "tool: it broke"},
+		{"failed", []Adder{add}, []string{"fail"}, ExitFailed, "", "tool: connection refused"},
 		{"help", []Adder{add}, []string{"--help"}, ExitDone, "Available commands", ""},
 		{"unknown", []Adder{add}, []string{"other"}, ExitFailed, "", "tool: Unknown command"},
-		{"broken", []Adder{broken}, nil, ExitBroken, "", "tool: no such thing"},
+		{"broken", []Adder{broken}, nil, ExitBroken, "", "tool: duplicate command"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/ferrystand/ferrycommand/doc.go
+++ b/ferrystand/ferrycommand/doc.go
@@ -1,2 +1,2 @@
-// Package ferrycommand is the command line that the bench and the stand-ins share.
+// Package ferrycommand contains the command line parsing shared by ferrybench and ferrystand.
 package ferrycommand
