--- a/ferrystand/demo.go
+++ b/ferrystand/demo.go
@@ -9,10 +9,10 @@
 	"cactusferry.dev/ferrystand/ferrydemo"
 )
 
-const demoHelp = `Starts stand-ins for the outside systems and three ferryd, each a process of
-its own, sends them real requests, changes their configuration, shows the time
-line and stops everything. It ends with status 0 only if everything was as it
-must be, within a minute.
+const demoHelp = `Starts stand-ins for the external systems and three ferryd, each in a separate
+process, sends requests to them, changes their configuration, prints the time
+line and stops all processes. The exit status is 0 only if every step had the
+expected result within a minute.
 
 Example:
 
@@ -24,7 +24,7 @@
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("demo", "run the whole system and check it", demoHelp, &demoCommand{})
+		_, err := p.AddCommand("demo", "run the whole system and check its answers", demoHelp, &demoCommand{})
 		return err
 	})
 }
--- a/ferrystand/doc.go
+++ b/ferrystand/doc.go
@@ -1,2 +1,3 @@
-// Command ferrystand is described in its --help.
+// Command ferrystand runs stand-ins for the external systems
+// of ferryd, a demo and fault tests; see its --help.
 package main
--- a/ferrystand/engine.go
+++ b/ferrystand/engine.go
@@ -30,7 +30,7 @@
 	journalMode           = 0o600
 )
 
-const engineHelp = `Runs one stand-in model engine that holds a range of layers. It registers itself in the platform's instance list, prints "ready ADDRESS" once it listens, and on SIGTERM marks itself leaving, finishes its streams and exits 0.
+const engineHelp = `Runs one stand-in model engine with a range of layers. It registers itself in the platform's instance list, prints "ready ADDRESS" once it listens, and on SIGTERM marks itself as leaving, finishes its streams and exits with status 0.
 
 Example:
   ferrystand engine --name=ruse-1 --domain=ruse-a --service=herd-llm --layers=0:16 --platform=http://127.0.0.1:9000`
@@ -39,13 +39,13 @@
 	Name            string  `long:"name" required:"yes" description:"name of the engine, as in the service document"`
 	Listen          string  `long:"listen" default:"127.0.0.1:0" description:"address and port to listen on"`
 	Domain          string  `long:"domain" required:"yes" description:"failure domain"`
-	Service         string  `long:"service" required:"yes" description:"service that the engine belongs to"`
-	Layers          string  `long:"layers" required:"yes" description:"layers held, FROM:TO with TO excluded"`
+	Service         string  `long:"service" required:"yes" description:"service of the engine"`
+	Layers          string  `long:"layers" required:"yes" description:"layers of the engine, FROM:TO with TO excluded"`
 	Accelerator     string  `long:"accelerator" description:"kind of accelerator"`
-	TokensPerSecond float64 `long:"tokens-per-second" default:"400" description:"rate of tokens through all its layers"`
-	Slots           int     `long:"slots" default:"16" description:"streams that share the rate at once"`
-	Journal         string  `long:"journal" description:"file to which a line is added for each step; it outlives the engine"`
-	Platform        string  `long:"platform" description:"URL of the platform; without one the engine registers nowhere"`
+	TokensPerSecond float64 `long:"tokens-per-second" default:"400" description:"rate of tokens through all layers of the engine"`
+	Slots           int     `long:"slots" default:"16" description:"number of concurrent streams that share the rate"`
+	Journal         string  `long:"journal" description:"file to which one line per step is appended; it is kept after the engine exits"`
+	Platform        string  `long:"platform" description:"URL of the platform; if empty, the engine does not register"`
 }
 
 func init() {
@@ -94,14 +94,14 @@
 	if err := c.register(e, layers, address, ferryplatform.StateLeaving); err != nil {
 		fmt.Fprintln(os.Stderr, "ferrystand engine:", err)
 	}
-	// The engine answers "leaving" to new work until its last stream is over.
+	// The engine refuses new work as leaving until its last stream has ended.
 	for e.Running() > 0 {
 		time.Sleep(engineDrainPoll)
 	}
 	return srv.Shutdown(context.Background())
 }
 
-// journal opens the file for steps, if one is named.
+// journal opens the journal file, if one is configured.
 func (c *engineCommand) journal() (io.Writer, error) {
 	if c.Journal == "" {
 		return nil, nil
@@ -140,7 +140,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("register %s: the platform answered %s", row.Name, resp.Status)
+		return fmt.Errorf("register %s: expected a 2xx answer of the platform, got %s", row.Name, resp.Status)
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 	a, err1 := strconv.ParseUint(from, 10, 16)
 	b, err2 := strconv.ParseUint(to, 10, 16)
 	if !ok || err1 != nil || err2 != nil || a >= b {
-		return ferryid.LayerRange{}, fmt.Errorf("must be FROM:TO with FROM below TO, is %q", s)
+		return ferryid.LayerRange{}, fmt.Errorf("expected FROM:TO with FROM less than TO, got %q", s)
 	}
 	return ferryid.LayerRange{From: ferryid.Layer(a), To: ferryid.Layer(b)}, nil
 }
--- a/ferrystand/main.go
+++ b/ferrystand/main.go
@@ -6,9 +6,9 @@
 	"cactusferry.dev/ferrystand/ferrycommand"
 )
 
-// subcommands are added by the file of each one.
+// subcommands is filled by the init function of each subcommand's file.
 var subcommands []ferrycommand.Adder
 
 func main() {
-	os.Exit(ferrycommand.Run("ferrystand", "stand-ins for the outside systems that cactusferry meets", subcommands, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(ferrycommand.Run("ferrystand", "stand-ins for the external systems of cactusferry, with a demo and fault tests", subcommands, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/ferrystand/plain.go
+++ b/ferrystand/plain.go
@@ -20,10 +20,10 @@
 const (
 	registerTimeout  = 2 * time.Second
 	registerAttempts = 20
-	registerPause    = 250 * time.Millisecond
+	registerInterval = 250 * time.Millisecond
 )
 
-const plainHelp = `Answers any method and path with a JSON body that says what ran, and keeps a record of it.
+const plainHelp = `Answers any method and path with a JSON body that describes the run, and records it.
 
 Example:
   ferrystand plain --listen 127.0.0.1:9301 --name parlour-1 --service parlour-api --domain ruse-a --platform http://127.0.0.1:9000
@@ -33,7 +33,7 @@
 	listenOption
 	Name     string `long:"name" value-name:"NAME" default:"plain-1" description:"name of this instance"`
 	Domain   string `long:"domain" value-name:"NAME" default:"domain-a" description:"failure domain of this instance"`
-	Service  string `long:"service" value-name:"NAME" description:"service that this instance belongs to"`
+	Service  string `long:"service" value-name:"NAME" description:"service of this instance"`
 	Platform string `long:"platform" value-name:"URL" description:"platform stand-in to register with, such as http://127.0.0.1:9000"`
 }
 
@@ -64,7 +64,8 @@
 	return err
 }
 
-// register puts an instance into the platform stand-in's list, and tries again while that one is starting.
+// register writes an instance to the platform stand-in's list,
+// with retries since the platform may still be starting.
 func register(ctx context.Context, platform string, in ferryplatform.Instance) error {
 	var err error
 	for range registerAttempts {
@@ -74,7 +75,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(registerPause):
+		case <-time.After(registerInterval):
 		}
 	}
 	return fmt.Errorf("register %s: %w", in.Name, err)
@@ -97,7 +98,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode/100 != 2 {
-		return fmt.Errorf("platform answered %s", res.Status)
+		return fmt.Errorf("expected a 2xx answer of the platform, got %s", res.Status)
 	}
 	return nil
 }
--- a/ferrystand/platform.go
+++ b/ferrystand/platform.go
@@ -9,7 +9,7 @@
 	"cactusferry.dev/ferrystand/ferrystandplatform"
 )
 
-const platformHelp = `Serves the object API and the instance list from memory; nothing is kept over a restart.
+const platformHelp = `Serves the object API and the instance list from memory; a restart loses all data.
 
 Example:
   ferrystand platform --listen 127.0.0.1:9000
--- a/ferrystand/process_test.go
+++ b/ferrystand/process_test.go
@@ -27,7 +27,8 @@
 	processPrompt = "explain the yield drop"
 )
 
-// processes are four engines as processes: two for each half of the layers, the first of each quicker.
+// processes is four engine processes: two for each half of the
+// layers, the first of each pair with the higher planned rate.
 type processes struct {
 	commands []*exec.Cmd
 	cfg      ferrypipeline.PlannerConfig
@@ -99,7 +100,8 @@
 	return all
 }
 
-// Engines as processes are killed, stopped and continued, and told to end in mid-stream; the text is whole and right each time.
+// Engine processes get SIGKILL, SIGSTOP followed by SIGCONT, or SIGTERM
+// mid-stream; the text must be complete and correct each time.
 func TestProcesses(t *testing.T) {
 	binary := buildBinary(t)
 	want := ferryenginetest.Reference(5, processPrompt, processTokens, processLayers)
@@ -107,12 +109,12 @@
 		name   string
 		signal syscall.Signal
 		epochs int
-		// whole says that all engines live on, so that their records can be held against the answer.
+		// whole is set if all engines survive, so that their records can be compared with the answer.
 		whole bool
 	}{
 		{"killed", syscall.SIGKILL, 2, false},
 		{"stopped and continued", syscall.SIGSTOP, 2, true},
-		{"told to end", syscall.SIGTERM, 1, false},
+		{"terminated", syscall.SIGTERM, 1, false},
 	} {
 		for victim := range 2 {
 			p := startProcesses(t, binary)
@@ -125,7 +127,7 @@
 				case tok.Position == 3:
 					return p.commands[victim].Process.Signal(tt.signal)
 				case tok.Position == 8 && tt.signal == syscall.SIGSTOP:
-					// It wakes with its old epoch's work in hand.
+					// The engine resumes with work of its old epoch in progress.
 					return p.commands[victim].Process.Signal(syscall.SIGCONT)
 				}
 				return nil
@@ -138,7 +140,7 @@
 			}
 			assert.Equal(t, len(got), processTokens)
 			if tt.signal == syscall.SIGTERM {
-				assert.NilError(t, p.commands[victim].Wait(), "a planned stop exits 0")
+				assert.NilError(t, p.commands[victim].Wait(), "exit after SIGTERM")
 			}
 			if tt.whole {
 				c := ferrypipeline.Checker{Layers: processLayers}
--- a/ferrystand/proof.go
+++ b/ferrystand/proof.go
@@ -11,9 +11,10 @@
 	"cactusferry.dev/ferrystand/ferryproof"
 )
 
-const proofHelp = `Runs each promise's case over real processes: failures are brought about and
-what callers were told is compared with what the upstreams did. Safety and the
-stated times are checked; the status is 0 only if every case passed.
+const proofHelp = `Runs the fault test of each guarantee with real processes: it injects faults and
+compares the outcomes reported to callers with the runs recorded by the
+upstreams. It checks safety and the stated time limits. The exit status is 0
+only if every case passed.
 
 Examples:
 
@@ -24,18 +25,18 @@
 type proofCommand struct {
 	Programs string   `long:"programs" default:"bin" description:"directory of ferryd, ferryctl and ferrystand"`
 	Cases    []string `long:"case" description:"run only this case; may be given more than once"`
-	Seed     uint64   `long:"seed" default:"1" description:"seed of the case's choices"`
-	Runs     uint64   `long:"runs" default:"1" description:"how often to run each case, with a seed one higher each time"`
+	Seed     uint64   `long:"seed" default:"1" description:"seed of the random choices"`
+	Runs     uint64   `long:"runs" default:"1" description:"number of runs of each case; each run increments the seed"`
 }
 
 func init() {
 	subcommands = append(subcommands, func(p *flags.Parser) error {
-		_, err := p.AddCommand("proof", "bring failures about and check the promises", proofHelp, &proofCommand{})
+		_, err := p.AddCommand("proof", "inject faults and check the guarantees", proofHelp, &proofCommand{})
 		return err
 	})
 }
 
-func (c *proofCommand) wanted(name string) bool {
+func (c *proofCommand) selected(name string) bool {
 	for _, n := range c.Cases {
 		if n == name {
 			return true
@@ -44,28 +45,29 @@
 	return len(c.Cases) == 0
 }
 
-// Execute runs the cases.
+// Execute runs the selected cases.
 func (c *proofCommand) Execute([]string) error {
 	failed := 0
 	for _, cs := range ferryproof.Cases {
-		if !c.wanted(cs.Name) {
+		if !c.selected(cs.Name) {
 			continue
 		}
 		fmt.Printf("== %s: %s\n    %s\n", cs.Name, cs.Guarantee, cs.Faults)
 		for n := range c.Runs {
-			if !c.one(cs, c.Seed+n) {
+			if !c.runCase(cs, c.Seed+n) {
 				failed++
 			}
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d runs failed", failed)
+		return fmt.Errorf("%d runs of fault tests failed", failed)
 	}
 	return nil
 }
 
-// one runs a case with one seed and prints the command that runs it again if it fails.
-func (c *proofCommand) one(cs ferryproof.Case, seed uint64) bool {
+// runCase runs a case with one seed and prints the result, with the
+// command to repeat a failed run. It reports whether it passed.
+func (c *proofCommand) runCase(cs ferryproof.Case, seed uint64) bool {
 	r := cs.Run(context.Background(), os.Stdout, c.Programs, seed)
 	took := r.Took.Round(time.Millisecond)
 	if r.Err != nil {
--- a/ferrystand/serve.go
+++ b/ferrystand/serve.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// stopTimeout is how long calls under way may take after a stop signal.
+// stopTimeout is the time limit for calls in progress after a stop signal.
 const stopTimeout = 2 * time.Second
 
-// listenOption is the flag that each stand-in has.
+// listenOption is the common flag of the plain and platform stand-ins.
 type listenOption struct {
 	Listen string `long:"listen" value-name:"ADDRESS" required:"true" description:"address to listen on, such as 127.0.0.1:9000; port 0 takes a free one"`
 }
 
-// serve serves until SIGTERM or SIGINT; ready is called with the address once it listens.
+// serve serves until SIGTERM or SIGINT. It calls ready with the address once it listens.
 func serve(address string, h http.Handler, ready func(ctx context.Context, address string) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -51,7 +51,7 @@
 	return shutdown(srv)
 }
 
-// shutdown stops listening, and closes what is still open after stopTimeout.
+// shutdown closes the listener, and closes the connections that are still open after stopTimeout.
 func shutdown(srv *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
