--- a/ferrystand/ferrystandengine/bench_test.go
+++ b/ferrystand/ferrystandengine/bench_test.go
@@ -32,14 +32,15 @@
 	benchTokens   = 40
 )
 
-// benchFleet is forty engines in four parts of mixed speeds, and a runner over them in the same process.
+// benchFleet is forty engines with mixed rates, ten for each
+// of four layer ranges, and a runner in the same process.
 type benchFleet struct {
-	engines []*ferrystandengine.Engine
-	runner  *ferrypipeline.Runner
-	bound   float64
-	tokens  atomic.Int64
-	failed  atomic.Int64
-	jobs    atomic.Int64
+	engines  []*ferrystandengine.Engine
+	runner   *ferrypipeline.Runner
+	capacity float64
+	tokens   atomic.Int64
+	failed   atomic.Int64
+	jobs     atomic.Int64
 }
 
 func newBenchFleet(b *testing.B) *benchFleet {
@@ -64,7 +65,7 @@
 		})
 		loads = append(loads, ferrypipeline.Load{Rate: rate})
 		if part == 0 {
-			f.bound += float64(rate)
+			f.capacity += float64(rate)
 		}
 	}
 	pool, err := ferrypipeline.NewPool(cfg, loads, clock)
@@ -84,7 +85,8 @@
 	}
 }
 
-// The fleet is saturated by 400 streams at once: tokens against the bound, and the processor time of all of it.
+// BenchmarkFleet saturates the fleet with 400 concurrent streams. It measures the token rate
+// relative to the capacity, the sum of the rates of one layer range, and the CPU time of the process.
 func BenchmarkFleet(b *testing.B) {
 	const streams = 400
 	f := newBenchFleet(b)
@@ -98,12 +100,13 @@
 	}
 	rate := float64(f.tokens.Load()) / b.Elapsed().Seconds()
 	b.ReportMetric(rate, "tokens/s")
-	b.ReportMetric(100*rate/f.bound, "%-of-bound")
+	b.ReportMetric(100*rate/f.capacity, "%-of-bound")
 	b.ReportMetric(100*(cpuTime()-cpu).Seconds()/b.Elapsed().Seconds(), "%-of-a-core")
 	b.ReportMetric(float64(f.failed.Load()), "failed")
 }
 
-// At 80 in 100 of the bound engines die: how long until tokens come at 90 in 100 of the smaller of the load and the new bound, and stay there.
+// BenchmarkRecovery kills engines at 80% of the capacity. It measures the time until
+// the token rate stays above 90% of the smaller of the load and the remaining capacity.
 func BenchmarkRecovery(b *testing.B) {
 	for _, tt := range []struct {
 		name  string
@@ -112,25 +115,25 @@
 	}{{"OneEngine", 1, 1}, {"AThirdOfAll", benchParts, 3}} {
 		b.Run(tt.name, func(b *testing.B) {
 			for b.Loop() {
-				recovery(b, tt.parts, tt.kill)
+				benchRecovery(b, tt.parts, tt.kill)
 			}
 		})
 	}
 }
 
-// recovery kills the quickest engines of some parts under load.
-func recovery(b *testing.B, parts, kill int) {
+// benchRecovery kills the fastest engines of the given number of layer ranges under load.
+func benchRecovery(b *testing.B, parts, kill int) {
 	const (
 		window  = 100 * time.Millisecond
 		windows = 80
 		killAt  = 20
-		// together is how many windows are taken as one, since a window holds few tokens.
+		// together is the number of windows averaged, since a single window contains few tokens.
 		together = 5
 	)
 	f := newBenchFleet(b)
-	load, bound := 0.8*f.bound, f.bound
+	load, capacity := 0.8*f.capacity, f.capacity
 	for i := range kill {
-		bound -= float64(100 * (benchReplicas - i))
+		capacity -= float64(100 * (benchReplicas - i))
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -145,7 +148,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	target := min(load, bound)
+	target := min(load, capacity)
 	lowAt, worst := killAt, target
 	for i := killAt; i+together < windows; i++ {
 		rate := float64(counts[i+together]-counts[i]) / (together * window.Seconds())
@@ -168,7 +171,7 @@
 	}
 }
 
-// openLoop starts jobs at a steady rate, whether or not earlier ones are over.
+// openLoop starts jobs at a constant rate, independent of the completion of earlier ones.
 func (f *benchFleet) openLoop(perSecond float64, stop <-chan struct{}, wg *sync.WaitGroup) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer t.Stop()
--- a/ferrystand/ferrystandengine/cache.go
+++ b/ferrystand/ferrystandengine/cache.go
@@ -21,7 +21,7 @@
 	at time.Time
 }
 
-// prefixCache keeps a bounded number of prompt prefixes; the least recently used gives way.
+// prefixCache is an LRU cache of prompt prefixes with a log of its changes.
 type prefixCache struct {
 	size   int
 	order  *list.List
@@ -34,7 +34,7 @@
 	return &prefixCache{size: size, order: list.New(), byName: map[string]*list.Element{}}
 }
 
-// use stores a prompt's prefixes and returns how many of its tokens were cached before.
+// use caches the prefixes of a prompt and returns how many of its tokens were cached before.
 func (c *prefixCache) use(prompt string, now time.Time) int {
 	cached := 0
 	for i, name := range ferryenginetest.Prefixes(prompt) {
@@ -44,17 +44,17 @@
 			continue
 		}
 		c.byName[name] = c.order.PushFront(name)
-		c.note(name, true, now)
+		c.record(name, true, now)
 	}
 	for c.order.Len() > c.size {
 		name := c.order.Remove(c.order.Back()).(string)
 		delete(c.byName, name)
-		c.note(name, false, now)
+		c.record(name, false, now)
 	}
 	return cached
 }
 
-func (c *prefixCache) note(name string, stored bool, now time.Time) {
+func (c *prefixCache) record(name string, stored bool, now time.Time) {
 	c.seq++
 	if len(c.events) >= maxEvents {
 		c.events = c.events[1:]
@@ -62,8 +62,9 @@
 	c.events = append(c.events, event{ferryengine.CacheEvent{Seq: c.seq, Prefix: name, Stored: stored}, now})
 }
 
-// after returns the events older than the lag, with a gap at every few.
-func (c *prefixCache) after(seq uint64, before time.Time) ferryengine.CacheEvents {
+// eventsAfter returns the events after a sequence number that are not younger than the given time.
+// It omits every seventh event, which makes gaps in the sequence.
+func (c *prefixCache) eventsAfter(seq uint64, before time.Time) ferryengine.CacheEvents {
 	out := ferryengine.CacheEvents{Events: []ferryengine.CacheEvent{}}
 	for _, ev := range c.events {
 		if ev.Seq > seq && ev.Seq%gapEvery != 0 && !ev.at.After(before) {
@@ -76,7 +77,7 @@
 func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	seq, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
-	out := e.cache.after(seq, e.clock.Now().Add(-e.cfg.EventLag))
+	out := e.cache.eventsAfter(seq, e.clock.Now().Add(-e.cfg.EventLag))
 	e.mu.Unlock()
 	writeJSON(w, out)
 }
--- a/ferrystand/ferrystandengine/chain.go
+++ b/ferrystand/ferrystandengine/chain.go
@@ -11,9 +11,9 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-const hopRing = 4
+const hopBuffer = 4
 
-// hop is the connection to the next stage.
+// hop is the connection to the next stage of the chain.
 type hop struct {
 	stage  string
 	w      *io.PipeWriter
@@ -27,8 +27,8 @@
 	err  error
 }
 
-// open connects to the next stage and waits until the rest of the chain is ready.
-func (ru *run) open() *ferryengine.Failure {
+// openNext connects to the next stage and waits until all later stages are ready.
+func (ru *run) openNext() *ferryengine.Failure {
 	req := ru.req
 	req.Stages = req.Stages[1:]
 	stage := req.Stages[0].Address
@@ -38,9 +38,9 @@
 		_ = pw.Close()
 		return failureOf(stage, err)
 	}
-	ru.next = &hop{stage: stage, w: pw, stream: s, items: make(chan hopItem, hopRing), stop: make(chan struct{})}
+	ru.next = &hop{stage: stage, w: pw, stream: s, items: make(chan hopItem, hopBuffer), stop: make(chan struct{})}
 	go ru.next.read()
-	it, failed := ru.next.take()
+	it, failed := ru.next.receive()
 	if failed == nil && !it.Ready {
 		failed = &ferryengine.Failure{Stage: stage, Kind: ferryengine.FailureDied, Detail: "the next stage did not start"}
 	}
@@ -65,7 +65,7 @@
 	return f
 }
 
-// read keeps reading, so that heartbeats count while nothing is asked.
+// read reads items continuously, so that heartbeats are consumed also while no item is requested.
 func (h *hop) read() {
 	for {
 		it, err := h.stream.Next()
@@ -80,7 +80,7 @@
 	}
 }
 
-func (h *hop) take() (ferryengine.Item, *ferryengine.Failure) {
+func (h *hop) receive() (ferryengine.Item, *ferryengine.Failure) {
 	in := <-h.items
 	switch {
 	case in.err != nil:
@@ -97,7 +97,8 @@
 	_ = h.stream.Close()
 }
 
-// finish ends the chain's input and waits for its end, so that the connection can be used again; it returns what the later stages measured.
+// finish closes the request body and reads the answer to its end, so that the
+// connection can be reused. It returns the stage times of the later stages.
 func (h *hop) finish() []ferryengine.StageTime {
 	_ = h.w.Close()
 	for in := range h.items {
@@ -108,10 +109,10 @@
 	return nil
 }
 
-// end ends the epoch here and in the later stages.
+// end finishes the epoch on this stage and the later ones, and sends the last item.
 func (ru *run) end() error {
 	it := ferryengine.Item{Epoch: ru.req.Epoch, Done: true, Reason: "length", Times: []ferryengine.StageTime{ru.time}}
-	if ru.drives() {
+	if ru.isFirst() {
 		it.Tokens = ru.req.MaxTokens - len(ru.req.Generated)
 	}
 	if ru.next != nil {
@@ -120,8 +121,8 @@
 	return ru.out.send(&it, 0)
 }
 
-// drive begins each token: it feeds the history and then every token that comes back.
-func (ru *run) drive() error {
+// runFirst runs the first stage: it feeds the history and then every generated token into the chain.
+func (ru *run) runFirst() error {
 	req := &ru.req
 	p := ferryid.Position(len(req.Generated))
 	states := ru.history()
@@ -136,7 +137,7 @@
 	return ru.end()
 }
 
-// history is the elements not in the KV cache yet, up to the one that yields the next token.
+// history returns the elements that are not in the KV cache, up to the one that yields the next token.
 func (ru *run) history() []uint64 {
 	req := &ru.req
 	from := 0
@@ -154,8 +155,8 @@
 	return states
 }
 
-// follow applies this stage's layers to what the stage before sends.
-func (ru *run) follow() error {
+// runLater runs a later stage: it applies its layers to the activations received from the previous stage.
+func (ru *run) runLater() error {
 	for {
 		line, err := ru.lines.Next()
 		if errors.Is(err, io.EOF) {
@@ -175,19 +176,20 @@
 	}
 }
 
-// step takes elements through this stage and the rest of the chain and sends the token up; an empty text means that the epoch has failed.
+// step runs elements through this stage and the later ones and sends the token to the previous
+// stage. An empty text without an error means that the epoch failed and the failure was sent.
 func (ru *run) step(from ferryid.Position, states []uint64) (string, error) {
 	p := from + ferryid.Position(len(states)-1)
 	began := ru.e.clock.Now()
 	defer func() { ru.time.HeldMicros += ru.e.clock.Since(began).Microseconds() }()
 	err := ru.apply(from, states)
-	if errors.Is(err, errEmpty) {
+	if errors.Is(err, errNoStream) {
 		return "", ru.fail(ru.receipt.Stage, ferryengine.FailureEmpty, err.Error())
 	}
 	if err != nil {
 		return "", err
 	}
-	if ru.last() {
+	if ru.isLast() {
 		it := ferryengine.Item{Epoch: ru.req.Epoch, Position: p, Text: ferryenginetest.Word(states[len(states)-1])}
 		return it.Text, ru.answer(&it)
 	}
@@ -200,7 +202,7 @@
 		return "", ru.fail(ru.next.stage, ferryengine.FailureDied, err.Error())
 	}
 	for {
-		it, failed := ru.next.take()
+		it, failed := ru.next.receive()
 		if failed != nil {
 			return "", ru.out.send(&ferryengine.Item{Epoch: ru.req.Epoch, Failed: failed}, 0)
 		}
@@ -211,13 +213,13 @@
 	}
 }
 
-// answer adds this stage's receipt to a token and sends it up.
+// answer adds this stage's receipt to a token and sends it to the previous stage.
 func (ru *run) answer(it *ferryengine.Item) error {
 	it.Receipts = append([]ferryengine.Receipt{ru.receipt}, it.Receipts...)
 	f := ru.e.currentFaults()
-	if at(f.DieAtPosition, it.Position) && f.DieWhen == DieInLine {
-		ru.out.half(it)
-		return ru.e.dieNow()
+	if matches(f.DieAtPosition, it.Position) && f.DieWhen == DieInLine {
+		ru.out.sendPartial(it)
+		return ru.e.crash()
 	}
 	if f.LateFromOldEpoch && it.Epoch > 1 {
 		old := *it
--- a/ferrystand/ferrystandengine/dispatch_test.go
+++ b/ferrystand/ferrystandengine/dispatch_test.go
@@ -19,21 +19,21 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-// cutter is a proxy that passes so many bytes of a connection's request and of its answer, and then closes it.
+// cutter is a TCP proxy that closes a connection after a number of bytes of its request or of its answer.
 type cutter struct {
 	ln      net.Listener
 	to      string
 	request int64
 	answer  int64
-	// sound is the number of the first connection that is not cut.
-	sound int64
+	// cuts is the number of connections to cut; later ones are forwarded completely.
+	cuts  int64
 	conns atomic.Int64
 }
 
-func newCutter(tb testing.TB, to string, request, answer, sound int64) *cutter {
+func newCutter(tb testing.TB, to string, request, answer, cuts int64) *cutter {
 	tb.Helper()
 	ln := ferrynettest.Listen()
-	c := &cutter{ln: ln, to: to, request: request, answer: answer, sound: sound}
+	c := &cutter{ln: ln, to: to, request: request, answer: answer, cuts: cuts}
 	go c.serve()
 	tb.Cleanup(func() { _ = ln.Close() })
 	return c
@@ -46,14 +46,14 @@
 			return
 		}
 		request, answer := c.request, c.answer
-		if c.conns.Add(1) > c.sound {
+		if c.conns.Add(1) > c.cuts {
 			request, answer = -1, -1
 		}
-		go pass(conn, c.to, request, answer)
+		go forwardAtMost(conn, c.to, request, answer)
 	}
 }
 
-func pass(in net.Conn, to string, request, answer int64) {
+func forwardAtMost(in net.Conn, to string, request, answer int64) {
 	defer in.Close()
 	out, err := ferrynettest.Dial(context.Background(), "tcp", to)
 	if err != nil {
@@ -75,12 +75,13 @@
 	done <- struct{}{}
 }
 
-// dispatch runs one job on one engine behind a cutter and returns what was said of it and what ran.
-func dispatch(tb testing.TB, request, answer, sound int64) (outcome ferryoutcome.Outcome, ran int) {
+// dispatch runs one job on one engine behind a cutter and
+// returns the reported outcome and the number of records.
+func dispatch(tb testing.TB, request, answer, cuts int64) (outcome ferryoutcome.Outcome, ran int) {
 	tb.Helper()
 	c := &chain{}
 	st := c.add(tb, ferryid.LayerRange{To: testLayers}, clockwork.NewRealClock())
-	proxy := newCutter(tb, st.Address, request, answer, sound)
+	proxy := newCutter(tb, st.Address, request, answer, cuts)
 	clock := clockwork.NewRealClock()
 	pool, err := ferrypipeline.NewPool(ferrypipeline.PlannerConfig{
 		Layers:     testLayers,
@@ -99,7 +100,8 @@
 	return ferryoutcome.Of(err), len(c.engines[0].Records("s"))
 }
 
-// A dispatch is cut at every byte of its request and its answer: NotRun and Ran are true, and nothing is Unknown while the engine can be asked.
+// The connection of a dispatch is cut after every seventh byte of the request and the answer. NotRun
+// and Ran must be correct, and no outcome may be Unknown, since the cancel call reaches the engine.
 func TestOutcomeAtEveryByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		count := map[ferryoutcome.Outcome]int{}
@@ -127,8 +129,8 @@
 	})
 }
 
-// Where the cancel is cut off as well, Unknown is allowed, and NotRun and Ran are still true.
-func TestOutcomeWithoutAnAnswerToCancel(t *testing.T) {
+// If the cancel call is cut as well, Unknown is allowed, and NotRun and Ran must still be correct.
+func TestOutcomeWithCancelCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		count := map[ferryoutcome.Outcome]int{}
 		for n := int64(0); n < 420; n += 35 {
@@ -141,7 +143,7 @@
 	})
 }
 
-// Nothing listens: no byte was written, so nothing ran.
+// A refused connection must be reported as NotRun, since no byte was written.
 func TestNoConnectionIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := ferrynettest.Listen()
--- a/ferrystand/ferrystandengine/doc.go
+++ b/ferrystand/ferrystandengine/doc.go
@@ -1,2 +1,3 @@
-// Package ferrystandengine is the stand-in for a model engine: a hash in place of a model, batching, caches, orders and switches for the faults that real engines have.
+// Package ferrystandengine is a stand-in for a model engine. It computes a hash instead
+// of a model, and has batching, caches, orders and switches for the faults of real engines.
 package ferrystandengine
--- a/ferrystand/ferrystandengine/engine.go
+++ b/ferrystand/ferrystandengine/engine.go
@@ -26,25 +26,27 @@
 	maxBodyBytes        = 256 << 20
 )
 
-// Config sets up an engine; zero values choose the defaults.
+// Config is the configuration of an engine; zero values select the defaults.
 type Config struct {
 	Name        ferryid.UpstreamName
 	Service     ferryid.ServiceName
 	Layers      ferryid.LayerRange
 	Accelerator string
-	// TokensPerSecond is the rate of tokens through all of Layers; a stage of fewer layers costs less, and 0 means no limit.
+	// TokensPerSecond is the rate of tokens through all of Layers, 0 for
+	// no limit. A stage with fewer layers takes less time per token.
 	TokensPerSecond ferryid.TokensPerSecond
-	// Slots is the number of streams that share the rate at once.
+	// Slots is the number of concurrent streams that share the rate.
 	Slots        int
 	LoadLag      time.Duration
 	EventLag     time.Duration
 	CacheEntries int
 	Clock        clockwork.Clock
-	// HTTP sends the calls to the next stage of a chain.
+	// HTTP is the client for calls to the next stage of a chain.
 	HTTP *http.Client
-	// Journal, if set, is written one JSON line for each step before its result leaves the engine, so that it outlives a killed process.
+	// Journal, if set, receives one JSON line per step before the result
+	// of the step is sent, so that it is complete after a kill.
 	Journal io.Writer
-	// OnDie runs when a fault kills the engine, in place of the usual broken connections only.
+	// OnDie, if set, is called after a fault has killed the engine and broken its connections.
 	OnDie func()
 }
 
@@ -66,7 +68,7 @@
 	}
 }
 
-// Engine is one stand-in engine.
+// Engine is one engine stand-in. Kill and Restart simulate the end and the restart of its process.
 type Engine struct {
 	cfg    Config
 	clock  clockwork.Clock
@@ -106,11 +108,11 @@
 	e.reset()
 	e.routes()
 	go e.sched.run(ctx)
-	go e.report(ctx)
+	go e.publishLoad(ctx)
 	return e
 }
 
-// reset starts a new incarnation, which knows no stream.
+// reset starts a new incarnation without any streams.
 func (e *Engine) reset() {
 	e.incarnation = ferryid.NewIncarnation()
 	e.life, e.die = context.WithCancel(context.Background())
@@ -118,7 +120,7 @@
 	e.cache = newPrefixCache(e.cfg.CacheEntries)
 }
 
-// Restart brings a dead engine back as a new incarnation with nothing in memory and no faults.
+// Restart restarts the engine as a new incarnation with empty memory and no faults.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,19 +142,20 @@
 	e.stop()
 }
 
-// Leave marks the engine as leaving: running streams go on, new work is refused.
+// Leave marks the engine as leaving: running streams continue, new work is refused.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// WentSilent receives while a run of the engine hangs in silence.
+// WentSilent returns a channel from which a value can be
+// received while a call hangs because of a silence fault.
 func (e *Engine) WentSilent() <-chan struct{} {
 	return e.silent
 }
 
-// Incarnation identifies the engine's present run.
+// Incarnation returns the engine's current incarnation.
 func (e *Engine) Incarnation() ferryid.Incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -172,7 +175,7 @@
 	e.mux.Put("/admin/faults", e.handleFaults)
 }
 
-// ServeHTTP answers the engine interface and the stand-in's own calls under /admin.
+// ServeHTTP serves the engine interface and the stand-in's own calls under /admin.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	life, silent := e.life, e.faults.Silent
@@ -191,7 +194,7 @@
 	e.mux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// hang holds a connection without a byte until the other side gives up or the engine dies.
+// hang keeps a connection open without sending data until the client closes it or the engine is killed.
 func (e *Engine) hang(ctx, life context.Context) {
 	for {
 		select {
@@ -200,12 +203,12 @@
 		case <-life.Done():
 			return
 		case e.silent <- struct{}{}:
-			// A reader waits for the silence; it may need to hear of it more than once.
+			// A test may wait for the silence more than once.
 		}
 	}
 }
 
-// abort closes the connection at once, without an end of the answer and without reading the rest of the request.
+// abort closes the connection immediately, without completing the answer or reading the rest of the request.
 func abort(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/ferrystand/ferrystandengine/engine_test.go
+++ b/ferrystand/ferrystandengine/engine_test.go
@@ -22,14 +22,14 @@
 
 const testLayers = 12
 
-// chain is a set of engines in one process, each behind its own listener.
+// chain is a set of engines in one process, each with its own listener.
 type chain struct {
 	engines []*ferrystandengine.Engine
 	servers []*httptest.Server
 	stages  ferryengine.Stages
 }
 
-// newChain starts engines that hold equal parts of the layers.
+// newChain starts n engines with equal ranges of the layers.
 func newChain(tb testing.TB, n int) *chain {
 	tb.Helper()
 	c := &chain{}
@@ -40,7 +40,7 @@
 	return c
 }
 
-// newHTTP returns a client of the network in memory.
+// newHTTP returns a client of the in-memory network.
 func newHTTP(tb testing.TB) *http.Client {
 	c := &http.Client{Transport: ferryengine.NewTransport(ferrynettest.Dial)}
 	tb.Cleanup(c.CloseIdleConnections)
@@ -72,7 +72,7 @@
 	}
 }
 
-// collect reads a stream to its end.
+// collect reads a stream to its end and returns its texts and its last item.
 func collect(s ferryengine.Stream) (texts []string, last ferryengine.Item, err error) {
 	defer s.Close()
 	for {
--- a/ferrystand/ferrystandengine/fault.go
+++ b/ferrystand/ferrystandengine/fault.go
@@ -9,42 +9,44 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// DieWhen says at which point of a step DieAtPosition strikes.
+// DieWhen is the point of a step at which DieAtPosition kills the engine.
 type DieWhen string
 
-// The points of a step at which an engine can die.
+// The points of a step at which the engine can be killed: before
+// or after the layers are applied, or within the answer's line.
 const (
 	DieBeforeApply DieWhen = ""
 	DieAfterApply  DieWhen = "AfterApply"
 	DieInLine      DieWhen = "InLine"
 )
 
-// Faults are the switches of an engine, all off when zero.
+// Faults are the fault switches of an engine; the zero value has none on.
 type Faults struct {
-	// DieAtPosition kills the engine in the step of this position.
+	// DieAtPosition kills the engine in the step for this position.
 	DieAtPosition *ferryid.Position `json:"DieAtPosition,omitempty"`
 	DieWhen       DieWhen           `json:"DieWhen,omitempty"`
 	// DelayMS delays each answer line, as a slow link does.
 	DelayMS int `json:"DelayMS,omitempty"`
-	// Silent keeps connections open and sends nothing more.
+	// Silent keeps connections open without sending data.
 	Silent bool `json:"Silent,omitempty"`
-	// SilentAtPosition makes the engine silent in the step of this position.
+	// SilentAtPosition makes the run silent from the step for this position.
 	SilentAtPosition *ferryid.Position `json:"SilentAtPosition,omitempty"`
-	// Empty forgets all streams, as a restart does.
+	// Empty drops all streams, as a restart does.
 	Empty bool `json:"Empty,omitempty"`
-	// EmptyAtPosition forgets the stream in the step of this position.
+	// EmptyAtPosition makes the engine answer that it does not have the stream in the step for this position.
 	EmptyAtPosition *ferryid.Position `json:"EmptyAtPosition,omitempty"`
 	// Duplicate sends each token twice.
 	Duplicate bool `json:"Duplicate,omitempty"`
-	// LateFromOldEpoch sends tokens of the epoch before ahead of each token, and goes on after a cancel.
+	// LateFromOldEpoch sends a token of the previous epoch
+	// before each token, and continues runs after a cancel.
 	LateFromOldEpoch bool `json:"LateFromOldEpoch,omitempty"`
 	Leaving          bool `json:"Leaving,omitempty"`
 	IgnoreFencing    bool `json:"IgnoreFencing,omitempty"`
-	// TokensPerSecond changes the true rate and not the reported one; 0 keeps it.
+	// TokensPerSecond, if not 0, is the actual rate; the reported rate is unchanged.
 	TokensPerSecond ferryid.TokensPerSecond `json:"TokensPerSecond,omitempty"`
 }
 
-// Check returns an error for a switch without meaning.
+// Check returns an error if a switch has an invalid value.
 func (f *Faults) Check() error {
 	switch f.DieWhen {
 	case DieBeforeApply, DieAfterApply, DieInLine:
@@ -61,20 +63,20 @@
 	return time.Duration(f.DelayMS) * time.Millisecond
 }
 
-var errDied = errors.New("the engine died")
+var errDied = errors.New("engine killed by an injected fault")
 
-func at(p *ferryid.Position, now ferryid.Position) bool {
+func matches(p *ferryid.Position, now ferryid.Position) bool {
 	return p != nil && *p == now
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 	if f.Empty {
 		e.streams = newStreams()
-		e.streams.forgot = true
+		e.streams.evicted = true
 	}
 }
 
@@ -93,8 +95,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// dieNow breaks all connections as a killed process does.
-func (e *Engine) dieNow() error {
+// crash breaks all connections, as a killed process does.
+func (e *Engine) crash() error {
 	e.Kill()
 	if e.cfg.OnDie != nil {
 		e.cfg.OnDie()
--- a/ferrystand/ferrystandengine/job_test.go
+++ b/ferrystand/ferrystandengine/job_test.go
@@ -23,7 +23,7 @@
 
 var randomRuns = flag.Int("random-runs", 60, "number of runs with random faults, each with its own seed")
 
-// Eight kinds of engines in one chain, with speeds and links a hundredfold apart.
+// A chain of eight engines with rates that differ by a factor of 100 and different link delays.
 func TestEightKinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &chain{}
@@ -56,8 +56,8 @@
 
 func (fixedPlan) Done(ferrypipeline.Plan, ferryid.Tokens) {}
 
-// Both engines of a stage die in mid-stream; the stream waits for one that joins and goes on there.
-func TestRunnerJoins(t *testing.T) {
+// Both engines of a stage are killed mid-stream; the stream must wait for a new engine and continue there.
+func TestRunnerUsesJoinedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
 		f.engines[1].SetFaults(ferrystandengine.Faults{DieAtPosition: position(3)})
@@ -79,7 +79,8 @@
 	})
 }
 
-// The caller's connection breaks and it goes on at another entry, which knows the epoch of its token, an older one or none.
+// The caller's connection breaks and it resumes at another entry,
+// which knows the epoch of the resume token, an older one or none.
 func TestResumeAtAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		want := ferryenginetest.Reference(cutSeed, cutPrompt, cutTokens, testLayers)
@@ -89,9 +90,9 @@
 			epoch  ferryid.Epoch
 			resume int
 		}{
-			{"with the text it has", 0, 1, 3},
-			{"with nothing, compared at the seam", 0, 1, 0},
-			{"after epochs that it has not heard of", 40, 0, 3},
+			{"with the received text", 0, 1, 3},
+			{"without text, filtered by the resume token", 0, 1, 0},
+			{"after epochs unknown to the entry", 40, 0, 3},
 		} {
 			f := newFleet(t, clockwork.NewRealClock())
 			token := ferrystream.Resume{Customer: "c", Service: "s", Stream: "s", Epoch: 1}
@@ -100,7 +101,7 @@
 			job.Epoch = tt.before
 			_, err := f.runner.Run(context.Background(), job, func(tok ferrypipeline.Token) error {
 				if len(first) == 3 {
-					return errors.New("the caller is gone")
+					return errors.New("caller closed the connection")
 				}
 				first = append(first, tok)
 				token.Next, token.History = tok.Position+1, token.History.Add(tok.Text)
@@ -129,7 +130,7 @@
 	})
 }
 
-// The deadline strikes in mid-stream: the caller keeps what it has and is told that it ran.
+// The deadline expires mid-stream: the caller keeps the tokens received and gets the outcome Ran.
 func TestDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewFakeClock()
@@ -154,7 +155,8 @@
 	})
 }
 
-// Retries that bring no token are charged to the shared budget; moving on from an engine that is leaving is not one.
+// Retries without a new token are charged to the shared retry
+// budget; a retry after a refusal by a leaving engine is not.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
@@ -197,7 +199,7 @@
 	return ferrystandengine.Faults{}
 }
 
-// restartAll brings every engine back empty, as new incarnations.
+// restartAll restarts every engine as a new, empty incarnation.
 func (f *fleet) restartAll(tb testing.TB) {
 	for i, e := range f.engines {
 		e.Restart()
@@ -206,20 +208,21 @@
 	assert.NilError(tb, f.pool.Set(f.cfg, f.pool.Loads()))
 }
 
-// Every engine draws a fault, so several strike together or one after the other, and all come back empty when none is left: whole and right, or failed with a true outcome.
+// Every engine gets a random fault, so several occur together or in turn, and all engines are restarted
+// empty when no plan is left. The answer must be complete and correct, or fail with a correct outcome.
 func TestRandomFaults(t *testing.T) {
 	count := map[ferryoutcome.Outcome]int{}
 	for seed := range uint64(*randomRuns) {
-		// As a subtest each run gives its connections back.
+		// Each run is a subtest so that its cleanup closes its connections.
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { count[randomRun(t, seed)]++ })
 		})
 	}
-	assert.Assert(t, count["whole"] > *randomRuns/2, "%v", count)
+	assert.Assert(t, count["complete"] > *randomRuns/2, "%v", count)
 	t.Logf("outcomes %v", count)
 }
 
-// randomRun runs one job and returns "whole" or the outcome of its failure.
+// randomRun runs one job and returns "complete" or the outcome of its failure.
 func randomRun(t *testing.T, seed uint64) ferryoutcome.Outcome {
 	r := rand.New(rand.NewPCG(seed, 0))
 	f := newFleet(t, clockwork.NewRealClock())
@@ -234,7 +237,7 @@
 	got, _, err := f.run(context.Background())
 	if err == nil {
 		f.verify(t, got)
-		return "whole"
+		return "complete"
 	}
 	generated := 0
 	for _, a := range f.records() {
@@ -252,7 +255,7 @@
 	return outcome
 }
 
-func TestJobThatNoEngineCouldRun(t *testing.T) {
+func TestInvalidJobIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
 		for _, change := range []func(j *ferrypipeline.Job){
@@ -271,8 +274,9 @@
 	})
 }
 
-// An engine that is a hundred times slower than it reports is found by the time it takes for a token, and avoided.
-func TestSlowEngineIsFound(t *testing.T) {
+// An engine that is 100 times slower than it reports must
+// be detected by its measured time per token, and avoided.
+func TestSlowEngineIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
 		for i, e := range f.engines {
--- a/ferrystand/ferrystandengine/load.go
+++ b/ferrystand/ferrystandengine/load.go
@@ -8,15 +8,15 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
-// reports are the load report that callers see and the next one, one lag younger.
+// reports are the published load report and the next one, which is LoadLag newer.
 type reports struct {
-	shown ferryengine.Load
-	next  ferryengine.Load
+	published ferryengine.Load
+	next      ferryengine.Load
 }
 
-func (e *Engine) report(ctx context.Context) {
+func (e *Engine) publishLoad(ctx context.Context) {
 	e.mu.Lock()
-	e.reports = reports{shown: e.load(), next: e.load()}
+	e.reports = reports{published: e.load(), next: e.load()}
 	e.mu.Unlock()
 	t := e.clock.NewTicker(e.cfg.LoadLag)
 	defer t.Stop()
@@ -27,7 +27,7 @@
 		case <-t.Chan():
 		}
 		e.mu.Lock()
-		e.reports = reports{shown: e.reports.next, next: e.load()}
+		e.reports = reports{published: e.reports.next, next: e.load()}
 		e.mu.Unlock()
 	}
 }
@@ -52,7 +52,7 @@
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	l := e.reports.shown
+	l := e.reports.published
 	if l.Name == "" {
 		l = e.load()
 	}
@@ -60,7 +60,7 @@
 	writeJSON(w, l)
 }
 
-// Running is the number of streams that run now.
+// Running returns the number of running streams.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/ferrystand/ferrystandengine/order.go
+++ b/ferrystand/ferrystandengine/order.go
@@ -27,7 +27,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// LastOrder is the order in force.
+// LastOrder returns the order in force.
 func (e *Engine) LastOrder() ferryengine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/ferrystand/ferrystandengine/pipeline_test.go
+++ b/ferrystand/ferrystandengine/pipeline_test.go
@@ -28,7 +28,7 @@
 	cutImports = 1
 )
 
-// fleet is two engines for each of three parts of the layers, and a runner over them.
+// fleet is two engines for each of three layer ranges, and a runner.
 type fleet struct {
 	chain
 	cfg    ferrypipeline.PlannerConfig
@@ -51,7 +51,7 @@
 				Name: ferryid.UpstreamName(fmt.Sprintf("e%d-%d", i, replica)), Address: st.Address, Layers: layers,
 				Domain: "ruse-a", Incarnation: f.engines[len(f.engines)-1].Incarnation(),
 			})
-			// The first replicas are faster, so the first plan is known.
+			// The first replicas are faster, so that the first plan is deterministic.
 			loads = append(loads, ferrypipeline.Load{Rate: ferryid.TokensPerSecond(1000 - 500*replica)})
 		}
 	}
@@ -68,7 +68,7 @@
 	return ferrypipeline.Job{Service: "herd-llm", Stream: f.stream, Customer: "c", Prompt: cutPrompt, MaxTokens: cutTokens, Seed: cutSeed}
 }
 
-// run runs the job and returns what the caller got, in the order it came.
+// run runs the job and returns the emitted tokens in order.
 func (f *fleet) run(ctx context.Context) ([]ferrypipeline.Token, ferrypipeline.Result, error) {
 	var got []ferrypipeline.Token
 	res, err := f.runner.Run(ctx, f.job(), func(t ferrypipeline.Token) error {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// verify holds the answer against the model's own text and the engines' records.
+// verify compares the answer with the reference text and checks it against the engines' records.
 func (f *fleet) verify(tb testing.TB, got []ferrypipeline.Token) ferrypipeline.Checker {
 	tb.Helper()
 	texts := make([]string, len(got))
@@ -108,7 +108,8 @@
 	return &at
 }
 
-// Every stage fails in every way at every position of a short stream; the caller gets the whole text once.
+// Every stage fails in every way at every position of a short stream;
+// the caller must receive the complete text exactly once.
 func TestEveryCutPoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		type cut struct {
@@ -117,16 +118,16 @@
 			epochs int
 		}
 		cuts := []cut{
-			{"dies before the step", func(p int) ferrystandengine.Faults {
+			{"killed before the step", func(p int) ferrystandengine.Faults {
 				return ferrystandengine.Faults{DieAtPosition: position(p)}
 			}, 2},
-			{"dies after the step", func(p int) ferrystandengine.Faults {
+			{"killed after the step", func(p int) ferrystandengine.Faults {
 				return ferrystandengine.Faults{DieAtPosition: position(p), DieWhen: ferrystandengine.DieAfterApply}
 			}, 2},
-			{"dies within its answer", func(p int) ferrystandengine.Faults {
+			{"killed within its answer", func(p int) ferrystandengine.Faults {
 				return ferrystandengine.Faults{DieAtPosition: position(p), DieWhen: ferrystandengine.DieInLine}
 			}, 2},
-			{"comes back empty", func(p int) ferrystandengine.Faults {
+			{"loses the stream", func(p int) ferrystandengine.Faults {
 				return ferrystandengine.Faults{EmptyAtPosition: position(p)}
 			}, 2},
 			{"answers twice", func(int) ferrystandengine.Faults { return ferrystandengine.Faults{Duplicate: true} }, 1},
@@ -149,7 +150,8 @@
 	})
 }
 
-// An engine that ignores cancels goes on sending its old epoch's tokens, also into the new epoch's answer.
+// An engine that ignores cancels continues to send tokens
+// of its old epoch, also into the answer of the new epoch.
 func TestLateFromOldEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
@@ -163,8 +165,8 @@
 	})
 }
 
-// Two stages die one after the other, the second while the first's work is rebuilt.
-func TestTwice(t *testing.T) {
+// Two stages are killed in turn, the second while the work of the first is rebuilt.
+func TestTwoStagesFailInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
 		f.engines[1].SetFaults(ferrystandengine.Faults{DieAtPosition: position(2)})
@@ -176,7 +178,8 @@
 	})
 }
 
-// A stage that loses its link and not its memory hands its KV cache to its successor: nothing is rebuilt.
+// If a stage loses its link but not its memory, its KV cache
+// is imported by its successor and nothing is rebuilt.
 func TestRecoveryByImport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, tt := range []struct {
@@ -201,7 +204,7 @@
 	})
 }
 
-// cutOnce breaks the first epoch's connection after some items, as a link does whose ends live on.
+// cutOnce breaks the connection of the first epoch after a number of items, while both ends keep running.
 type cutOnce struct {
 	ferrypipeline.Engines
 	after int
@@ -224,13 +227,14 @@
 
 func (c *cutStream) Next() (ferryengine.Item, error) {
 	if c.left == 0 {
-		return ferryengine.Item{}, &ferryengine.DispatchError{Phase: ferryoutcome.PhaseAnswered, Err: errors.New("cut")}
+		return ferryengine.Item{}, &ferryengine.DispatchError{Phase: ferryoutcome.PhaseAnswered, Err: errors.New("connection cut by the test")}
 	}
 	c.left--
 	return c.Stream.Next()
 }
 
-// A stage goes silent with its connections open: the side that waits closes its connection when the progress deadline strikes.
+// A stage goes silent with its connections open: the waiting side
+// must close its connection when the progress deadline expires.
 func TestSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := []time.Duration{2600 * time.Millisecond, 2100 * time.Millisecond, 1600 * time.Millisecond}
@@ -240,7 +244,8 @@
 			f.engines[stage].SetFaults(ferrystandengine.Faults{SilentAtPosition: position(2)})
 			f.emit = func(tok ferrypipeline.Token) {
 				if tok.Position == 1 {
-					// Every timer was set again before this token came, so one step of the clock strikes the silent hop only.
+					// Every timer was reset before this token arrived, so advancing
+					// the clock expires only that of the silent hop.
 					<-f.engines[stage].WentSilent()
 					clock.Advance(past)
 				}
@@ -253,7 +258,7 @@
 	})
 }
 
-// All engines of one stage are leaving: the job is refused and nothing ran anywhere.
+// If all engines of one stage are leaving, the job is refused and no engine has run anything.
 func TestRefusedIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for stage := range cutStages {
@@ -267,7 +272,7 @@
 	})
 }
 
-// A degraded link only makes a stream slow.
+// A delayed link slows a stream down without causing a new epoch.
 func TestDegradedLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
@@ -280,7 +285,7 @@
 	})
 }
 
-// The checker refuses records that break the promise.
+// The checker must report records in which a layer is missing, repeated or out of order.
 func TestCheckerRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, clockwork.NewRealClock())
@@ -290,9 +295,9 @@
 			name   string
 			change func(rs []ferrypipeline.Applied) []ferrypipeline.Applied
 		}{
-			{"left out", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied { return rs[1:] }},
-			{"twice", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied { return append(rs, rs[0]) }},
-			{"again later", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied {
+			{"missing", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied { return rs[1:] }},
+			{"repeated", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied { return append(rs, rs[0]) }},
+			{"repeated in a later epoch", func(rs []ferrypipeline.Applied) []ferrypipeline.Applied {
 				again := rs[0]
 				again.Epoch++
 				return append(rs, again)
--- a/ferrystand/ferrystandengine/record.go
+++ b/ferrystand/ferrystandengine/record.go
@@ -9,10 +9,10 @@
 
 const maxSteps = 1 << 16
 
-// Record says that the engine applied one layer to one position of a stream.
+// Record is the application of one layer to one position of a stream.
 type Record = ferrypipeline.Applied
 
-// Step says that the engine applied its layers to N positions of a stream, of which the last yields a token.
+// Step is the application of the engine's layers to N positions of a stream; the last position yields a token.
 type Step struct {
 	Stream  ferryid.StreamID   `json:"Stream"`
 	Epoch   ferryid.Epoch      `json:"Epoch"`
@@ -35,7 +35,7 @@
 	return out
 }
 
-// recordLog keeps the last steps; the oldest give way.
+// recordLog is a ring buffer of the last maxSteps steps.
 type recordLog struct {
 	steps []Step
 	head  int
@@ -50,7 +50,7 @@
 	l.head = (l.head + 1) % maxSteps
 }
 
-func (l *recordLog) of(stream ferryid.StreamID) []Record {
+func (l *recordLog) forStream(stream ferryid.StreamID) []Record {
 	var out []Record
 	for i := range l.steps {
 		s := l.steps[(l.head+i)%len(l.steps)]
@@ -62,11 +62,11 @@
 	return out
 }
 
-// Records returns what the engine applied to a stream, in order; an empty name means all streams.
+// Records returns the layers that the engine applied to a stream, in order. An empty ID selects all streams.
 func (e *Engine) Records(stream ferryid.StreamID) []Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.records.of(stream)
+	return e.records.forStream(stream)
 }
 
 func (e *Engine) handleRecords(w http.ResponseWriter, r *http.Request) {
--- a/ferrystand/ferrystandengine/resume_test.go
+++ b/ferrystand/ferrystandengine/resume_test.go
@@ -20,9 +20,10 @@
 	"cactusferry.dev/ferry/ferrystream"
 )
 
-var errCut = errors.New("the caller's connection is cut")
+var errCut = errors.New("caller's connection cut by the test")
 
-// entry answers one call as an entry does: it opens the event id, if there is one, and writes events until the connection is cut after some bytes.
+// entry answers one call as an entry does: it opens the last event ID, if any,
+// and writes events until the connection is cut after a number of bytes.
 func (f *fleet) entry(tb testing.TB, lastEventID string, cut int) (written []byte, err error) {
 	tb.Helper()
 	sealer, err := ferrystream.NewSealer(ferrystream.SealerConfig{Keys: [][]byte{bytes.Repeat([]byte("k"), 32)}})
@@ -33,7 +34,7 @@
 		resume, err = sealer.Open(lastEventID, "c", "herd-llm", request)
 		assert.NilError(tb, err)
 	}
-	// The token's history begins anew, since the answer is regenerated from its first token.
+	// The history of the new resume tokens starts empty, since the answer is regenerated from its first token.
 	fresh := resume
 	fresh.Next, fresh.History = 0, 0
 	ids, err := sealer.Stream(fresh)
@@ -66,8 +67,9 @@
 	return written, write(compose.Done(nil, res.Reason))
 }
 
-// read takes whole events only, as an SSE client does, and returns the text, the last event id and whether the answer was whole.
-func read(tb testing.TB, stream []byte) (text, lastID string, whole bool) {
+// read parses the complete events, as an SSE client does, and returns
+// the text, the last event ID and whether [DONE] was received.
+func read(tb testing.TB, stream []byte) (text, lastID string, done bool) {
 	tb.Helper()
 	events := strings.Split(string(stream), "\n\n")
 	for _, event := range events[:len(events)-1] {
@@ -79,7 +81,7 @@
 			data, ok := strings.CutPrefix(line, "data: ")
 			switch {
 			case data == "[DONE]":
-				whole = true
+				done = true
 			case ok:
 				var chunk struct{ Choices []struct{ Text string } }
 				assert.NilError(tb, json.Unmarshal([]byte(data), &chunk))
@@ -87,11 +89,12 @@
 			}
 		}
 	}
-	return text, lastID, whole
+	return text, lastID, done
 }
 
-// The entry dies after any number of bytes and the caller goes on at another entry with its event id: the text is whole and right.
-func TestEntryDiesAtAnyByte(t *testing.T) {
+// The connection to an entry breaks after any number of bytes and the caller resumes
+// at another entry with its last event ID: the text must be complete and correct.
+func TestEntryConnectionCutAtAnyByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		want := strings.Join(ferryenginetest.Reference(cutSeed, cutPrompt, cutTokens, testLayers), "")
 		f := newFleet(t, clockwork.NewRealClock())
@@ -99,23 +102,24 @@
 		assert.NilError(t, err)
 		f = newFleet(t, clockwork.NewRealClock())
 		for cut := 0; cut < len(all); cut += 41 {
-			// Engines remember streams, so each run has its own.
+			// Engines keep the state of a stream, so each iteration needs a new one.
 			f.stream = ferryid.StreamID(fmt.Sprint("s", cut))
 			first, err := f.entry(t, "", cut)
 			assert.Assert(t, err != nil)
-			text, id, whole := read(t, first)
-			assert.Assert(t, !whole)
+			text, id, done := read(t, first)
+			assert.Assert(t, !done)
 			second, err := f.entry(t, id, 1<<20)
 			assert.NilError(t, err, "cut after %d bytes", cut)
-			rest, _, whole := read(t, second)
-			assert.Assert(t, whole)
+			rest, _, done := read(t, second)
+			assert.Assert(t, done)
 			assert.Equal(t, text+rest, want, "cut after %d bytes", cut)
 		}
 	})
 }
 
-// Every connection is cut after one event; the caller gets the whole text all the same, a token at a time.
-func TestCallerThatKeepsLosingItsConnection(t *testing.T) {
+// Every connection is cut after one event; the caller must
+// still receive the complete text, one token per connection.
+func TestCallerResumesAfterEachEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const room = 600
 		f := newFleet(t, clockwork.NewRealClock())
--- a/ferrystand/ferrystandengine/run.go
+++ b/ferrystand/ferrystandengine/run.go
@@ -19,7 +19,7 @@
 	bytesPerToken  = 4
 )
 
-// run is one epoch of one stream on this engine.
+// run is one epoch of one stream on one stage.
 type run struct {
 	e       *Engine
 	ctx     context.Context
@@ -36,7 +36,7 @@
 func (e *Engine) handleRun(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	_ = rc.EnableFullDuplex()
-	// A refusal leaves the request unread, so its connection can't be used again.
+	// A refusal leaves the request body unread, so the connection cannot be reused.
 	w.Header().Set("Connection", "close")
 	lines := ferryengine.NewRequestReader(r.Body)
 	line, err := lines.Next()
@@ -58,26 +58,26 @@
 		p.Write(w)
 		return
 	}
-	defer ru.forget()
+	defer ru.release()
 	w.Header().Del("Connection")
 	ru.out = newItemWriter(e, w, rc)
-	defer ru.out.beat(ctx)()
-	// A cancelled run must not wait for the stage before it to send something.
+	defer ru.out.startHeartbeats(ctx)()
+	// A cancelled run must not block in a read from the previous stage.
 	defer context.AfterFunc(ctx, func() { _ = rc.SetReadDeadline(time.Now()) })()
 	err = ru.serve()
-	var silent *silence
+	var silent *silentError
 	if errors.As(err, &silent) {
-		ru.out.hush()
+		ru.out.mute()
 		e.hang(r.Context(), e.lifetime())
 	}
 	if err != nil {
-		ru.out.hush()
+		ru.out.mute()
 		abort(w)
 		return
 	}
-	// The server can't end a full-duplex exchange whose request it has not read to its end.
+	// The server cannot complete a full-duplex exchange before it has read the request body to its end.
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		ru.out.hush()
+		ru.out.mute()
 		abort(w)
 	}
 }
@@ -88,7 +88,7 @@
 	return e.life
 }
 
-// accept takes the epoch, or says why it is refused before anything of it ran.
+// accept registers the epoch, or returns the reason for its refusal; a refused epoch has not run.
 func (ru *run) accept(cancel context.CancelFunc) *ferryoutcome.Problem {
 	e, req := ru.e, &ru.req
 	e.mu.Lock()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (ru *run) forget() {
+func (ru *run) release() {
 	e := ru.e
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,9 +130,9 @@
 	}
 }
 
-func (ru *run) drives() bool { return ru.layers.From == 0 }
+func (ru *run) isFirst() bool { return ru.layers.From == 0 }
 
-func (ru *run) last() bool { return len(ru.req.Stages) == 1 }
+func (ru *run) isLast() bool { return len(ru.req.Stages) == 1 }
 
 func (ru *run) serve() error {
 	done, err := ru.e.sched.slot(ru.ctx, ru.req.Priority)
@@ -143,8 +143,8 @@
 	if ru.req.Import && !ru.truncate() {
 		return ru.fail(ru.receipt.Stage, ferryengine.FailureEmpty, "the KV cache is not here")
 	}
-	if !ru.last() {
-		if failed := ru.open(); failed != nil {
+	if !ru.isLast() {
+		if failed := ru.openNext(); failed != nil {
 			return ru.out.send(&ferryengine.Item{Epoch: ru.req.Epoch, Failed: failed}, 0)
 		}
 		defer ru.next.close()
@@ -152,13 +152,13 @@
 	if err := ru.out.send(&ferryengine.Item{Epoch: ru.req.Epoch, Ready: true}, 0); err != nil {
 		return err
 	}
-	if ru.drives() {
-		return ru.drive()
+	if ru.isFirst() {
+		return ru.runFirst()
 	}
-	return ru.follow()
+	return ru.runLater()
 }
 
-// truncate cuts the KV cache to the history and reports whether there was enough of it.
+// truncate shortens the KV cache to the length of the history. It reports false if the cache is shorter.
 func (ru *run) truncate() bool {
 	want := len(ru.req.Generated) * ru.layers.Len()
 	if len(ru.kv) < want {
@@ -173,20 +173,20 @@
 	return ru.out.send(&ferryengine.Item{Epoch: ru.req.Epoch, Failed: f}, 0)
 }
 
-// silence is the error of a run whose engine went silent.
-type silence struct{}
+// silentError reports that a silence fault applies to the run.
+type silentError struct{}
 
-func (*silence) Error() string { return "silent" }
+func (*silentError) Error() string { return "run silenced by an injected fault" }
 
-// apply runs the stage's layers over consecutive history elements, of which only the last yields a token.
+// apply applies the stage's layers to consecutive history elements, of which only the last yields a token.
 func (ru *run) apply(from ferryid.Position, states []uint64) error {
 	p := from + ferryid.Position(len(states)-1)
 	f := ru.e.currentFaults()
-	if f.Silent || at(f.SilentAtPosition, p) {
-		return &silence{}
+	if f.Silent || matches(f.SilentAtPosition, p) {
+		return &silentError{}
 	}
-	if at(f.DieAtPosition, p) && f.DieWhen == DieBeforeApply {
-		return ru.e.dieNow()
+	if matches(f.DieAtPosition, p) && f.DieWhen == DieBeforeApply {
+		return ru.e.crash()
 	}
 	cost := ru.cost(f, from, len(states))
 	if err := ru.e.sched.step(ru.ctx, ru.req.Priority, cost); err != nil {
@@ -209,25 +209,26 @@
 		}
 		states[i] = x
 	}
-	if err := ru.note(from, len(states), f); err != nil {
+	if err := ru.record(from, len(states), f); err != nil {
 		return err
 	}
-	if at(f.DieAtPosition, p) && f.DieWhen == DieAfterApply {
-		return ru.e.dieNow()
+	if matches(f.DieAtPosition, p) && f.DieWhen == DieAfterApply {
+		return ru.e.crash()
 	}
 	return nil
 }
 
-var errEmpty = errors.New("the stream is not here")
+var errNoStream = errors.New("the stream is not here")
 
-// note records the step, unless the engine does not know the stream any more or has cancelled the epoch.
-func (ru *run) note(from ferryid.Position, n int, f Faults) error {
+// record records the step. It returns an error if the engine
+// no longer has the stream or the epoch was cancelled.
+func (ru *run) record(from ferryid.Position, n int, f Faults) error {
 	e := ru.e
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	st, ok := e.streams.byID[ru.req.Stream]
-	if !ok || f.Empty || at(f.EmptyAtPosition, from+ferryid.Position(n-1)) {
-		return errEmpty
+	if !ok || f.Empty || matches(f.EmptyAtPosition, from+ferryid.Position(n-1)) {
+		return errNoStream
 	}
 	if ru.req.Epoch <= st.cancelled {
 		return context.Canceled
@@ -268,7 +269,7 @@
 	return time.Duration(tokens * share / float64(rate) * float64(time.Second))
 }
 
-// uncached is the number of the prompt's tokens that are not in the prefix cache.
+// uncached returns the number of the prompt's tokens that were not in the prefix cache, and caches them.
 func (ru *run) uncached() int {
 	e := ru.e
 	e.mu.Lock()
--- a/ferrystand/ferrystandengine/scheduler.go
+++ b/ferrystand/ferrystandengine/scheduler.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	waiterRing  = 1024
-	shortestNap = time.Millisecond
+	waiterBuffer = 1024
+	minWait      = time.Millisecond
 )
 
 // waiter is a stream that waits for a slot or for its step.
@@ -47,30 +47,31 @@
 	return w
 }
 
-// scheduler is the engine's batch: its goroutine hands out slots to streams and the accelerator's time to steps, lower priority numbers first.
+// scheduler simulates batching on the accelerator. Its goroutine assigns slots
+// to streams and accelerator time to steps, lower priority numbers first.
 type scheduler struct {
-	clock   clockwork.Clock
-	enter   chan *waiter
-	leave   chan struct{}
-	steps   chan *waiter
-	free    int
-	seq     uint64
-	queue   waiters
-	waiting waiters
-	busy    time.Time
+	clock     clockwork.Clock
+	enter     chan *waiter
+	leave     chan struct{}
+	steps     chan *waiter
+	free      int
+	seq       uint64
+	queue     waiters
+	waiting   waiters
+	busyUntil time.Time
 }
 
 func newScheduler(clock clockwork.Clock, slots int) *scheduler {
 	return &scheduler{
 		clock: clock,
-		enter: make(chan *waiter, waiterRing),
-		leave: make(chan struct{}, waiterRing),
-		steps: make(chan *waiter, waiterRing),
+		enter: make(chan *waiter, waiterBuffer),
+		leave: make(chan struct{}, waiterBuffer),
+		steps: make(chan *waiter, waiterBuffer),
 		free:  slots,
 	}
 }
 
-// slot waits for one of the slots; done gives it back.
+// slot waits for a free slot; done releases it.
 func (s *scheduler) slot(ctx context.Context, priority int) (done func(), err error) {
 	w := &waiter{priority: priority, ready: make(chan struct{}), ctx: ctx}
 	select {
@@ -90,7 +91,7 @@
 	}
 }
 
-// step waits until the accelerator has done work that takes it the cost.
+// step waits for the accelerator to start a step of the given cost, which then occupies it for that time.
 func (s *scheduler) step(ctx context.Context, priority int, cost time.Duration) error {
 	if cost <= 0 {
 		return ctx.Err()
@@ -114,8 +115,8 @@
 	defer timer.Stop()
 	for {
 		s.admit()
-		nap := s.serve(s.clock.Now())
-		timer.Reset(nap)
+		wait := s.startSteps(s.clock.Now())
+		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
@@ -143,20 +144,20 @@
 	}
 }
 
-// serve starts the steps whose time has come and says how long until the next.
-func (s *scheduler) serve(now time.Time) time.Duration {
+// startSteps starts the due steps and returns the time until the next one.
+func (s *scheduler) startSteps(now time.Time) time.Duration {
 	for len(s.queue) > 0 {
-		if nap := s.busy.Sub(now); nap >= shortestNap {
-			return nap
+		if wait := s.busyUntil.Sub(now); wait >= minWait {
+			return wait
 		}
 		w := heap.Pop(&s.queue).(*waiter)
 		if w.ctx.Err() != nil {
 			continue
 		}
-		if s.busy.Before(w.at) {
-			s.busy = w.at
+		if s.busyUntil.Before(w.at) {
+			s.busyUntil = w.at
 		}
-		s.busy = s.busy.Add(w.cost)
+		s.busyUntil = s.busyUntil.Add(w.cost)
 		close(w.ready)
 	}
 	return time.Hour
--- a/ferrystand/ferrystandengine/stream.go
+++ b/ferrystand/ferrystandengine/stream.go
@@ -13,15 +13,15 @@
 	"cactusferry.dev/ferry/ferryoutcome"
 )
 
-// stream is what the engine remembers of one stream.
+// stream is the engine's state of one stream.
 type stream struct {
 	epoch  ferryid.Epoch
 	cancel context.CancelFunc
-	// cancelled is the highest epoch that was cancelled; nothing of it is applied any more.
+	// cancelled is the highest cancelled epoch; no layer is applied for it or earlier ones.
 	cancelled ferryid.Epoch
 	ran       bool
 	layers    ferryid.LayerRange
-	// kv holds the cache after each history element, one value a layer.
+	// kv is the KV cache: one value per history element and layer.
 	kv   []uint64
 	left int
 }
@@ -33,12 +33,12 @@
 	return len(st.kv) / st.layers.Len()
 }
 
-// streams keeps a bounded number of streams; the oldest gives way.
+// streams contains at most maxStreams streams; the oldest is evicted first.
 type streams struct {
 	byID  map[ferryid.StreamID]*stream
 	order []ferryid.StreamID
-	// forgot says that a stream has given way, so an unknown one may have run here.
-	forgot bool
+	// evicted is set once a stream was evicted or dropped; from then on an unknown stream may have run here.
+	evicted bool
 }
 
 func newStreams() streams {
@@ -53,7 +53,7 @@
 	if len(ss.order) >= maxStreams {
 		delete(ss.byID, ss.order[0])
 		ss.order = ss.order[1:]
-		ss.forgot = true
+		ss.evicted = true
 	}
 	st = &stream{}
 	ss.byID[id] = st
@@ -72,7 +72,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.streams.byID[streamID(r)]; !ok && e.streams.forgot {
+	if _, ok := e.streams.byID[streamID(r)]; !ok && e.streams.evicted {
 		ferryoutcome.New(ferryoutcome.KindNotFound, ferryoutcome.Unknown, "the stream may have been forgotten").Write(w)
 		return
 	}
@@ -89,7 +89,7 @@
 
 type cancelRequest ferryengine.CancelRequest
 
-// Check accepts every epoch.
+// Check returns nil, since every epoch is valid.
 func (*cancelRequest) Check() error { return nil }
 
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
--- a/ferrystand/ferrystandengine/trace_test.go
+++ b/ferrystand/ferrystandengine/trace_test.go
@@ -20,8 +20,9 @@
 
 var record = flag.String("record", "", "directory to write the recorded traces to")
 
-// Jobs on real engines are recorded, and the recording replays to the same tokens; with -record it is kept for ferrypipeline's golden files.
-func TestTracesReplayAlike(t *testing.T) {
+// Jobs on engine stand-ins are recorded, and the recording must replay to the same
+// tokens. With -record the traces are written for the golden files of ferrypipeline.
+func TestTracesReplayToSameTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, tt := range []struct {
 			name   string
--- a/ferrystand/ferrystandengine/writer.go
+++ b/ferrystand/ferrystandengine/writer.go
@@ -9,16 +9,16 @@
 	"cactusferry.dev/ferry/ferryengine"
 )
 
-// itemWriter writes items and, while there are none, heartbeats.
+// itemWriter writes items, and heartbeats in intervals without an item.
 type itemWriter struct {
 	e  *Engine
 	rc *http.ResponseController
 
-	mu     sync.Mutex
-	w      http.ResponseWriter
-	buf    []byte
-	wrote  bool
-	hushed bool
+	mu    sync.Mutex
+	w     http.ResponseWriter
+	buf   []byte
+	wrote bool
+	muted bool
 }
 
 func newItemWriter(e *Engine, w http.ResponseWriter, rc *http.ResponseController) *itemWriter {
@@ -39,8 +39,8 @@
 	return o.write(o.buf)
 }
 
-// half writes half of an item's line.
-func (o *itemWriter) half(it *ferryengine.Item) {
+// sendPartial writes the first half of an item's line.
+func (o *itemWriter) sendPartial(it *ferryengine.Item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := ferryengine.AppendItem(nil, it)
@@ -48,7 +48,7 @@
 }
 
 func (o *itemWriter) write(b []byte) error {
-	if o.hushed {
+	if o.muted {
 		return nil
 	}
 	o.wrote = true
@@ -58,15 +58,15 @@
 	return o.rc.Flush()
 }
 
-// hush ends all writing.
-func (o *itemWriter) hush() {
+// mute discards all later writes.
+func (o *itemWriter) mute() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.hushed = true
+	o.muted = true
 }
 
-// beat writes an empty line in each interval without an item, until the function it returns is called.
-func (o *itemWriter) beat(ctx context.Context) (stop func()) {
+// startHeartbeats writes an empty line in each interval without an item, until stop is called.
+func (o *itemWriter) startHeartbeats(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	t := o.e.clock.NewTicker(heartbeatInterval)
 	done := make(chan struct{})
@@ -78,7 +78,7 @@
 			case <-ctx.Done():
 				return
 			case <-t.Chan():
-				o.beatOnce()
+				o.sendHeartbeat()
 			}
 		}
 	}()
@@ -88,7 +88,7 @@
 	}
 }
 
-func (o *itemWriter) beatOnce() {
+func (o *itemWriter) sendHeartbeat() {
 	silent := o.e.currentFaults().Silent
 	o.mu.Lock()
 	defer o.mu.Unlock()
