--- a/ferrystand/ferrystandplatform/admin.go
+++ b/ferrystand/ferrystandplatform/admin.go
@@ -12,7 +12,7 @@
 
 func (s *Server) setInstance(w http.ResponseWriter, r *http.Request) {
 	var in ferryplatform.Instance
-	if !read(w, r, &in) {
+	if !decode(w, r, &in) {
 		return
 	}
 	in.Name = chi.URLParam(r, "name")
@@ -30,7 +30,7 @@
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f ferryplatformtest.Faults
-	if !read(w, r, &f) {
+	if !decode(w, r, &f) {
 		return
 	}
 	s.SetFaults(f)
@@ -54,8 +54,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// read decodes a strict JSON body, and answers 400 itself if it can't.
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+// decode decodes a JSON body without unknown fields. If that fails, it answers 400 and returns false.
+func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxValueBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
--- a/ferrystand/ferrystandplatform/bench_test.go
+++ b/ferrystand/ferrystandplatform/bench_test.go
@@ -19,7 +19,8 @@
 
 const benchEntries = 9
 
-// BenchmarkInForceEverywhere measures from the start of an apply until it is in force at nine entries that all watch over HTTP.
+// BenchmarkInForceEverywhere measures the time from the start of an apply
+// until the document is in force at nine entries that watch over HTTP.
 func BenchmarkInForceEverywhere(b *testing.B) {
 	for _, delay := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprintf("platform-delay=%dms", delay), func(b *testing.B) {
@@ -30,20 +31,20 @@
 			ctx, cancel := context.WithCancel(b.Context())
 			defer cancel()
 			budget := ferryplatform.Budget{PerSecond: 1e6, Burst: 1e6}
-			var news []*ferrydocument.Subscription
+			var subscriptions []*ferrydocument.Subscription
 			for i := range benchEntries {
 				h := ferrydocument.NewHolder(clock, nil)
 				client := ferryplatform.New(ferryplatform.ClientConfig{URL: srv.URL, Budget: budget})
 				w := ferrydocument.NewWatcher(ferrydocument.WatcherConfig{Store: client, Holder: h, Clock: clock, Seed: uint64(i)})
 				w.SetWatching(true)
 				go func() { _ = w.Run(ctx) }()
-				news = append(news, h.Subscribe())
+				subscriptions = append(subscriptions, h.Subscribe())
 			}
 			platform.SetFaults(ferryplatformtest.Faults{DelayMS: delay})
 			operator := ferryplatform.New(ferryplatform.ClientConfig{URL: srv.URL, Budget: budget})
 			var took []time.Duration
 			for i := 0; b.Loop(); i++ {
-				took = append(took, inForce(ctx, b, operator, clock, news, i))
+				took = append(took, inForce(ctx, b, operator, clock, subscriptions, i))
 			}
 			slices.Sort(took)
 			b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
@@ -52,8 +53,8 @@
 	}
 }
 
-// inForce applies the next version and waits until every entry has it.
-func inForce(ctx context.Context, b *testing.B, store ferryplatform.Store, clock clockwork.Clock, news []*ferrydocument.Subscription, i int) time.Duration {
+// inForce applies the next generation, waits until every entry has received it, and returns the time taken.
+func inForce(ctx context.Context, b *testing.B, store ferryplatform.Store, clock clockwork.Clock, subscriptions []*ferrydocument.Subscription, i int) time.Duration {
 	from := time.Now()
 	a, err := ferrydocument.Apply(ctx, store, clock, ferrydocument.ApplyRequest{
 		Service: "parlour-api", Source: fmt.Sprintf("Service = \"parlour-api\"\nTeam = \"%d\"\nKind = \"Plain\"\n", i),
@@ -62,7 +63,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, s := range news {
+	for _, s := range subscriptions {
 		for seen := ferryid.Generation(0); seen < a.Generation; {
 			<-s.Ready()
 			for _, f := range s.Take() {
--- a/ferrystand/ferrystandplatform/doc.go
+++ b/ferrystand/ferrystandplatform/doc.go
@@ -1,2 +1,3 @@
-// Package ferrystandplatform is the stand-in for the platform: its object API and instance list over HTTP, with fault switches.
+// Package ferrystandplatform is a stand-in for the platform: the
+// object API and the instance list over HTTP, with fault switches.
 package ferrystandplatform
--- a/ferrystand/ferrystandplatform/race_test.go
+++ b/ferrystand/ferrystandplatform/race_test.go
@@ -18,8 +18,9 @@
 	"cactusferry.dev/ferrystand/ferrystandplatform"
 )
 
-// TestNoonHandoverOverHTTP lets operators edit the same version at the same moment, with answers lost: one wins, the others are told.
-func TestNoonHandoverOverHTTP(t *testing.T) {
+// TestConcurrentAppliesOverHTTP makes operators edit the same generation concurrently, while answers
+// are lost. Exactly one must succeed, and the others must get a LostRaceError with the accepted document.
+func TestConcurrentAppliesOverHTTP(t *testing.T) {
 	const operators, rounds = 4, 8
 	clock := clockwork.NewRealClock()
 	platform := ferrystandplatform.New(clock)
@@ -45,13 +46,13 @@
 		for i, err := range errs {
 			var lost *ferrydocument.LostRaceError
 			if err == nil {
-				assert.Equal(t, winner, -1, "both %d and %d won round %d", winner, i, round)
+				assert.Equal(t, winner, -1, "operators %d and %d both succeeded in round %d", winner, i, round)
 				winner = i
 				continue
 			}
 			assert.Assert(t, errors.As(err, &lost), "round %d: %v", round, err)
 		}
-		assert.Assert(t, winner >= 0, "nobody won round %d", round)
+		assert.Assert(t, winner >= 0, "round %d: no operator succeeded", round)
 		for _, err := range errs {
 			var lost *ferrydocument.LostRaceError
 			if errors.As(err, &lost) {
--- a/ferrystand/ferrystandplatform/server.go
+++ b/ferrystand/ferrystandplatform/server.go
@@ -23,13 +23,13 @@
 	maxWait       = time.Minute
 )
 
-// Server is one platform.
+// Server is one platform stand-in.
 type Server struct {
 	*ferryplatformtest.Fake
 	router chi.Router
 }
 
-// New returns an empty platform on the clock.
+// New returns an empty platform stand-in that uses the clock.
 func New(clock clockwork.Clock) *Server {
 	s := &Server{Fake: ferryplatformtest.New(clock), router: chi.NewRouter()}
 	s.router.Get("/v1/objects/{kind}/{name}", s.get)
@@ -126,7 +126,7 @@
 	answer(w, rows, err)
 }
 
-// condition reads the condition of a write, and answers 428 itself if there is none.
+// condition parses the precondition of a write. Without a valid one it answers 428 or 412 and returns false.
 func condition(w http.ResponseWriter, r *http.Request) (ferryplatform.Version, bool) {
 	if r.Header.Get("If-None-Match") == "*" && r.Method == http.MethodPut {
 		return ferryplatform.NoVersion, true
@@ -148,7 +148,7 @@
 	return fmt.Sprintf(`"%d"`, v)
 }
 
-// fail answers with an error of the fake; a lost answer closes the connection without one.
+// fail answers with an error of the fake. For a lost answer it closes the connection without an answer.
 func fail(w http.ResponseWriter, err error) {
 	var (
 		missing  *ferryplatform.NotFoundError
--- a/ferrystand/ferrystandplatform/server_test.go
+++ b/ferrystand/ferrystandplatform/server_test.go
@@ -16,7 +16,7 @@
 	"cactusferry.dev/ferrystand/ferrystandplatform"
 )
 
-// TestClientAgainstServer holds the project's client and the stand-in to the same wire shapes.
+// TestClientAgainstServer checks that the ferryplatform client and the stand-in agree on the wire format.
 func TestClientAgainstServer(t *testing.T) {
 	s := ferrystandplatform.New(clockwork.NewRealClock())
 	srv := httptest.NewServer(s)
@@ -72,13 +72,13 @@
 	}{
 		{"no condition", http.MethodPut, "/v1/objects/k/n", "x", nil, 428},
 		{"delete without condition", http.MethodDelete, "/v1/objects/k/n", "", nil, 428},
-		{"odd tag", http.MethodPut, "/v1/objects/k/n", "x", http.Header{"If-Match": {`"soon"`}}, 412},
-		{"large", http.MethodPut, "/v1/objects/k/n", strings.Repeat("x", 1<<20+1), http.Header{"If-None-Match": {"*"}}, 413},
-		{"exactly a megabyte", http.MethodPut, "/v1/objects/k/n", strings.Repeat("x", 1<<20), http.Header{"If-None-Match": {"*"}}, 201},
-		{"after is no version", http.MethodGet, "/v1/objects/k?after=x&wait=1s", "", nil, 400},
+		{"invalid tag", http.MethodPut, "/v1/objects/k/n", "x", http.Header{"If-Match": {`"soon"`}}, 412},
+		{"value too large", http.MethodPut, "/v1/objects/k/n", strings.Repeat("x", 1<<20+1), http.Header{"If-None-Match": {"*"}}, 413},
+		{"value of exactly 1 MiB", http.MethodPut, "/v1/objects/k/n", strings.Repeat("x", 1<<20), http.Header{"If-None-Match": {"*"}}, 201},
+		{"invalid after", http.MethodGet, "/v1/objects/k?after=x&wait=1s", "", nil, 400},
 		{"wait too long", http.MethodGet, "/v1/objects/k?after=1&wait=1h", "", nil, 400},
 		{"unknown fault", http.MethodPut, "/admin/faults", `{"Outrage":true}`, nil, 400},
-		{"nothing to restore", http.MethodPut, "/admin/restore", "", nil, 409},
+		{"restore without a snapshot", http.MethodPut, "/admin/restore", "", nil, 409},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
