--- a/ferrystand/ferrystandplain/doc.go
+++ b/ferrystand/ferrystandplain/doc.go
@@ -1,2 +1,3 @@
-// Package ferrystandplain is the stand-in for a plain service: it answers any call, keeps a record of what ran, and has fault switches.
+// Package ferrystandplain is a stand-in for a plain service: it answers
+// any call, records the calls that ran, and has fault switches.
 package ferrystandplain
--- a/ferrystand/ferrystandplain/server.go
+++ b/ferrystand/ferrystandplain/server.go
@@ -18,19 +18,19 @@
 
 const maxBodyBytes = 64 << 20
 
-// Faults are the switches of a plain service; the counts are of calls to come.
+// Faults are the fault switches of a plain service; a count applies to that many of the next calls.
 type Faults struct {
-	// DelayMS is the time in milliseconds between reading a call and running it.
+	// DelayMS is the delay in milliseconds between reading a call and running it.
 	DelayMS int `json:"DelayMS"`
-	// CutBeforeRead closes the connection before the body is read; the call does not run.
+	// CutBeforeRead closes the connection before the request body is read; the call does not run.
 	CutBeforeRead int `json:"CutBeforeRead"`
-	// CutAfterRun closes the connection after the call ran, with no answer.
+	// CutAfterRun closes the connection after the call ran, without an answer.
 	CutAfterRun int `json:"CutAfterRun"`
-	// CutInBody closes the connection in the middle of the answer's body.
+	// CutInBody closes the connection after half of the answer's body.
 	CutInBody int `json:"CutInBody"`
-	// Silent runs the call and then never answers.
+	// Silent runs the call and does not answer.
 	Silent bool `json:"Silent"`
-	// Leaving refuses each call as not run.
+	// Leaving refuses each call with the outcome NotRun.
 	Leaving bool `json:"Leaving"`
 }
 
@@ -51,12 +51,12 @@
 // Answer is the body of a successful answer.
 type Answer struct {
 	Name string `json:"Name"`
-	// Run counts the calls that the service has run, this one included.
+	// Run is the number of calls that the service has run, including this one.
 	Run int `json:"Run"`
 	Record
 }
 
-// Server is one plain service.
+// Server is one plain service stand-in.
 type Server struct {
 	name    string
 	clock   clockwork.Clock
@@ -66,7 +66,7 @@
 	records Records
 }
 
-// New returns a plain service of the name.
+// New returns a plain service stand-in with the instance name.
 func New(name string, clock clockwork.Clock) *Server {
 	s := &Server{name: name, clock: clock, router: chi.NewRouter(), records: Records{}}
 	s.router.Get("/admin/records", s.showRecords)
@@ -111,8 +111,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take returns the faults for one call, and counts them down.
-func (s *Server) take() Faults {
+// nextFaults returns the faults for one call and decrements the count of the fault that applies to it.
+func (s *Server) nextFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults
@@ -127,9 +127,9 @@
 	return f
 }
 
-// call runs any call that is not one of the stand-in's own.
+// call handles every request that is not for /admin.
 func (s *Server) call(w http.ResponseWriter, r *http.Request) {
-	f := s.take()
+	f := s.nextFaults()
 	if f.Leaving {
 		ferryoutcome.New(ferryoutcome.KindDraining, ferryoutcome.NotRun, "%s is leaving", s.name).Write(w)
 		return
--- a/ferrystand/ferrystandplain/server_test.go
+++ b/ferrystand/ferrystandplain/server_test.go
@@ -21,7 +21,7 @@
 		want   string
 		ran    int
 	}{
-		{"sound", ferrystandplain.Faults{}, "200 whole", 1},
+		{"no fault", ferrystandplain.Faults{}, "200 complete", 1},
 		{"leaving", ferrystandplain.Faults{Leaving: true}, "503 NotRun", 0},
 		{"cut before read", ferrystandplain.Faults{CutBeforeRead: 1}, "no answer", 0},
 		{"cut after run", ferrystandplain.Faults{CutAfterRun: 1}, "no answer", 1},
@@ -36,12 +36,12 @@
 			assert.Equal(t, post(t.Context(), srv.URL+"/feed/7"), tt.want)
 			assert.Equal(t, len(s.Records()), tt.ran)
 			s.SetFaults(ferrystandplain.Faults{})
-			assert.Equal(t, post(t.Context(), srv.URL+"/feed/8"), "200 whole")
+			assert.Equal(t, post(t.Context(), srv.URL+"/feed/8"), "200 complete")
 		})
 	}
 }
 
-func TestSilentRunsAndNeverAnswers(t *testing.T) {
+func TestSilentRunsWithoutAnswer(t *testing.T) {
 	s := ferrystandplain.New("parlour-1", clockwork.NewRealClock())
 	s.SetFaults(ferrystandplain.Faults{Silent: true})
 	srv := httptest.NewServer(s)
@@ -76,5 +76,5 @@
 	if _, err := io.ReadAll(res.Body); err != nil {
 		return "200 cut"
 	}
-	return "200 whole"
+	return "200 complete"
 }
