--- a/ferrystand/ferryproof/answers.go
+++ b/ferrystand/ferryproof/answers.go
@@ -119,16 +119,16 @@
 		return err
 	}
 	defer proxy.Close()
-	pieces, silenced := 0, 0
+	chunks, silenced := 0, 0
 	q := completion{key: ferrydemo.CustomerKey, index: 2, prompt: "a caller walks behind a wall", tokens: loadTokens, firstAddress: proxy.Address()}
 	q.onChunk = func(ferrydemo.Chunk) {
-		pieces++
-		if pieces == silentAfterChunks {
+		chunks++
+		if chunks == silentAfterChunks {
 			silenced = proxy.Silence()
 		}
 	}
 	w.requestCompletion(ctx, q, t)
-	w.note("a caller's connection went silent after %d chunks (%d connections); the caller received %d chunks in total", silentAfterChunks, silenced, pieces)
+	w.note("a caller's connection went silent after %d chunks (%d connections); the caller received %d chunks in total", silentAfterChunks, silenced, chunks)
 	if silenced == 0 {
 		return fmt.Errorf("inconclusive: no connection was silenced")
 	}
--- a/ferrystand/ferryproof/claims.go
+++ b/ferrystand/ferryproof/claims.go
@@ -79,19 +79,19 @@
 	if err := frozen.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	woken := make(chan struct{})
+	resumed := make(chan struct{})
 	if err := w.plainFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	wg.Go(func() { w.sendClaims(ctx, l, "running", others, woken) })
-	wg.Go(func() { w.sendClaims(ctx, l, "frozen", others, woken) })
-	wg.Go(func() { w.sendClaims(ctx, l, "others", others, woken) })
+	wg.Go(func() { w.sendClaims(ctx, l, "running", others, resumed) })
+	wg.Go(func() { w.sendClaims(ctx, l, "frozen", others, resumed) })
+	wg.Go(func() { w.sendClaims(ctx, l, "others", others, resumed) })
 	time.Sleep(claimFreezeTime)
 	if err := frozen.Process.Signal(syscall.SIGCONT); err != nil {
 		return err
 	}
 	time.Sleep(claimInterval)
-	close(woken)
+	close(resumed)
 	wg.Wait()
 	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
--- a/ferrystand/ferryproof/config.go
+++ b/ferrystand/ferryproof/config.go
@@ -188,7 +188,7 @@
 				return fmt.Errorf("event %s: %w", ev, err)
 			}
 			if g <= last {
-				return fmt.Errorf("%s reverted from generation %d to %d: %s", e.Name, last, g, ev)
+				return fmt.Errorf("generation at %s did not increase: from %d to %d: %s", e.Name, last, g, ev)
 			}
 			last = g
 			steps++
@@ -236,11 +236,11 @@
 			if err != nil {
 				return err
 			}
-			whole, err := w.waitMembership(ctx, rejoinLimit)
+			rejoined, err := w.waitMembership(ctx, rejoinLimit)
 			if err != nil {
 				return err
 			}
-			w.note("rejoined: in force everywhere after %s, membership complete %s later", took.Round(time.Millisecond), whole.Round(time.Millisecond))
+			w.note("rejoined: in force everywhere after %s, membership complete %s later", took.Round(time.Millisecond), rejoined.Round(time.Millisecond))
 		}
 		for _, slow := range []struct {
 			faults map[string]any
--- a/ferrystand/ferryproof/leaving.go
+++ b/ferrystand/ferryproof/leaving.go
@@ -101,17 +101,17 @@
 		if err := w.checkNoNewStreams(ctx, near, w.Engines[0], began); err != nil {
 			return err
 		}
-		unheard := 0
+		unaware := 0
 		for _, e := range far {
-			held, err := w.reportsLeaving(ctx, e, w.Engines[0])
+			marked, err := w.reportsLeaving(ctx, e, w.Engines[0])
 			if err != nil {
 				return err
 			}
-			if !held {
-				unheard++
+			if !marked {
+				unaware++
 			}
 		}
-		w.note("%d of the %d entries of the other half had not learned of it", unheard, len(far))
+		w.note("%d of the %d entries of the other half had not learned of it", unaware, len(far))
 		w.restoreLinks()
 		began = time.Now()
 		if err := w.waitLeaving(ctx, far, w.Engines[0], true, silentLinkLimit); err != nil {
--- a/ferrystand/ferryproof/once.go
+++ b/ferrystand/ferryproof/once.go
@@ -182,7 +182,7 @@
 	for _, tt := range []struct {
 		name string
 		stop func(e *ferrydemo.Entry) error
-		told string
+		want string
 		runs int
 	}{
 		{"stopped", func(e *ferrydemo.Entry) error { return e.Process.Terminate(ctx) }, "Ran", 1},
@@ -198,7 +198,7 @@
 		}
 		key := "ticket-of-" + tt.name
 		header := http.Header{"Ticket": {t}}
-		c, err := w.retryUntil(ctx, tt.told, func(n int) plainCall { return w.sendTo(ctx, 1+n%2, key, key, ration, header) })
+		c, err := w.retryUntil(ctx, tt.want, func(n int) plainCall { return w.sendTo(ctx, 1+n%2, key, key, ration, header) })
 		if err != nil {
 			return fmt.Errorf("ticket of a %s entry: %w", tt.name, err)
 		}
--- a/ferrystand/ferryproof/proof.go
+++ b/ferrystand/ferryproof/proof.go
@@ -20,7 +20,7 @@
 // Case is one guarantee and the faults under which it is checked.
 type Case struct {
 	Name string
-	// Promise describes the property that must hold.
+	// Guarantee describes the property that must hold.
 	Guarantee string
 	// Faults describes the injected faults.
 	Faults string
--- a/ferrystand/ferryproof/silence.go
+++ b/ferrystand/ferryproof/silence.go
@@ -44,11 +44,11 @@
 				return err
 			}
 			w.note("%d links silent: a document in force everywhere after %s, an operator's drain after %s", links, took.Round(time.Millisecond), time.Since(mark).Round(time.Millisecond))
-			whole, err := w.waitMembership(ctx, silentLinkLimit)
+			membership, err := w.waitMembership(ctx, silentLinkLimit)
 			if err != nil {
 				return err
 			}
-			w.note("membership complete %s later", whole.Round(time.Millisecond))
+			w.note("membership complete %s later", membership.Round(time.Millisecond))
 			if err := w.waitSilentClosed(ctx); err != nil {
 				return err
 			}
--- a/ferrystand/ferryproof/stops.go
+++ b/ferrystand/ferryproof/stops.go
@@ -62,11 +62,11 @@
 		var t tally
 		started := make(chan struct{})
 		ended := make(chan struct{})
-		pieces := 0
+		chunks := 0
 		q := completion{key: ferrydemo.CustomerKey, index: n, prompt: "summarise the night's robot log", tokens: stragglerTokens}
 		q.onChunk = func(ferrydemo.Chunk) {
-			pieces++
-			if pieces == 1 {
+			chunks++
+			if chunks == 1 {
 				close(started)
 			}
 		}
--- a/ferrystand/ferrystandengine/engine.go
+++ b/ferrystand/ferrystandengine/engine.go
@@ -182,7 +182,7 @@
 	e.mu.Unlock()
 	admin := r.URL.Path == "/admin/faults" || r.URL.Path == "/admin/records"
 	if silent && !admin {
-		e.hang(r.Context(), life)
+		e.holdOpen(r.Context(), life)
 	}
 	if !admin && (silent || life.Err() != nil) {
 		abort(w)
@@ -194,8 +194,8 @@
 	e.mux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// hang keeps a connection open without sending data until the client closes it or the engine is killed.
-func (e *Engine) hang(ctx, life context.Context) {
+// holdOpen keeps a connection open without sending data until the client closes it or the engine is killed.
+func (e *Engine) holdOpen(ctx, life context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/ferrystand/ferrystandengine/job_test.go
+++ b/ferrystand/ferrystandengine/job_test.go
@@ -111,14 +111,14 @@
 			f.runner.Wait()
 
 			job.Epoch, job.Resume = tt.epoch, want[:tt.resume]
-			seam := ferrystream.NewResumeFilter(token)
+			filter := ferrystream.NewResumeFilter(token)
 			text := want[:3:3]
 			_, err = f.runner.Run(context.Background(), job, func(tok ferrypipeline.Token) error {
 				if tt.resume > 0 {
 					text = append(text, tok.Text)
 					return nil
 				}
-				fresh, err := seam.Add(tok)
+				fresh, err := filter.Add(tok)
 				if fresh {
 					text = append(text, tok.Text)
 				}
--- a/ferrystand/ferrystandengine/resume_test.go
+++ b/ferrystand/ferrystandengine/resume_test.go
@@ -39,8 +39,8 @@
 	fresh.Next, fresh.History = 0, 0
 	ids, err := sealer.Stream(fresh)
 	assert.NilError(tb, err)
-	compose := ferrystream.NewComposer(ferrystream.ComposerConfig{ID: resume.Stream, Model: "herd-llm", Created: time.Unix(0, 0), Sealer: ids})
-	seam := ferrystream.NewResumeFilter(resume)
+	composer := ferrystream.NewComposer(ferrystream.ComposerConfig{ID: resume.Stream, Model: "herd-llm", Created: time.Unix(0, 0), Sealer: ids})
+	filter := ferrystream.NewResumeFilter(resume)
 	write := func(b []byte) error {
 		room := cut - len(written)
 		written = append(written, b[:min(room, len(b))]...)
@@ -52,19 +52,19 @@
 	job := f.job()
 	job.Epoch = resume.Epoch
 	res, err := f.runner.Run(context.Background(), job, func(t ferrypipeline.Token) error {
-		needed, err := seam.Add(t)
+		needed, err := filter.Add(t)
 		if err != nil || !needed {
-			compose.Skip(t)
+			composer.Skip(t)
 			return err
 		}
-		return write(compose.Token(nil, t))
+		return write(composer.Token(nil, t))
 	})
 	f.runner.Wait()
 	if err != nil {
 		return written, err
 	}
-	assert.NilError(tb, seam.End())
-	return written, write(compose.Done(nil, res.Reason))
+	assert.NilError(tb, filter.End())
+	return written, write(composer.Done(nil, res.Reason))
 }
 
 // read parses the complete events, as an SSE client does, and returns
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const room = 600
 		f := newFleet(t, clockwork.NewRealClock())
-		text, id, whole := "", "", false
+		text, id, complete := "", "", false
 		for range 2 * cutTokens {
 			stream, _ := f.entry(t, id, room)
 			more, next, done := read(t, stream)
@@ -131,11 +131,11 @@
 			if next != "" {
 				id = next
 			}
-			if whole = done; whole {
+			if complete = done; complete {
 				break
 			}
 		}
-		assert.Assert(t, whole)
+		assert.Assert(t, complete)
 		assert.Equal(t, text, strings.Join(ferryenginetest.Reference(cutSeed, cutPrompt, cutTokens, testLayers), ""))
 	})
 }
--- a/ferrystand/ferrystandengine/run.go
+++ b/ferrystand/ferrystandengine/run.go
@@ -68,7 +68,7 @@
 	var silent *silentError
 	if errors.As(err, &silent) {
 		ru.out.mute()
-		e.hang(r.Context(), e.lifetime())
+		e.holdOpen(r.Context(), e.lifetime())
 	}
 	if err != nil {
 		ru.out.mute()
--- a/ferrystand/process_test.go
+++ b/ferrystand/process_test.go
@@ -110,7 +110,7 @@
 		signal syscall.Signal
 		epochs int
 		// whole is set if all engines survive, so that their records can be compared with the answer.
-		whole bool
+		checkRecords bool
 	}{
 		{"killed", syscall.SIGKILL, 2, false},
 		{"stopped and continued", syscall.SIGSTOP, 2, true},
@@ -142,7 +142,7 @@
 			if tt.signal == syscall.SIGTERM {
 				assert.NilError(t, p.commands[victim].Wait(), "exit after SIGTERM")
 			}
-			if tt.whole {
+			if tt.checkRecords {
 				c := ferrypipeline.Checker{Layers: processLayers}
 				assert.NilError(t, c.Check(p.records(t), got))
 			}
