--- a/ferrystand/ferryproof/config.go
+++ b/ferrystand/ferryproof/config.go
@@ -217,7 +217,7 @@
 			if err != nil {
 				return err
 			}
-			w.note("links %T: %s considers the other half dead after %s", f, near[0].Name, took.Round(time.Millisecond))
+			w.note("links %T: %s no longer sees the other half as alive after %s", f, near[0].Name, took.Round(time.Millisecond))
 			if err := w.applyWithin(ctx, near, generation, inForceLimit, fmt.Sprintf("half that received the change, links %T", f)); err != nil {
 				return err
 			}
--- a/ferrystand/ferryproof/stale.go
+++ b/ferrystand/ferryproof/stale.go
@@ -47,7 +47,7 @@
 		time.Sleep(staleTailTime)
 		end()
 		wg.Wait()
-		w.note("the entry ended %s after its stop began; %s", took.Round(time.Millisecond), s)
+		w.note("the entry exited %s after its stop began; %s", took.Round(time.Millisecond), s)
 		return s.err()
 	},
 }
