--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -130,9 +130,9 @@
 	return whole
 }
 
-// Take offers an update to the holder. It returns NoBase for a delta to a version that is not in force.
+// OfferUpdate offers an update to the holder. It returns NoBase for a delta to a version that is not in force.
 // An error is a *DeltaError.
-func (h *Holder) Take(u Update, source string) (Verdict, error) {
+func (h *Holder) OfferUpdate(u Update, source string) (Verdict, error) {
 	if len(u.Delta) == 0 {
 		return h.Offer(u.Accepted, source), nil
 	}
--- a/ferry/ferrydocument/holder.go
+++ b/ferry/ferrydocument/holder.go
@@ -27,14 +27,14 @@
 
 // Kinds of events that this package adds to the time line.
 const (
-	EventTaken     = "DocumentTaken"
-	EventForked    = "DocumentForked"
-	EventInvalid   = "DocumentInvalid"
-	EventFull      = "DocumentsFull"
-	EventStoreBack = "DocumentStoreBack"
-	EventRepaired  = "DocumentRepaired"
-	EventAccepted  = "DocumentAccepted"
-	EventLostRace  = "DocumentLostRace"
+	EventTaken           = "DocumentTaken"
+	EventForked          = "DocumentForked"
+	EventInvalid         = "DocumentInvalid"
+	EventFull            = "DocumentsFull"
+	EventStoreRolledBack = "DocumentStoreBack"
+	EventRepaired        = "DocumentRepaired"
+	EventAccepted        = "DocumentAccepted"
+	EventLostRace        = "DocumentLostRace"
 )
 
 // InForce is an accepted document that is in force in this process; it is immutable once published.
--- a/ferry/ferrydocument/model_test.go
+++ b/ferry/ferrydocument/model_test.go
@@ -219,7 +219,7 @@
 // deliver delivers updates to an entry, possibly delayed ones.
 func deliver(to *modelEntry, us []Update, from string) {
 	for _, u := range us {
-		if _, err := to.holder.Take(u, from); err != nil {
+		if _, err := to.holder.OfferUpdate(u, from); err != nil {
 			panic(err)
 		}
 	}
--- a/ferry/ferrydocument/update_test.go
+++ b/ferry/ferrydocument/update_test.go
@@ -63,7 +63,7 @@
 			assert.Equal(t, len(us), 1)
 			assert.Equal(t, len(us[0].Delta) > 0, tc.delta)
 			assert.Equal(t, us[0].Source == "", tc.delta)
-			v, err := behind.Take(cborRoundTrip(t, us[0]), "peer")
+			v, err := behind.OfferUpdate(cborRoundTrip(t, us[0]), "peer")
 			assert.NilError(t, err)
 			if tc.name == "another branch" {
 				assert.Equal(t, v, ferrydocument.Forked)
@@ -123,7 +123,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			u := cborRoundTrip(t, good)
 			tc.change(&u)
-			v, err := behind.Take(u, "peer")
+			v, err := behind.OfferUpdate(u, "peer")
 			assert.Equal(t, v, tc.verdict)
 			if err != nil {
 				assert.ErrorType(t, err, &ferrydocument.DeltaError{})
@@ -132,7 +132,7 @@
 			assert.Equal(t, f.Hash, v1.Hash())
 		})
 	}
-	v, err := behind.Take(good, "peer")
+	v, err := behind.OfferUpdate(good, "peer")
 	assert.NilError(t, err)
 	assert.Equal(t, v, ferrydocument.Taken)
 }
@@ -157,7 +157,7 @@
 		}
 		h, _ := newHolder()
 		h.Offer(v1, "store")
-		v, err := h.Take(u, "peer")
+		v, err := h.OfferUpdate(u, "peer")
 		in, _ := h.Get(v1.Service)
 		if v == ferrydocument.Taken && u.Service == v1.Service {
 			assert.Assert(t, len(u.Delta) == 0 || in.Hash == u.Result)
--- a/ferry/ferrydocument/watchcore.go
+++ b/ferry/ferrydocument/watchcore.go
@@ -209,7 +209,7 @@
 }
 
 func (c *watchCore) reportRollback(subject, format string, args ...any) {
-	c.holder.events.Add(EventStoreBack, subject, format, args...)
+	c.holder.events.Add(EventStoreRolledBack, subject, format, args...)
 }
 
 // repairsFor returns the repairs for documents in force that the listed store lacks or has in an earlier
--- a/ferry/ferrylease/lease.go
+++ b/ferry/ferrylease/lease.go
@@ -27,7 +27,7 @@
 	TTL time.Duration
 	// Gone, if set, reports whether a holder's process has certainly ended, so that
 	// its lease can be acquired before it expires.
-	Gone func(ferryid.Incarnation) bool
+	HolderEnded func(ferryid.Incarnation) bool
 	// Margin is subtracted from the holder's term and added to the successor's wait; 0 means 1 s.
 	Margin time.Duration
 }
@@ -70,7 +70,7 @@
 	if cfg.Clock == nil {
 		cfg.Clock = clockwork.NewRealClock()
 	}
-	return &Lease{cfg: cfg, core: newCore(cfg.Self, cfg.TTL, cfg.Margin, cfg.Gone), wake: make(chan struct{}, 1)}
+	return &Lease{cfg: cfg, core: newCore(cfg.Self, cfg.TTL, cfg.Margin, cfg.HolderEnded), wake: make(chan struct{}, 1)}
 }
 
 // Want sets whether this entry should hold the lease. A held lease that is no longer wanted is released.
--- a/ferry/ferryorder/core.go
+++ b/ferry/ferryorder/core.go
@@ -11,7 +11,7 @@
 
 // engineState is the state of one engine as known to the core.
 type engineState struct {
-	wanted   Runner
+	wanted   WantedEngine
 	report   Report
 	read     bool // a report was received under the current fencing number
 	pending  bool // an order is outstanding
@@ -52,7 +52,7 @@
 	}
 	old := c.engines
 	c.engines = map[ferryid.UpstreamName]*engineState{}
-	for i, r := range w.Runners {
+	for i, r := range w.Engines {
 		n := &engineState{}
 		if o, ok := old[r.Name]; ok && o.wanted.Address == r.Address {
 			n = o
@@ -147,7 +147,7 @@
 		return nil, nil
 	}
 	cover := c.coverage()
-	for _, w := range c.wanted.Runners {
+	for _, w := range c.wanted.Engines {
 		r := c.engines[w.Name]
 		if r.read && !r.pending && r.report.Target == w.Target {
 			continue
--- a/ferry/ferryorder/core_rapid_test.go
+++ b/ferry/ferryorder/core_rapid_test.go
@@ -48,7 +48,7 @@
 		cached, _ = wantedCache.LoadOrStore(g, newWanted(g))
 	}
 	w := cached.(Wanted)
-	w.Runners = slices.Clone(w.Runners)
+	w.Engines = slices.Clone(w.Engines)
 	return w
 }
 
@@ -56,7 +56,7 @@
 	w := Wanted{Service: "herd-llm", Generation: ferryid.Generation(g), Layers: 4}
 	for i := range 6 {
 		t := Target{Model: "m", Version: fmt.Sprint("v", g), Adapter: fmt.Sprint("a", g/2), Layers: halves[(i+g/3)%2], State: StateLive}
-		w.Runners = append(w.Runners, Runner{Name: nameOf(i), Address: fmt.Sprint(i), Target: t})
+		w.Engines = append(w.Engines, WantedEngine{Name: nameOf(i), Address: fmt.Sprint(i), Target: t})
 	}
 	return w
 }
@@ -75,7 +75,7 @@
 
 func newOrderModel(checks func(int) bool) *orderModel {
 	w := &orderModel{now: time.Unix(1_800_000_000, 0), fence: 1, generation: 1}
-	for i, r := range wantedAt(1).Runners {
+	for i, r := range wantedAt(1).Engines {
 		w.engines = append(w.engines, &engine{checks: checks(i), report: Report{Target: r.Target, Ready: true}})
 	}
 	for range 2 {
@@ -108,7 +108,7 @@
 	s, h := w.inFlight[i], w.senders[i]
 	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 	w.senders = append(w.senders[:i:i], w.senders[i+1:]...)
-	for k, r := range wantedAt(1).Runners {
+	for k, r := range wantedAt(1).Engines {
 		if r.Name == s.Name && w.engines[k].order(s.Order) != nil {
 			w.cores[h].OrderRefused(s.Name)
 		}
@@ -148,7 +148,7 @@
 			w.deliver(0)
 		}
 	}
-	for i, r := range wantedAt(w.generation).Runners {
+	for i, r := range wantedAt(w.generation).Engines {
 		if w.engines[i].report.Target != r.Target {
 			rt.Fatalf("%s is %+v, wanted %+v", r.Name, w.engines[i].report.Target, r.Target)
 		}
@@ -273,7 +273,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
 		d := &fakeTenure{fence: 1, until: clock.Now().Add(time.Hour), engines: map[string]*engine{}}
-		for i, r := range wantedAt(1).Runners {
+		for i, r := range wantedAt(1).Engines {
 			d.engines[r.Address] = &engine{checks: true, highest: ferryid.Fence(i * 10), report: Report{Target: r.Target, Ready: true}}
 		}
 		o := New(Config{Tenure: d, Engine: d, Clock: clock})
@@ -282,7 +282,7 @@
 		done := make(chan error)
 		go func() { done <- o.Run(ctx) }()
 		converged := func() bool {
-			for _, r := range wantedAt(2).Runners {
+			for _, r := range wantedAt(2).Engines {
 				if rep, _ := d.Report(ctx, r.Address); rep.Target != r.Target {
 					return false
 				}
--- a/ferry/ferryorder/cover.go
+++ b/ferry/ferryorder/cover.go
@@ -100,10 +100,10 @@
 }
 
 func (c *Core) wantedWeights() weights {
-	if len(c.wanted.Runners) == 0 {
+	if len(c.wanted.Engines) == 0 {
 		return weights{}
 	}
-	return c.wanted.Runners[0].Target.weights()
+	return c.wanted.Engines[0].Target.weights()
 }
 
 // Uncovered returns the layers that no engine in service has with the wanted weights, for the operators' status.
--- a/ferry/ferryorder/generation_test.go
+++ b/ferry/ferryorder/generation_test.go
@@ -13,11 +13,11 @@
 	c.SetWanted(wantedAt(3))
 	c.SetWanted(wantedAt(2))
 	c.SetFence(1)
-	for _, r := range wantedAt(2).Runners {
+	for _, r := range wantedAt(2).Engines {
 		c.ApplyReport(r.Name, Report{Target: r.Target, Ready: true}, now)
 	}
 	sends, blocked := c.Next(now)
-	assert.Equal(t, len(sends)+len(blocked), len(wantedAt(3).Runners))
+	assert.Equal(t, len(sends)+len(blocked), len(wantedAt(3).Engines))
 	assert.Assert(t, len(sends) > 0)
 	for _, s := range sends {
 		assert.Equal(t, s.Order.Version, "v3")
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -63,15 +63,15 @@
 }
 
 // group returns the engines of a group.
-func (w Wanted) group(i int) []Runner {
+func (w Wanted) group(i int) []WantedEngine {
 	if i < 0 || i >= w.groups() {
 		return nil
 	}
-	return w.Runners[i*GroupSize : min(len(w.Runners), (i+1)*GroupSize)]
+	return w.Engines[i*GroupSize : min(len(w.Engines), (i+1)*GroupSize)]
 }
 
 func (w Wanted) groups() int {
-	return (len(w.Runners) + GroupSize - 1) / GroupSize
+	return (len(w.Engines) + GroupSize - 1) / GroupSize
 }
 
 func (c *Core) groupChecksums() []uint64 {
@@ -84,7 +84,7 @@
 	return c.checksums
 }
 
-func checksumOf(rs []Runner) uint64 {
+func checksumOf(rs []WantedEngine) uint64 {
 	b, err := json.Marshal(rs)
 	if err != nil {
 		return 0
@@ -116,7 +116,7 @@
 	return out, nil
 }
 
-func (a *GroupAnswer) add(i int, r Runner, rep Report, err error) {
+func (a *GroupAnswer) add(i int, r WantedEngine, rep Report, err error) {
 	switch {
 	case err != nil:
 		a.Unread |= 1 << i
--- a/ferry/ferryorder/late_test.go
+++ b/ferry/ferryorder/late_test.go
@@ -10,7 +10,7 @@
 // differingAnswer returns an answer in which each engine reports the wanted state of the given generation.
 func differingAnswer(g int) GroupAnswer {
 	var ans GroupAnswer
-	for i, r := range wantedAt(g).Runners {
+	for i, r := range wantedAt(g).Engines {
 		ans.Differ = append(ans.Differ, GroupReport{Place: i, Report: Report{Target: r.Target, Ready: true}})
 	}
 	return ans
@@ -18,7 +18,7 @@
 
 // reportAll reports the wanted state of generation 1 for all engines.
 func reportAll(c *Core, now time.Time) {
-	for _, r := range wantedAt(1).Runners {
+	for _, r := range wantedAt(1).Engines {
 		c.ApplyReport(r.Name, Report{Target: r.Target, Ready: true}, now)
 	}
 }
--- a/ferry/ferryorder/pace_test.go
+++ b/ferry/ferryorder/pace_test.go
@@ -24,7 +24,7 @@
 	c.SetWanted(WantedOf(1, doc))
 	c.SetFence(1)
 	now := time.Unix(1_800_000_000, 0)
-	for _, r := range c.wanted.Runners {
+	for _, r := range c.wanted.Engines {
 		c.ApplyReport(r.Name, Report{}, now)
 	}
 	n := 0
--- a/ferry/ferryorder/readers_test.go
+++ b/ferry/ferryorder/readers_test.go
@@ -48,7 +48,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				d := &fakeTenure{fence: 1, until: time.Now().Add(time.Hour), engines: map[string]*engine{}}
-				for _, r := range wantedAt(1).Runners {
+				for _, r := range wantedAt(1).Engines {
 					d.engines[r.Address] = &engine{checks: true, highest: ferryid.Fence(0), report: Report{Target: r.Target, Ready: true}}
 				}
 				tc.reader.orders = New(Config{Tenure: d, Engine: d})
@@ -57,7 +57,7 @@
 				o.Want(wantedAt(2))
 				go func() { _ = o.Run(ctx) }()
 				time.Sleep(tc.within)
-				for _, r := range wantedAt(2).Runners {
+				for _, r := range wantedAt(2).Engines {
 					rep, err := d.Report(ctx, r.Address)
 					assert.NilError(t, err)
 					assert.Equal(t, rep.Target, r.Target)
--- a/ferry/ferryorder/split_rapid_test.go
+++ b/ferry/ferryorder/split_rapid_test.go
@@ -41,7 +41,7 @@
 		if unread {
 			return Report{}, fmt.Errorf("no answer")
 		}
-		for i, wanted := range wantedAt(1).Runners {
+		for i, wanted := range wantedAt(1).Engines {
 			if wanted.Address == address {
 				return w.engines[i].report, nil
 			}
@@ -138,7 +138,7 @@
 	w := Wanted{Service: "herd-llm", Generation: 1, Layers: 4}
 	for i := range n {
 		t := Target{Model: "m", Version: "v1", Layers: halves[i%2], State: StateLive}
-		w.Runners = append(w.Runners, Runner{Name: ferryid.UpstreamName(fmt.Sprint("e", i)), Address: fmt.Sprint(i), Target: t})
+		w.Engines = append(w.Engines, WantedEngine{Name: ferryid.UpstreamName(fmt.Sprint("e", i)), Address: fmt.Sprint(i), Target: t})
 	}
 	return w
 }
--- a/ferry/ferryorder/wanted.go
+++ b/ferry/ferryorder/wanted.go
@@ -5,8 +5,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// Runner is one engine of the document with its wanted state.
-type Runner struct {
+// WantedEngine is one engine of the document with its wanted state.
+type WantedEngine struct {
 	Name    ferryid.UpstreamName
 	Address string
 	Target  Target
@@ -17,7 +17,7 @@
 	Service    ferryid.ServiceName
 	Generation ferryid.Generation
 	Layers     ferryid.Layer
-	Runners    []Runner
+	Engines    []WantedEngine
 	// Pace limits the load rate of the engines; if it is unset, that of the Config applies.
 	Pace Pace
 }
@@ -33,7 +33,7 @@
 		if u.Leaving {
 			t.State = StateLeaving
 		}
-		w.Runners = append(w.Runners, Runner{Name: u.Name, Address: u.Address, Target: t})
+		w.Engines = append(w.Engines, WantedEngine{Name: u.Name, Address: u.Address, Target: t})
 		w.Pace.Burst = max(w.Pace.Burst, float64(u.Layers.Len()))
 	}
 	return w
--- a/ferry/ferrypeer/faults_test.go
+++ b/ferry/ferrypeer/faults_test.go
@@ -165,7 +165,7 @@
 			"thaw":    func(rt *rapid.T) { w.Thaw(pick(rt, w)) },
 			"silence": func(rt *rapid.T) { w.Silence(pick(rt, w), rapid.IntRange(0, 20).Draw(rt, "link")) },
 			"cut": func(rt *rapid.T) {
-				w.Cut(1, ferryid.DomainName(fmt.Sprintf("domain-%d", rapid.IntRange(0, 2).Draw(rt, "domain"))))
+				w.Partition(1, ferryid.DomainName(fmt.Sprintf("domain-%d", rapid.IntRange(0, 2).Draw(rt, "domain"))))
 			},
 			"heal":    func(*rapid.T) { w.Heal() },
 			"publish": func(rt *rapid.T) { w.publish(pick(rt, w)) },
@@ -269,7 +269,7 @@
 func TestFailureDomainPartition(t *testing.T) {
 	t.Parallel()
 	w := newFaultFleet(9)
-	w.Cut(1, "domain-1")
+	w.Partition(1, "domain-1")
 	w.Run(5 * time.Minute)
 	for name, c := range w.Cores() {
 		want := 6
--- a/ferry/ferrypeertest/fault.go
+++ b/ferry/ferrypeertest/fault.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Cut moves the failure domains into the network partition id; initially all domains are in partition 0.
-func (f *Fleet) Cut(id int, domains ...ferryid.DomainName) {
+// Partition moves the failure domains into the network partition id; initially all domains are in partition 0.
+func (f *Fleet) Partition(id int, domains ...ferryid.DomainName) {
 	for _, d := range domains {
 		f.partition[d] = id
 	}
--- a/ferry/ferrypipeline/budget.go
+++ b/ferry/ferrypipeline/budget.go
@@ -43,8 +43,8 @@
 	b.left = min(b.burst, b.left+b.share)
 }
 
-// Retry takes one retry from the budget, or returns a *BudgetError if it is exhausted.
-func (b *RetryBudget) Retry() error {
+// TakeRetry takes one retry from the budget, or returns a *BudgetError if it is exhausted.
+func (b *RetryBudget) TakeRetry() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left < 1 {
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -254,7 +254,7 @@
 
 func (s *session) pick(a AskPlan) Message {
 	if a.Retry && s.r.Budget != nil {
-		if err := s.r.Budget.Retry(); err != nil {
+		if err := s.r.Budget.TakeRetry(); err != nil {
 			return NoPlan{Err: err}
 		}
 	}
--- a/ferry/ferryplatform/call.go
+++ b/ferry/ferryplatform/call.go
@@ -63,7 +63,7 @@
 	return out, err
 }
 
-func (c *Client) request(ctx context.Context, w Wire) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, w HTTPRequest) (*http.Request, error) {
 	var body io.Reader
 	if w.Body != nil {
 		body = bytes.NewReader(w.Body)
@@ -88,7 +88,7 @@
 }
 
 // read decodes an answer, or returns the error for its status.
-func (c *Client) read(in Call, w Wire, res *http.Response) (Reply, error) {
+func (c *Client) read(in Call, w HTTPRequest, res *http.Response) (Reply, error) {
 	if res.StatusCode/100 != 2 {
 		return Reply{}, c.statusError(in, res)
 	}
--- a/ferry/ferryplatform/client.go
+++ b/ferry/ferryplatform/client.go
@@ -133,14 +133,14 @@
 		if err != nil {
 			return Changes{}, err
 		}
-		if call.More == "" {
+		if call.PageToken == "" {
 			out.Version = r.Changes.Version
 		}
 		out.Objects = append(out.Objects, r.Changes.Objects...)
-		if r.More == "" {
+		if r.NextPageToken == "" {
 			return out, nil
 		}
-		call.More = r.More
+		call.PageToken = r.NextPageToken
 	}
 }
 
--- a/ferry/ferryplatform/protocol.go
+++ b/ferry/ferryplatform/protocol.go
@@ -39,7 +39,7 @@
 	After Version
 	Wait  time.Duration
 	// More is the page token of a list, from the Reply with the previous page.
-	More string
+	PageToken string
 }
 
 func (c Call) String() string {
@@ -54,8 +54,8 @@
 	return c.Op == OpPut || c.Op == OpDelete
 }
 
-// Wire is the HTTP request of a call, with the path relative to the base URL.
-type Wire struct {
+// HTTPRequest is the HTTP request of a call, with the path relative to the base URL.
+type HTTPRequest struct {
 	Method string
 	Path   string
 	Header http.Header
@@ -70,14 +70,14 @@
 	Version Version
 	Changes Changes
 	// More is the token of the next page of a list, empty after the last one.
-	More      string
-	Instances Instances
+	NextPageToken string
+	Instances     Instances
 }
 
 // Protocol encodes the calls and decodes the answers of a platform's HTTP API.
 type Protocol interface {
 	// Encode returns the HTTP request of a call.
-	Encode(c Call) (Wire, error)
+	Encode(c Call) (HTTPRequest, error)
 	// Decode decodes and validates a successful answer.
 	Decode(c Call, h http.Header, body []byte) (Reply, error)
 	// Refusal returns the *NotFoundError, *ConflictError or *HistoryGoneError for a status other than 2xx, or
@@ -89,21 +89,21 @@
 type conditionalProtocol struct{}
 
 // Encode returns the HTTP request of a call.
-func (conditionalProtocol) Encode(c Call) (Wire, error) {
+func (conditionalProtocol) Encode(c Call) (HTTPRequest, error) {
 	switch c.Op {
 	case OpGet:
-		return Wire{Method: http.MethodGet, Path: objectPath(c.Kind, c.Name), MaxAnswer: maxValueBytes}, nil
+		return HTTPRequest{Method: http.MethodGet, Path: objectPath(c.Kind, c.Name), MaxAnswer: maxValueBytes}, nil
 	case OpPut:
-		return Wire{Method: http.MethodPut, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected), Body: c.Value, MaxAnswer: maxValueBytes}, nil
+		return HTTPRequest{Method: http.MethodPut, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected), Body: c.Value, MaxAnswer: maxValueBytes}, nil
 	case OpDelete:
-		return Wire{Method: http.MethodDelete, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected)}, nil
+		return HTTPRequest{Method: http.MethodDelete, Path: objectPath(c.Kind, c.Name), Header: conditionHeader(c.Expected)}, nil
 	case OpWatch:
 		q := url.Values{"after": {strconv.FormatUint(uint64(c.After), 10)}, "wait": {c.Wait.String()}}
-		return Wire{Method: http.MethodGet, Path: kindPath(c.Kind) + "?" + q.Encode()}, nil
+		return HTTPRequest{Method: http.MethodGet, Path: kindPath(c.Kind) + "?" + q.Encode()}, nil
 	case OpInstances:
-		return Wire{Method: http.MethodGet, Path: "/v1/instances"}, nil
+		return HTTPRequest{Method: http.MethodGet, Path: "/v1/instances"}, nil
 	}
-	return Wire{Method: http.MethodGet, Path: kindPath(c.Kind)}, nil
+	return HTTPRequest{Method: http.MethodGet, Path: kindPath(c.Kind)}, nil
 }
 
 // conditionHeader returns the header fields that make a write conditional.
--- a/ferry/ferryqueue/admission.go
+++ b/ferry/ferryqueue/admission.go
@@ -105,7 +105,7 @@
 // the state is at most a tenth of a second old.
 func (a *Admission) Snapshot() Snapshot {
 	s := a.view.Load().snapshot
-	s.TurnedAway = a.refused.Load()
+	s.RefusedEarly = a.refused.Load()
 	return s
 }
 
--- a/ferry/ferryqueue/admission_test.go
+++ b/ferry/ferryqueue/admission_test.go
@@ -84,19 +84,19 @@
 	loop.handle(acquire{item: Item{ID: "same"}, reply: second})
 	assert.Equal(t, (<-second).problem.Kind, ferryoutcome.KindConflict)
 	loop.handle(cancel{id: "same", reply: second})
-	assert.Equal(t, loop.queue.Free(), 0)
+	assert.Equal(t, loop.queue.FreeSlots(), 0)
 	loop.handle(cancel{id: "same", reply: first})
-	assert.Equal(t, loop.queue.Free(), 1)
+	assert.Equal(t, loop.queue.FreeSlots(), 1)
 }
 
 func TestDocumentKeepsCapacitySetBefore(t *testing.T) {
 	loop := newAdmissionLoop(NewAdmission(clockwork.NewFakeClockAt(start)), Config{})
 	d := &ferryservice.Document{Upstreams: ferryservice.Upstreams{{Slots: 8}}}
 	loop.handle(setDocument{document: d})
-	assert.Equal(t, loop.queue.Free(), 8)
+	assert.Equal(t, loop.queue.FreeSlots(), 8)
 	loop.handle(setCapacity{n: 2})
 	loop.handle(setDocument{document: d})
-	assert.Equal(t, loop.queue.Free(), 2)
+	assert.Equal(t, loop.queue.FreeSlots(), 2)
 }
 
 func TestAcquireAfterRunEnded(t *testing.T) {
@@ -122,7 +122,7 @@
 	assert.Equal(t, p.Kind, ferryoutcome.KindOverloaded)
 	assert.Equal(t, p.Outcome, ferryoutcome.NotRun)
 	assert.Assert(t, p.RetryAfter > 0)
-	assert.Equal(t, a.Snapshot().TurnedAway, uint64(1))
+	assert.Equal(t, a.Snapshot().RefusedEarly, uint64(1))
 	assert.Assert(t, a.refuseByView(&Item{Customer: "b", Class: "short"}) == nil)
 	assert.Assert(t, a.refuseByView(&Item{Customer: "a", Class: "short", Resumed: true}) == nil)
 }
--- a/ferry/ferryqueue/bench_test.go
+++ b/ferry/ferryqueue/bench_test.go
@@ -59,7 +59,7 @@
 	now := start
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		it, ok := q.Next(now, q.Free())
+		it, ok := q.Next(now, q.FreeSlots())
 		if !ok {
 			b.Fatal("no item started")
 		}
--- a/ferry/ferryqueue/excess_test.go
+++ b/ferry/ferryqueue/excess_test.go
@@ -24,7 +24,7 @@
 		for k := range 4 {
 			id := ferryid.RequestID(fmt.Sprintf("old-%d-%d", i, k))
 			assert.Assert(t, q.Enqueue(item(string(id), "hog", 10), now) == nil)
-			_, ok := q.Next(now, q.Free())
+			_, ok := q.Next(now, q.FreeSlots())
 			assert.Assert(t, ok)
 			assert.Assert(t, q.Done(id, 10, now))
 		}
--- a/ferry/ferryqueue/loop.go
+++ b/ferry/ferryqueue/loop.go
@@ -185,7 +185,7 @@
 func (loop *admissionLoop) startAndRefuse() {
 	now := loop.now()
 	for {
-		it, ok := loop.queue.Next(now, loop.queue.Free())
+		it, ok := loop.queue.Next(now, loop.queue.FreeSlots())
 		if !ok {
 			break
 		}
--- a/ferry/ferryqueue/oracle_test.go
+++ b/ferry/ferryqueue/oracle_test.go
@@ -96,7 +96,7 @@
 }
 
 func (o *oracle) next(t *rapid.T, q *Queue, now time.Time) {
-	it, ok := q.Next(now, q.Free())
+	it, ok := q.Next(now, q.FreeSlots())
 	if !ok {
 		return
 	}
--- a/ferry/ferryqueue/preempt.go
+++ b/ferry/ferryqueue/preempt.go
@@ -59,7 +59,7 @@
 
 // Preempt returns a running item to cancel and resume later, if work with reserved slots has waited too long.
 func (q *Queue) Preempt(now time.Time) (ferryid.RequestID, bool) {
-	if q.Free() > 0 || float64(q.counts.Repeated) > maxRepeatedShare*float64(q.counts.Served) {
+	if q.FreeSlots() > 0 || float64(q.counts.Repeated) > maxRepeatedShare*float64(q.counts.Served) {
 		return "", false
 	}
 	for _, cq := range q.classQueues {
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -127,8 +127,8 @@
 	q.cfg.Capacity = max(0, n)
 }
 
-// Free returns how many more items may start.
-func (q *Queue) Free() int {
+// FreeSlots returns how many more items may start.
+func (q *Queue) FreeSlots() int {
 	return q.cfg.Capacity - q.running
 }
 
--- a/ferry/ferryqueue/queue_test.go
+++ b/ferry/ferryqueue/queue_test.go
@@ -36,7 +36,7 @@
 func startAll(q *Queue, now time.Time, n int) []Item {
 	var out []Item
 	for range n {
-		it, ok := q.Next(now, q.Free())
+		it, ok := q.Next(now, q.FreeSlots())
 		if !ok {
 			break
 		}
@@ -75,7 +75,7 @@
 	served := map[ferryid.CustomerName]ferryid.Tokens{}
 	now := start
 	for range 44 {
-		it, ok := q.Next(now, q.Free())
+		it, ok := q.Next(now, q.FreeSlots())
 		assert.Assert(t, ok)
 		actual := ferryid.Tokens(10)
 		if it.Customer == "a" {
@@ -235,7 +235,7 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, id, ferryid.RequestID("a-10-0"))
 	assert.Assert(t, q.Requeue(id, b.Arrived.Add(time.Second)))
-	it, _ := q.Next(b.Arrived.Add(time.Second), q.Free())
+	it, _ := q.Next(b.Arrived.Add(time.Second), q.FreeSlots())
 	assert.Equal(t, it.ID, ferryid.RequestID("b"))
 	assert.Equal(t, q.Counts().Repeated, ferryid.Tokens(10))
 }
--- a/ferry/ferryqueue/snapshot.go
+++ b/ferry/ferryqueue/snapshot.go
@@ -17,15 +17,15 @@
 }
 
 // Snapshot is the state of a queue at one time.
-// TurnedAway counts refusals by the published view or a full inbox.
+// RefusedEarly counts refusals by the published view or a full inbox.
 type Snapshot struct {
-	At         time.Time    `json:"At"`
-	Capacity   int          `json:"Capacity"`
-	Waiting    int          `json:"Waiting"`
-	Running    int          `json:"Running"`
-	TurnedAway uint64       `json:"TurnedAway"`
-	Classes    []ClassState `json:"Classes"`
-	Counts     Counts       `json:"Counts"`
+	At           time.Time    `json:"At"`
+	Capacity     int          `json:"Capacity"`
+	Waiting      int          `json:"Waiting"`
+	Running      int          `json:"Running"`
+	RefusedEarly uint64       `json:"TurnedAway"`
+	Classes      []ClassState `json:"Classes"`
+	Counts       Counts       `json:"Counts"`
 }
 
 // view is the published state by which callers are refused without a message to the loop.
--- a/ferrybench/ferrycapacity/documents.go
+++ b/ferrybench/ferrycapacity/documents.go
@@ -77,7 +77,7 @@
 	if err := cbor.Unmarshal(it, &u); err != nil {
 		return false, err
 	}
-	v, err := h.Take(u, "peer")
+	v, err := h.OfferUpdate(u, "peer")
 	return v == ferrydocument.Taken, err
 }
 
--- a/ferrybench/ferrycapacity/orders.go
+++ b/ferrybench/ferrycapacity/orders.go
@@ -72,7 +72,7 @@
 			Layers: ferryid.LayerRange{From: from, To: from + orderLayers/2},
 		}
 		name := fmt.Sprintf("engine-%04d", i)
-		w.Runners = append(w.Runners, ferryorder.Runner{Name: ferryid.UpstreamName(name), Address: name + ".herd:8100", Target: t})
+		w.Engines = append(w.Engines, ferryorder.WantedEngine{Name: ferryid.UpstreamName(name), Address: name + ".herd:8100", Target: t})
 	}
 	return w
 }
@@ -82,7 +82,7 @@
 		now: startTime, wanted: orderWanted(p.Engines, 2), core: ferryorder.NewCore(ferryorder.Pace{}),
 		engines: map[string]*orderedEngine{}, point: p,
 	}
-	for _, r := range orderWanted(p.Engines, 1).Runners {
+	for _, r := range orderWanted(p.Engines, 1).Engines {
 		sim.engines[r.Address] = &orderedEngine{report: ferryorder.Report{Target: r.Target, Ready: true}}
 	}
 	sim.core.SetWanted(sim.wanted)
@@ -120,7 +120,7 @@
 }
 
 func (sim *orderSimulation) readAll() {
-	for _, r := range sim.wanted.Runners {
+	for _, r := range sim.wanted.Engines {
 		rep, _ := sim.report(context.Background(), r.Address)
 		sim.core.ApplyReport(r.Name, rep, sim.now)
 	}
@@ -159,7 +159,7 @@
 }
 
 func (sim *orderSimulation) done() bool {
-	for _, r := range sim.wanted.Runners {
+	for _, r := range sim.wanted.Engines {
 		e := sim.engines[r.Address]
 		if e.report.Target != r.Target || sim.now.Before(e.ready) {
 			return false
--- a/ferrybench/ferrycapacity/point.go
+++ b/ferrybench/ferrycapacity/point.go
@@ -144,7 +144,7 @@
 // measurePartition separates half of the failure domains from the others for partitionTime and then heals the network.
 func (f *fleet) measurePartition(p *Point) {
 	for i := range domainCount(p.Nodes) / 2 {
-		f.Cut(1, ferryid.DomainName(domainName(i, p.Nodes)))
+		f.Partition(1, ferryid.DomainName(domainName(i, p.Nodes)))
 	}
 	f.Run(partitionTime)
 	f.Heal()
--- a/ferrybench/ferryexperiment/entry.go
+++ b/ferrybench/ferryexperiment/entry.go
@@ -103,7 +103,7 @@
 // dispatchReady drops expired calls and sends every call that the queue admits.
 func (e *entry) dispatchReady(s *simulation) {
 	for {
-		it, ok := e.queue.Next(s.time(), e.queue.Free())
+		it, ok := e.queue.Next(s.time(), e.queue.FreeSlots())
 		for _, r := range e.queue.Dropped() {
 			c := e.calls[r.Item.ID]
 			delete(e.calls, r.Item.ID)
--- a/ferrybench/ferryrelay/idle.go
+++ b/ferrybench/ferryrelay/idle.go
@@ -46,7 +46,7 @@
 			return out, err
 		}
 	}
-	if err := f.Accept(ctx, ferrydemo.ModelService, f.ModelDocument(128)); err != nil {
+	if err := f.ApplyFirst(ctx, ferrydemo.ModelService, f.ModelDocument(128)); err != nil {
 		return out, err
 	}
 	time.Sleep(idleSettleTime)
@@ -113,7 +113,7 @@
 func sumMetric(ctx context.Context, f *ferrydemo.Fleet, name string) (float64, error) {
 	sum := 0.0
 	for _, e := range f.Entries {
-		text, err := httpGet(ctx, "http://"+e.Callers+"/metrics")
+		text, err := httpGet(ctx, "http://"+e.CallerAddress+"/metrics")
 		if err != nil {
 			return 0, err
 		}
@@ -161,7 +161,7 @@
 // platformCalls returns the number of calls that the simulated platform has counted.
 func platformCalls(ctx context.Context, f *ferrydemo.Fleet) (int, error) {
 	var counts map[string]int
-	if err := f.GetJSON(ctx, "http://"+f.Platform+"/admin/calls", &counts); err != nil {
+	if err := f.GetJSON(ctx, "http://"+f.PlatformAddress+"/admin/calls", &counts); err != nil {
 		return 0, err
 	}
 	total := 0
--- a/ferrybench/ferryrelay/relay.go
+++ b/ferrybench/ferryrelay/relay.go
@@ -78,7 +78,7 @@
 		return f, 0, err
 	}
 	ready := time.Since(began)
-	return f, ready, f.Accept(ctx, ferrydemo.ModelService, f.ModelDocument(128))
+	return f, ready, f.ApplyFirst(ctx, ferrydemo.ModelService, f.ModelDocument(128))
 }
 
 func measureRelay(ctx context.Context, cfg Config, res *Result) error {
@@ -121,7 +121,7 @@
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			c := ferrydemo.Caller{Entry: f.Entries[0].Callers, Key: ferrydemo.CustomerKey}
+			c := ferrydemo.Caller{Entry: f.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
 			for n := range cfg.Rounds {
 				body := ferrydemo.CompletionBody(fmt.Sprintf("caller %d round %d", i, n), cfg.Tokens, uint64(i))
 				if err := c.Stream(ctx, body, "", func(ferrydemo.Chunk) { tokens.Add(1) }); err != nil {
@@ -168,7 +168,7 @@
 }
 
 func firstTokenThroughEntry(ctx context.Context, f *ferrydemo.Fleet, i int) (time.Duration, error) {
-	c := ferrydemo.Caller{Entry: f.Entries[0].Callers, Key: ferrydemo.CustomerKey}
+	c := ferrydemo.Caller{Entry: f.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
 	began := time.Now()
 	var first time.Duration
 	err := c.Stream(ctx, ferrydemo.CompletionBody(prompt("through", i), latencyTokens, uint64(i)), "", func(ferrydemo.Chunk) {
@@ -227,7 +227,7 @@
 	var open atomic.Int64
 	for i := range cfg.Open {
 		go func() {
-			c := ferrydemo.Caller{Entry: f.Entries[0].Callers, Key: ferrydemo.CustomerKey}
+			c := ferrydemo.Caller{Entry: f.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
 			seen := false
 			_ = c.Stream(ctx, ferrydemo.CompletionBody(prompt("open", i), 1000, uint64(i)), "", func(ferrydemo.Chunk) {
 				if !seen {
--- a/ferrybench/live.go
+++ b/ferrybench/live.go
@@ -159,7 +159,7 @@
 		load.Keys = append(load.Keys, t.Name+"="+t.Key)
 	}
 	for _, e := range l.Entries {
-		load.Entries = append(load.Entries, e.Callers)
+		load.Entries = append(load.Entries, e.CallerAddress)
 	}
 	cfg := load.config(l.workload)
 	cfg.Callers, cfg.MinLifetime = callersPerCustomer, keep
@@ -214,7 +214,7 @@
 		}
 	}
 	for service, text := range map[ferryid.ServiceName]string{ferrydemo.ModelService: l.ModelDocument(shortMaxTokens), ferrydemo.PlainService: l.PlainDocument()} {
-		if err := l.Accept(ctx, string(service), text); err != nil {
+		if err := l.ApplyFirst(ctx, string(service), text); err != nil {
 			return err
 		}
 	}
--- a/ferrybench/livefault_test.go
+++ b/ferrybench/livefault_test.go
@@ -33,7 +33,7 @@
 	l := &liveFleet{Fleet: &ferrydemo.Fleet{}, workload: &ferryworkload.Workload{Faults: ferryworkload.Faults{
 		{At: ferryworkload.Duration(2 * time.Second), Kind: ferryworkload.FaultKillEntry, First: 0, Count: 1},
 	}}}
-	l.Entries = []*ferrydemo.Entry{{Callers: "a"}, {Callers: "b"}, {Callers: "c"}}
+	l.Entries = []*ferrydemo.Entry{{CallerAddress: "a"}, {CallerAddress: "b"}, {CallerAddress: "c"}}
 	r := &liveRun{Summary: &ferryload.Summary{Sent: map[string][]int{"a": {6, 6}, "b": {3, 3, 10}, "c": {3, 3, 30}}}, fleet: l}
 	assert.Equal(t, r.imbalance(0, 2*time.Second), 1.5)
 	assert.Equal(t, r.imbalance(2*time.Second, 3*time.Second), 1.5)
--- a/ferrybench/livepoint.go
+++ b/ferrybench/livepoint.go
@@ -215,8 +215,8 @@
 			continue
 		}
 		tries := 0
-		for s := int(from / time.Second); s < int(to/time.Second) && s < len(r.Sent[e.Callers]); s++ {
-			tries += r.Sent[e.Callers][s]
+		for s := int(from / time.Second); s < int(to/time.Second) && s < len(r.Sent[e.CallerAddress]); s++ {
+			tries += r.Sent[e.CallerAddress][s]
 		}
 		most, sum, n = max(most, tries), sum+tries, n+1
 	}
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -92,8 +92,8 @@
 	openCalls   atomic.Int64
 }
 
-// Open returns the numbers of open streams and calls.
-func (s *Server) Open() (streams, calls int) {
+// OpenCounts returns the numbers of open streams and calls.
+func (s *Server) OpenCounts() (streams, calls int) {
 	return int(s.openStreams.Load()), int(s.openCalls.Load())
 }
 
--- a/ferryd/ferrynode/engine_test.go
+++ b/ferryd/ferrynode/engine_test.go
@@ -184,13 +184,13 @@
 	sv, _, _ := observedService(t)
 	b := sv.model.Load().runner.Budget
 	for range 3 * 8 {
-		assert.NilError(t, b.Retry())
+		assert.NilError(t, b.TakeRetry())
 	}
-	assert.Assert(t, b.Retry() != nil)
+	assert.Assert(t, b.TakeRetry() != nil)
 	b.SetBurst(30)
 	for range 6 {
-		assert.NilError(t, b.Retry())
+		assert.NilError(t, b.TakeRetry())
 	}
 	b.SetBurst(10)
-	assert.Assert(t, b.Retry() != nil)
+	assert.Assert(t, b.TakeRetry() != nil)
 }
--- a/ferryd/ferrynode/load.go
+++ b/ferryd/ferrynode/load.go
@@ -206,7 +206,7 @@
 // publishLoad publishes the state and load of this entry to the other entries.
 func (n *Node) publishLoad(context.Context) {
 	running, capacity := n.callsAndSlots()
-	streams, _ := n.callers.Open()
+	streams, _ := n.callers.OpenCounts()
 	state := ferrypeer.Ready
 	if n.state() != StateReady || n.stopping.Load() {
 		state = ferrypeer.Draining
--- a/ferryd/ferrynode/metrics.go
+++ b/ferryd/ferrynode/metrics.go
@@ -10,7 +10,7 @@
 // updateMetrics sets the gauges that are sampled periodically.
 func (n *Node) updateMetrics(context.Context) {
 	s := n.metrics.Scope
-	streams, calls := n.callers.Open()
+	streams, calls := n.callers.OpenCounts()
 	s.Gauge("open_streams").Update(float64(streams))
 	s.Gauge("open_calls").Update(float64(calls))
 	s.Gauge("state").Update(float64(n.state()))
@@ -35,7 +35,7 @@
 	s.Gauge("queue_waiting").Update(float64(q.Waiting))
 	s.Gauge("queue_running").Update(float64(q.Running))
 	s.Gauge("queue_capacity").Update(float64(q.Capacity))
-	s.Gauge("queue_turned_away").Update(float64(q.TurnedAway))
+	s.Gauge("queue_turned_away").Update(float64(q.RefusedEarly))
 	if f, ok := n.holder.Get(sv.name); ok {
 		s.Gauge("document_generation").Update(float64(f.Accepted.Generation))
 	}
--- a/ferryd/ferrynode/overlay.go
+++ b/ferryd/ferrynode/overlay.go
@@ -138,7 +138,7 @@
 	if err := cbor.Unmarshal(it, &u); err != nil {
 		return false, err
 	}
-	v, err := h.Take(u, "peer")
+	v, err := h.OfferUpdate(u, "peer")
 	switch {
 	case err != nil:
 		return false, err
--- a/ferryd/ferrynode/status.go
+++ b/ferryd/ferrynode/status.go
@@ -9,7 +9,7 @@
 )
 
 func (n *Node) status() ferryadmin.Status {
-	streams, calls := n.callers.Open()
+	streams, calls := n.callers.OpenCounts()
 	s := ferryadmin.Status{
 		Entry: n.cfg.Name, Incarnation: n.self, FailureDomain: n.cfg.FailureDomain, State: ferryadmin.EntryState(n.state().String()),
 		OpenStreams: streams, OpenCalls: calls, PlatformUp: n.platform.Up(), PlatformCalls: n.platformCalls(),
--- a/ferryd/ferrynode/stop.go
+++ b/ferryd/ferrynode/stop.go
@@ -65,7 +65,7 @@
 }
 
 func (n *Node) openCounts() ferrydrain.Open {
-	streams, calls := n.callers.Open()
+	streams, calls := n.callers.OpenCounts()
 	return ferrydrain.Open{Streams: streams, Calls: calls}
 }
 
--- a/ferrystand/ferrydemo/demo.go
+++ b/ferrystand/ferrydemo/demo.go
@@ -192,7 +192,7 @@
 
 // admin decodes the answer of a GET request to the operator interface of one entry.
 func (f *Fleet) admin(ctx context.Context, e *Entry, path string, v any) error {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.scheme()+e.Peers+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.scheme()+e.PeerAddress+path, nil)
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 // requestEntry requests the entry list of a service, as
 // a caller does, and returns a client of the first entry.
 func (d *Demo) requestEntry(ctx context.Context, service string) (Caller, error) {
-	c := Caller{Entry: d.fleet.Entries[0].Callers, Key: CustomerKey}
+	c := Caller{Entry: d.fleet.Entries[0].CallerAddress, Key: CustomerKey}
 	status, _, body, err := c.Do(ctx, http.MethodGet, "/v1/entries?service="+service, "", nil)
 	if err != nil {
 		return c, err
@@ -271,7 +271,7 @@
 	const path = "/v1/services/" + PlainService + "/rations/417"
 	header := http.Header{ferryplain.IdempotencyKeyHeader: {"ration-417-friday"}}
 	for _, e := range d.fleet.Entries {
-		c := Caller{Entry: e.Callers, Key: CustomerKey}
+		c := Caller{Entry: e.CallerAddress, Key: CustomerKey}
 		status, _, body, err := c.Do(ctx, http.MethodPost, path, `{"Kilograms":2}`, header)
 		if err != nil {
 			return err
@@ -292,7 +292,7 @@
 // PlainRuns returns how many times the plain stand-in ran the call with the key.
 func (f *Fleet) PlainRuns(ctx context.Context, key string) (int, error) {
 	var records []struct{ IdempotencyKey string }
-	if err := f.GetJSON(ctx, "http://"+f.Plain+"/admin/records", &records); err != nil {
+	if err := f.GetJSON(ctx, "http://"+f.PlainAddress+"/admin/records", &records); err != nil {
 		return 0, err
 	}
 	n := 0
--- a/ferrystand/ferrydemo/document.go
+++ b/ferrystand/ferrydemo/document.go
@@ -52,7 +52,7 @@
 	if f.PlainProxy != nil {
 		return f.PlainProxy.Address()
 	}
-	return f.Plain
+	return f.PlainAddress
 }
 
 func (f *Fleet) customerRows() string {
--- a/ferrystand/ferrydemo/fleet.go
+++ b/ferrystand/ferrydemo/fleet.go
@@ -61,11 +61,11 @@
 
 // Entry is one ferryd of the fleet.
 type Entry struct {
-	Name    string
-	Callers string
-	Peers   string
-	Domain  string
-	Process *ferryprocess.Process
+	Name          string
+	CallerAddress string
+	PeerAddress   string
+	Domain        string
+	Process       *ferryprocess.Process
 	// Proxy, if set, is the fault proxy that the other entries connect to.
 	Proxy *ferryproxy.Proxy
 }
@@ -75,15 +75,15 @@
 	if e.Proxy != nil {
 		return e.Proxy.Address()
 	}
-	return e.Peers
+	return e.PeerAddress
 }
 
 // Fleet is a platform, engines, one plain service and entries, each in a separate process.
 type Fleet struct {
 	ferryprocess.Group
-	Platform     string
-	Plain        string
-	PlainProcess *ferryprocess.Process
+	PlatformAddress string
+	PlainAddress    string
+	PlainProcess    *ferryprocess.Process
 	// PlainProxy, if set, is the fault proxy that entries connect to instead of the plain service.
 	PlainProxy *ferryproxy.Proxy
 	Engines    []*Engine
@@ -152,7 +152,7 @@
 	if !cfg.DefaultGrace {
 		f.graceFlags = []string{"--stop.grace", "300ms"}
 	}
-	f.Platform, f.Plain = addresses[0], addresses[1]
+	f.PlatformAddress, f.PlainAddress = addresses[0], addresses[1]
 	addresses = addresses[2:]
 	for i := range cfg.Engines {
 		e := newEngine(i, addresses[i])
@@ -167,10 +167,10 @@
 	addresses = addresses[cfg.Engines:]
 	for i := range cfg.Entries {
 		f.Entries = append(f.Entries, &Entry{
-			Name:    fmt.Sprintf("entry-%d", i+1),
-			Callers: addresses[2*i],
-			Peers:   addresses[2*i+1],
-			Domain:  domains[i%len(domains)],
+			Name:          fmt.Sprintf("entry-%d", i+1),
+			CallerAddress: addresses[2*i],
+			PeerAddress:   addresses[2*i+1],
+			Domain:        domains[i%len(domains)],
 		})
 	}
 	return f, f.addProxies(cfg)
@@ -180,14 +180,14 @@
 func (f *Fleet) addProxies(cfg Config) (err error) {
 	if cfg.PeerProxies {
 		for _, e := range f.Entries {
-			e.Proxy, err = ferryproxy.New(ferryproxy.Config{Target: e.Peers, Named: true})
+			e.Proxy, err = ferryproxy.New(ferryproxy.Config{Target: e.PeerAddress, Named: true})
 			if err != nil {
 				return err
 			}
 		}
 	}
 	if cfg.PlainProxy {
-		f.PlainProxy, err = ferryproxy.New(ferryproxy.Config{Target: f.Plain})
+		f.PlainProxy, err = ferryproxy.New(ferryproxy.Config{Target: f.PlainAddress})
 		if err != nil {
 			return err
 		}
@@ -279,11 +279,11 @@
 
 // StartUpstreams starts the platform, the plain service and the engines, and waits until each is ready.
 func (f *Fleet) StartUpstreams(ctx context.Context) error {
-	if _, err := f.StartReady(ctx, "platform", "ferrystand", "platform", "--listen", f.Platform); err != nil {
+	if _, err := f.StartReady(ctx, "platform", "ferrystand", "platform", "--listen", f.PlatformAddress); err != nil {
 		return err
 	}
-	p, err := f.StartReady(ctx, "plain", "ferrystand", "plain", "--listen", f.Plain, "--name", "robots-1",
-		"--domain", domains[0], "--service", PlainService, "--platform", "http://"+f.Platform)
+	p, err := f.StartReady(ctx, "plain", "ferrystand", "plain", "--listen", f.PlainAddress, "--name", "robots-1",
+		"--domain", domains[0], "--service", PlainService, "--platform", "http://"+f.PlatformAddress)
 	if err != nil {
 		return err
 	}
@@ -311,7 +311,7 @@
 		"engine", "--name", e.Name, "--listen", e.Address,
 		"--domain", e.Domain, "--service", ModelService, "--layers", fmt.Sprintf("%d:%d", e.Layers.From, e.Layers.To),
 		"--accelerator", e.Accelerator, "--tokens-per-second", fmt.Sprint(e.TokensPerSecond), "--slots", fmt.Sprint(f.slots),
-		"--platform", "http://" + f.Platform,
+		"--platform", "http://" + f.PlatformAddress,
 	}
 	if f.Journals != "" {
 		args = append(args, "--journal", filepath.Join(f.Journals, e.Name))
@@ -330,14 +330,14 @@
 // list registers an instance under its proxy's address. Entries add the instances of the list
 // to those of their documents, so the address of the process itself would bypass the proxy.
 func (f *Fleet) list(ctx context.Context, name string, row ferryplatform.Instance) error {
-	return f.PutJSON(ctx, "http://"+f.Platform+"/admin/instances/"+name, row)
+	return f.PutJSON(ctx, "http://"+f.PlatformAddress+"/admin/instances/"+name, row)
 }
 
 // StartEntry starts one ferryd, registers it in the instance list and waits until it is ready.
 func (f *Fleet) StartEntry(ctx context.Context, e *Entry) error {
 	args := []string{
-		"--name", e.Name, "--failure-domain", e.Domain, "--callers.listen", e.Callers, "--peers.listen", e.Peers, "--peers.advertise", e.advertisedAddress(),
-		"--platform.url", "http://" + f.Platform, "--keys.seal", SealKey, "--keys.operator-token", operatorToken,
+		"--name", e.Name, "--failure-domain", e.Domain, "--callers.listen", e.CallerAddress, "--peers.listen", e.PeerAddress, "--peers.advertise", e.advertisedAddress(),
+		"--platform.url", "http://" + f.PlatformAddress, "--keys.seal", SealKey, "--keys.operator-token", operatorToken,
 		"--log.level", "info",
 	}
 	args = append(args, f.graceFlags...)
@@ -357,7 +357,7 @@
 	if err := f.Register(ctx, e, ferryplatform.StateLive); err != nil {
 		return err
 	}
-	return p.WaitHTTP(ctx, f.HTTP(), f.scheme()+e.Callers+"/readyz")
+	return p.WaitHTTP(ctx, f.HTTP(), f.scheme()+e.CallerAddress+"/readyz")
 }
 
 // UseKeys sets the TLS keys of entries started later and of all clients of entries.
@@ -390,10 +390,10 @@
 // Register writes an entry's row of the instance list, as the users' platform does.
 func (f *Fleet) Register(ctx context.Context, e *Entry, state ferryplatform.InstanceState) error {
 	row := ferryplatform.Instance{
-		Name: e.Name, Role: ferryplatform.RoleEntry, Address: e.Callers, PeerAddress: e.advertisedAddress(),
+		Name: e.Name, Role: ferryplatform.RoleEntry, Address: e.CallerAddress, PeerAddress: e.advertisedAddress(),
 		FailureDomain: ferryid.DomainName(e.Domain), State: state,
 	}
-	return f.PutJSON(ctx, "http://"+f.Platform+"/admin/instances/"+e.Name, row)
+	return f.PutJSON(ctx, "http://"+f.PlatformAddress+"/admin/instances/"+e.Name, row)
 }
 
 // PutJSON sends a PUT request with a JSON body to a stand-in.
@@ -439,7 +439,7 @@
 func (f *Fleet) Ctl(ctx context.Context, args ...string) (string, error) {
 	var peers []string
 	for _, e := range f.Entries {
-		peers = append(peers, f.scheme()+e.Peers)
+		peers = append(peers, f.scheme()+e.PeerAddress)
 	}
 	args = append(args, "--entry", strings.Join(peers, ","), "--token", operatorToken)
 	if f.Keys != nil {
@@ -448,8 +448,8 @@
 	return f.Run(ctx, "ferryctl", args...)
 }
 
-// Accept applies the first version of a document and waits until it is in force everywhere.
-func (f *Fleet) Accept(ctx context.Context, service, text string) error {
+// ApplyFirst applies the first version of a document and waits until it is in force everywhere.
+func (f *Fleet) ApplyFirst(ctx context.Context, service, text string) error {
 	dir, err := os.MkdirTemp("", "cactusferry-document")
 	if err != nil {
 		return err
@@ -467,5 +467,5 @@
 
 // Admin returns a client of an entry's operator interface.
 func (f *Fleet) Admin(e *Entry) *ferryadmin.Client {
-	return ferryadmin.NewClient("http://"+e.Peers, operatorToken, nil)
+	return ferryadmin.NewClient("http://"+e.PeerAddress, operatorToken, nil)
 }
--- a/ferrystand/ferryproof/answers.go
+++ b/ferrystand/ferryproof/answers.go
@@ -96,7 +96,7 @@
 			break
 		}
 		tries++
-		c := ferrydemo.Caller{Entry: w.Entries[0].Callers, Key: ferrydemo.CustomerKey}
+		c := ferrydemo.Caller{Entry: w.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
 		got := 0
 		err := c.Stream(ctx, q.body(), id, func(ferrydemo.Chunk) { got++ })
 		var s *ferrydemo.StatusError
@@ -114,7 +114,7 @@
 // streamOverSilentConnection reads a stream over a connection that goes
 // silent, and resumes it at another entry after the idle timeout.
 func (w *harness) streamOverSilentConnection(ctx context.Context, t *tally) error {
-	proxy, err := ferryproxy.New(ferryproxy.Config{Target: w.Entries[2].Callers})
+	proxy, err := ferryproxy.New(ferryproxy.Config{Target: w.Entries[2].CallerAddress})
 	if err != nil {
 		return err
 	}
--- a/ferrystand/ferryproof/claims.go
+++ b/ferrystand/ferryproof/claims.go
@@ -147,7 +147,7 @@
 		IdempotencyKey string
 		AtMillis       int64
 	}
-	if err := w.GetJSON(ctx, "http://"+w.Plain+"/admin/records", &records); err != nil {
+	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
 		return err
 	}
 	runs := map[string][]int64{}
--- a/ferrystand/ferryproof/config.go
+++ b/ferrystand/ferryproof/config.go
@@ -41,7 +41,7 @@
 		if err := w.applyAndMeasure(ctx, 3); err != nil {
 			return err
 		}
-		if err := w.PutJSON(ctx, "http://"+w.Platform+"/admin/snapshot", nil); err != nil {
+		if err := w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/snapshot", nil); err != nil {
 			return err
 		}
 		if err := w.applyAndMeasure(ctx, 4); err != nil {
@@ -53,7 +53,7 @@
 		if err := w.restartInOutage(ctx, 6); err != nil {
 			return err
 		}
-		if err := w.PutJSON(ctx, "http://"+w.Platform+"/admin/restore", nil); err != nil {
+		if err := w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/restore", nil); err != nil {
 			return err
 		}
 		if err := w.waitRestored(ctx, 6); err != nil {
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		if slices.ContainsFunc(events, func(ev ferryevent.Event) bool { return ev.Kind == ferrydocument.EventStoreBack }) {
+		if slices.ContainsFunc(events, func(ev ferryevent.Event) bool { return ev.Kind == ferrydocument.EventStoreRolledBack }) {
 			detected++
 		}
 	}
@@ -108,7 +108,7 @@
 	defer cancel()
 	err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
 		var stored struct{ Generation int }
-		err := w.GetJSON(ctx, "http://"+w.Platform+documentObject, &stored)
+		err := w.GetJSON(ctx, "http://"+w.PlatformAddress+documentObject, &stored)
 		if err == nil && stored.Generation != generation {
 			err = fmt.Errorf("store has generation %d, expected %d", stored.Generation, generation)
 		}
--- a/ferrystand/ferryproof/keys.go
+++ b/ferrystand/ferryproof/keys.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return untrustedEntry{}, err
 	}
-	e := &ferrydemo.Entry{Name: untrustedName, Domain: w.Entries[0].Domain, Callers: addresses[0], Peers: addresses[1]}
+	e := &ferrydemo.Entry{Name: untrustedName, Domain: w.Entries[0].Domain, CallerAddress: addresses[0], PeerAddress: addresses[1]}
 	if err := w.StartEntry(ctx, e); err != nil {
 		return untrustedEntry{}, err
 	}
@@ -179,7 +179,7 @@
 		return fmt.Errorf("%s has links to %v", e.Name, s.Peers)
 	}
 	var v any
-	if err := w.GetJSON(ctx, "http://"+e.Peers+"/admin/status", &v); err == nil {
+	if err := w.GetJSON(ctx, "http://"+e.PeerAddress+"/admin/status", &v); err == nil {
 		return fmt.Errorf("%s answered an operator's request without TLS", e.Name)
 	}
 	cfg, err := w.Keys.Config()
@@ -187,7 +187,7 @@
 		return err
 	}
 	cfg.Certificates, cfg.GetClientCertificate = nil, nil
-	if _, err := dialTLS(e.Peers, cfg); err == nil {
+	if _, err := dialTLS(e.PeerAddress, cfg); err == nil {
 		return fmt.Errorf("%s accepted a connection without a client certificate", e.Name)
 	}
 	return nil
@@ -297,7 +297,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
 	return ferryprocess.Poll(ctx, func(context.Context) error {
-		if _, err := dialTLS(e.Peers, old); err == nil {
+		if _, err := dialTLS(e.PeerAddress, old); err == nil {
 			return fmt.Errorf("%s still accepts the old certificate", e.Name)
 		}
 		return nil
@@ -309,7 +309,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
 	for _, e := range w.Entries {
-		for _, address := range []string{e.Callers, e.Peers} {
+		for _, address := range []string{e.CallerAddress, e.PeerAddress} {
 			if err := ferryprocess.Poll(ctx, func(context.Context) error { return check(address) }); err != nil {
 				return err
 			}
--- a/ferrystand/ferryproof/leaving.go
+++ b/ferrystand/ferryproof/leaving.go
@@ -56,7 +56,7 @@
 // listAsLeaving marks an engine as leaving in the instance
 // list, as the platform does before it removes an instance.
 func (w *harness) listAsLeaving(ctx context.Context, e *ferrydemo.Engine) error {
-	return w.PutJSON(ctx, "http://"+w.Platform+"/admin/instances/"+e.Name, map[string]any{
+	return w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/instances/"+e.Name, map[string]any{
 		"Name": e.Name, "Role": "Engine", "Service": ferrydemo.ModelService, "Address": e.Address,
 		"FailureDomain": e.Domain, "State": "Leaving", "Layers": e.Layers,
 	})
--- a/ferrystand/ferryproof/load.go
+++ b/ferrystand/ferryproof/load.go
@@ -103,7 +103,7 @@
 	var text strings.Builder
 	last := ""
 	for try := 0; ctx.Err() == nil; try++ {
-		c := w.Caller(w.Entries[(q.index+try)%len(w.Entries)].Callers, q.key)
+		c := w.Caller(w.Entries[(q.index+try)%len(w.Entries)].CallerAddress, q.key)
 		if try == 0 && q.firstAddress != "" {
 			c.Entry = q.firstAddress
 		}
@@ -210,7 +210,7 @@
 func (w *harness) sendTo(ctx context.Context, entry int, cow, key, body string, header http.Header) plainCall {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
-	c := w.Caller(w.Entries[entry%len(w.Entries)].Callers, ferrydemo.CustomerKey)
+	c := w.Caller(w.Entries[entry%len(w.Entries)].CallerAddress, ferrydemo.CustomerKey)
 	status, h, body, err := c.Do(ctx, http.MethodPost, "/v1/services/"+ferrydemo.PlainService+"/rations/"+cow, body, header)
 	out := plainCall{key: key, status: status, err: err, body: body}
 	if status >= http.StatusBadRequest {
@@ -225,7 +225,7 @@
 // runs returns the number of runs of each key at the plain service.
 func (w *harness) runs(ctx context.Context) (map[string]int, error) {
 	var records []struct{ IdempotencyKey string }
-	if err := w.GetJSON(ctx, "http://"+w.Plain+"/admin/records", &records); err != nil {
+	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
 		return nil, err
 	}
 	out := map[string]int{}
--- a/ferrystand/ferryproof/notrun.go
+++ b/ferrystand/ferryproof/notrun.go
@@ -117,7 +117,7 @@
 
 // leavingPlain makes the plain service refuse calls as leaving, and then kills it.
 func (w *harness) leavingPlain(ctx context.Context) error {
-	proxy, err := ferryproxy.New(ferryproxy.Config{Listen: w.PlainProxy.Address(), Target: w.Plain})
+	proxy, err := ferryproxy.New(ferryproxy.Config{Listen: w.PlainProxy.Address(), Target: w.PlainAddress})
 	if err != nil {
 		return err
 	}
--- a/ferrystand/ferryproof/once.go
+++ b/ferrystand/ferryproof/once.go
@@ -165,7 +165,7 @@
 
 // ticket requests a ticket for the plain service from an entry.
 func (w *harness) ticket(ctx context.Context, e *ferrydemo.Entry) (string, error) {
-	c := ferrydemo.Caller{Entry: e.Callers, Key: ferrydemo.CustomerKey}
+	c := ferrydemo.Caller{Entry: e.CallerAddress, Key: ferrydemo.CustomerKey}
 	status, _, body, err := c.Do(ctx, http.MethodPost, "/v1/tickets?service="+ferrydemo.PlainService, "", nil)
 	if err != nil {
 		return "", err
@@ -235,7 +235,7 @@
 // runsOf returns the number of runs for one cow's ration.
 func (w *harness) runsOf(ctx context.Context, cow string) (int, error) {
 	var records []struct{ Path string }
-	if err := w.GetJSON(ctx, "http://"+w.Plain+"/admin/records", &records); err != nil {
+	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
 		return 0, err
 	}
 	n := 0
--- a/ferrystand/ferryproof/order.go
+++ b/ferrystand/ferryproof/order.go
@@ -61,7 +61,7 @@
 // leaseHolder returns the entry whose incarnation is the holder in the lease object.
 func (w *harness) leaseHolder(ctx context.Context) (*ferrydemo.Entry, error) {
 	var record struct{ Holder string }
-	if err := w.GetJSON(ctx, "http://"+w.Platform+leaseObject, &record); err != nil {
+	if err := w.GetJSON(ctx, "http://"+w.PlatformAddress+leaseObject, &record); err != nil {
 		return nil, err
 	}
 	for _, e := range w.Entries {
--- a/ferrystand/ferryproof/proof.go
+++ b/ferrystand/ferryproof/proof.go
@@ -139,10 +139,10 @@
 
 // platformFaults sets the platform stand-in's faults.
 func (w *harness) platformFaults(ctx context.Context, faults map[string]any) error {
-	return w.PutJSON(ctx, "http://"+w.Platform+"/admin/faults", faults)
+	return w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/faults", faults)
 }
 
 // plainFaults sets the plain service's faults.
 func (w *harness) plainFaults(ctx context.Context, faults map[string]any) error {
-	return w.PutJSON(ctx, "http://"+w.Plain+"/admin/faults", faults)
+	return w.PutJSON(ctx, "http://"+w.PlainAddress+"/admin/faults", faults)
 }
--- a/ferrystand/ferryproof/stale.go
+++ b/ferrystand/ferryproof/stale.go
@@ -121,7 +121,7 @@
 
 func (s *staleLoad) fetchList(ctx context.Context, at int) entryList {
 	list := entryList{at: time.Now()}
-	c := s.Caller(s.Entries[at].Callers, ferrydemo.CustomerKey)
+	c := s.Caller(s.Entries[at].CallerAddress, ferrydemo.CustomerKey)
 	status, _, body, err := c.Do(ctx, http.MethodGet, "/v1/entries?service="+ferrydemo.ModelService, "", nil)
 	if err == nil && status == http.StatusOK {
 		err = json.Unmarshal([]byte(body), &list)
@@ -156,7 +156,7 @@
 	defer s.mu.Unlock()
 	s.calls++
 	s.maxLifetime = max(s.maxLifetime, list.lifetime())
-	if s.stopping && list.Entries[0].Address == s.stopped.Callers {
+	if s.stopping && list.Entries[0].Address == s.stopped.CallerAddress {
 		s.late++
 		s.oldest = max(s.oldest, time.Since(list.at))
 	}
