--- a/ferrybench/ferryload/entry.go
+++ b/ferrybench/ferryload/entry.go
@@ -18,7 +18,8 @@
 	defaultLifetime = 30 * time.Second
 )
 
-// Steering is the answer of GET /v1/entries: the entry addresses in order of preference, and how long to keep them.
+// Steering is the answer of GET /v1/entries: the entry addresses in order of preference, and how long to keep
+// them.
 type Steering struct {
 	Entries         []EntryAddress `json:"Entries"`
 	LifetimeSeconds int            `json:"LifetimeSeconds"`
@@ -62,7 +63,8 @@
 	next    int
 }
 
-// steeringKey identifies a caller of a customer and the service that it calls; each key has its own steering answer.
+// steeringKey identifies a caller of a customer and the service that it calls; each key has its own steering
+// answer.
 type steeringKey struct {
 	customer ferryid.CustomerName
 	service  ferryid.ServiceName
@@ -79,75 +81,76 @@
 	return &steeringCache{cfg: cfg, answers: map[steeringKey]*cachedAnswer{}}
 }
 
-// address returns the address of the preferred entry. Without a steering answer it rotates over the configured entries.
-func (e *steeringCache) address(ctx context.Context, key steeringKey) string {
-	e.mu.Lock()
-	k := e.answers[key]
-	if k == nil {
-		k = &cachedAnswer{}
-		e.answers[key] = k
-	}
-	refresh := !k.refreshing && e.cfg.Clock.Now().After(k.expires)
-	k.refreshing = k.refreshing || refresh
-	e.mu.Unlock()
+// address returns the address of the preferred entry. Without a steering answer it rotates over the
+// configured entries.
+func (c *steeringCache) address(ctx context.Context, key steeringKey) string {
+	c.mu.Lock()
+	cached := c.answers[key]
+	if cached == nil {
+		cached = &cachedAnswer{}
+		c.answers[key] = cached
+	}
+	refresh := !cached.refreshing && c.cfg.Clock.Now().After(cached.expires)
+	cached.refreshing = cached.refreshing || refresh
+	c.mu.Unlock()
 	if refresh {
-		e.refresh(ctx, key)
+		c.refresh(ctx, key)
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(k.addresses) > 0 {
-		return k.addresses[0]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(cached.addresses) > 0 {
+		return cached.addresses[0]
 	}
-	e.next++
-	return e.cfg.Entries[e.next%len(e.cfg.Entries)]
+	c.next++
+	return c.cfg.Entries[c.next%len(c.cfg.Entries)]
 }
 
 // markFailed moves an entry that could not be reached to the end of a caller's list.
-func (e *steeringCache) markFailed(key steeringKey, address string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	k := e.answers[key]
-	if k != nil && len(k.addresses) > 1 && k.addresses[0] == address {
-		k.addresses = append(k.addresses[1:], address)
+func (c *steeringCache) markFailed(key steeringKey, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cached := c.answers[key]
+	if cached != nil && len(cached.addresses) > 1 && cached.addresses[0] == address {
+		cached.addresses = append(cached.addresses[1:], address)
 	}
 }
 
-// refresh requests a new steering answer from the configured entries in turn; if all fail, the previous answer stays
-// in use.
-func (e *steeringCache) refresh(ctx context.Context, key steeringKey) {
+// refresh requests a new steering answer from the configured entries in turn; if all fail, the previous
+// answer stays in use.
+func (c *steeringCache) refresh(ctx context.Context, key steeringKey) {
 	var s Steering
 	var err error
-	for range e.cfg.Entries {
-		if s, err = e.fetch(ctx, key); err == nil {
+	for range c.cfg.Entries {
+		if s, err = c.fetch(ctx, key); err == nil {
 			break
 		}
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	k := e.answers[key]
-	k.refreshing = false
-	k.expires = e.cfg.Clock.Now().Add(max(e.cfg.MinLifetime, s.lifetime()))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cached := c.answers[key]
+	cached.refreshing = false
+	cached.expires = c.cfg.Clock.Now().Add(max(c.cfg.MinLifetime, s.lifetime()))
 	if err != nil {
 		return
 	}
-	k.addresses = nil
+	cached.addresses = nil
 	for _, a := range s.Entries {
-		k.addresses = append(k.addresses, a.Address)
+		cached.addresses = append(cached.addresses, a.Address)
 	}
 }
 
-func (e *steeringCache) fetch(ctx context.Context, key steeringKey) (Steering, error) {
-	e.mu.Lock()
-	e.next++
-	seed := e.cfg.Entries[e.next%len(e.cfg.Entries)]
-	e.mu.Unlock()
+func (c *steeringCache) fetch(ctx context.Context, key steeringKey) (Steering, error) {
+	c.mu.Lock()
+	c.next++
+	seed := c.cfg.Entries[c.next%len(c.cfg.Entries)]
+	c.mu.Unlock()
 	u := "http://" + seed + "/v1/entries?service=" + url.QueryEscape(string(key.service))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return Steering{}, err
 	}
-	authorize(req, e.cfg, key.customer)
-	res, err := e.cfg.Client.Do(req)
+	authorize(req, c.cfg, key.customer)
+	res, err := c.cfg.Client.Do(req)
 	if err != nil {
 		return Steering{}, err
 	}
--- a/ferrybench/ferryload/load.go
+++ b/ferrybench/ferryload/load.go
@@ -13,11 +13,11 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// breakPause is the backoff after a broken stream, multiplied by the number of breaks of the call.
-const breakPause = 100 * time.Millisecond
+// breakBackoff is the backoff after a broken stream, multiplied by the number of breaks of the call.
+const breakBackoff = 100 * time.Millisecond
 
 // Config configures a load. Each customer has Callers callers, or one if 0. They keep a steering answer for
-// MinLifetime or its lifetime, whichever is longer.
+// MinLifetime or its lifetime, whichever is longer. At most MaxOpen calls are open at a time.
 type Config struct {
 	Entries     []string
 	Model       ferryid.ServiceName
@@ -33,7 +33,7 @@
 // Load is the state of a running load.
 type Load struct {
 	cfg      Config
-	w        *ferryworkload.Workload
+	workload *ferryworkload.Workload
 	start    time.Time
 	mu       sync.Mutex
 	summary  Summary
@@ -43,15 +43,16 @@
 // Summary holds the results of a load.
 type Summary struct {
 	Result *ferryexperiment.Result `json:"Result"`
-	// Unsent is the number of arrivals not sent because MaxOpen calls were open. Unknown is the number of failed calls
-	// that may have run.
+	// Unsent is the number of arrivals not sent because MaxOpen calls were open. Unknown is the number of
+	// failed calls that may have run.
 	Unsent  int `json:"Unsent"`
 	Unknown int `json:"Unknown"`
-	// Resumed is the number of streams that were resumed after a break, RefusedResumes the number of refused attempts
-	// to resume.
+	// Resumed is the number of streams that were resumed after a break, RefusedResumes the number of refused
+	// attempts to resume.
 	Resumed        int `json:"Resumed"`
 	RefusedResumes int `json:"RefusedResumes"`
-	// Uneven is the number of streams that ended without an error but with a token count other than the requested one.
+	// Uneven is the number of streams that ended without an error but with a token count other than the
+	// requested one.
 	Uneven int `json:"Uneven"`
 	// Failures counts failed calls by the last failure of each.
 	Failures map[string]int `json:"Failures"`
@@ -59,9 +60,10 @@
 	Sent map[string][]int `json:"Sent"`
 }
 
-// Run sends every arrival at its time without waiting for earlier calls, and returns when all calls have ended.
+// Run sends every arrival at its time without waiting for earlier calls, and returns when all calls have
+// ended.
 func Run(ctx context.Context, cfg Config, w *ferryworkload.Workload, arrivals []ferryworkload.Arrival) *Summary {
-	l := &Load{cfg: cfg, w: w, start: cfg.Clock.Now(), steering: newSteeringCache(cfg)}
+	l := &Load{cfg: cfg, workload: w, start: cfg.Clock.Now(), steering: newSteeringCache(cfg)}
 	l.summary = Summary{
 		Result:   ferryexperiment.NewResult(w, ferryexperiment.Policy{Name: "live"}),
 		Failures: map[string]int{}, Sent: map[string][]int{},
@@ -120,7 +122,7 @@
 	l.summary.Result.Record(&ferryexperiment.Sample{Arrival: a, Outcome: ferryexperiment.Failed})
 }
 
-// run sends a call until it succeeds or may not be retried.
+// run sends a call until it succeeds, the caller's patience runs out, or the call may not be retried.
 func (l *Load) run(ctx context.Context, c *call) {
 	for l.try(ctx, c) {
 		c.tries++
@@ -139,27 +141,27 @@
 		c.Submitted = l.now()
 	}
 	sent := l.now()
-	ans := l.send(ctx, c)
+	result := l.send(ctx, c)
 	c.End = l.now()
 	switch {
-	case ans.ok:
+	case result.ok:
 		c.Outcome = inTime(c.Sample)
 		l.recordSuccess(c)
 		return false
-	case ans.notRun:
-		return l.onNotRun(ctx, c, ans, l.now()-sent)
+	case result.notRun:
+		return l.onNotRun(ctx, c, result, l.now()-sent)
 	}
-	return l.onBreak(ctx, c, ans)
+	return l.onBreak(ctx, c, result)
 }
 
-// onNotRun handles a try that did not run: it waits for the requested delay and reports whether to retry. A stream
-// that has begun counts as failed if it cannot be resumed.
-func (l *Load) onNotRun(ctx context.Context, c *call, ans answer, after time.Duration) bool {
-	c.failure = ans.text
-	if !ans.noResponse {
+// onNotRun handles a try that did not run: it waits for the requested delay and reports whether to retry. A
+// stream that has begun counts as failed if it cannot be resumed.
+func (l *Load) onNotRun(ctx context.Context, c *call, result tryResult, after time.Duration) bool {
+	c.failure = result.text
+	if !result.noResponse {
 		l.recordRefusal(c, after)
 	}
-	if l.waitToRetry(ctx, c, ans.retryAfter) {
+	if l.waitToRetry(ctx, c, result.retryAfter) {
 		return true
 	}
 	c.Outcome = ferryexperiment.Refused
@@ -169,16 +171,16 @@
 	return false
 }
 
-// onBreak handles a try that broke off: it waits for the backoff and reports whether to retry. A stream resumes after
+// onBreak handles a broken try: it waits for the backoff and reports whether to retry. A stream resumes after
 // its last event; other calls are sent with the same idempotency key.
-func (l *Load) onBreak(ctx context.Context, c *call, ans answer) bool {
-	c.failure = ans.text
+func (l *Load) onBreak(ctx context.Context, c *call, result tryResult) bool {
+	c.failure = result.text
 	c.breaks++
-	if c.breaks <= l.w.Retry.Attempts && l.waitUntil(ctx, l.now()+time.Duration(c.breaks)*breakPause) {
+	if c.breaks <= l.workload.Retry.Attempts && l.waitUntil(ctx, l.now()+time.Duration(c.breaks)*breakBackoff) {
 		return true
 	}
 	c.Outcome = ferryexperiment.Failed
-	l.recordUnknown(ans)
+	l.recordUnknown(result)
 	return false
 }
 
@@ -202,10 +204,10 @@
 	return ferryexperiment.InTime
 }
 
-func (l *Load) recordUnknown(ans answer) {
+func (l *Load) recordUnknown(result tryResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !ans.ran {
+	if !result.ran {
 		l.summary.Unknown++
 	}
 }
@@ -221,14 +223,14 @@
 
 // waitToRetry waits for the requested delay and reports whether the caller retries within its patience.
 func (l *Load) waitToRetry(ctx context.Context, c *call, after time.Duration) bool {
-	if c.tries >= l.w.Retry.Attempts+c.breaks || after <= 0 {
+	if c.tries >= l.workload.Retry.Attempts+c.breaks || after <= 0 {
 		return false
 	}
-	back := l.now() + after
-	if c.lastEventID == "" && back > c.Arrival.At+time.Duration(l.w.Retry.Patience) {
+	retryAt := l.now() + after
+	if c.lastEventID == "" && retryAt > c.Arrival.At+time.Duration(l.workload.Retry.Patience) {
 		return false
 	}
-	return l.waitUntil(ctx, back)
+	return l.waitUntil(ctx, retryAt)
 }
 
 func (l *Load) recordWork(c *call, tokens float64) {
--- a/ferrybench/ferryload/load_test.go
+++ b/ferrybench/ferryload/load_test.go
@@ -18,8 +18,8 @@
 	"cactusferry.dev/ferrybench/ferryworkload"
 )
 
-// fakeEntry is an HTTP handler with the API of an entry. It refuses the first refusals streams, and truncates the
-// others if truncate is set.
+// fakeEntry is an HTTP handler with the API of an entry. It refuses the first refusals streams, and truncates
+// the others if truncate is set.
 type fakeEntry struct {
 	mu               sync.Mutex
 	steeringRequests int
@@ -135,7 +135,8 @@
 	assert.Equal(t, f.steeringRequests, 2)
 }
 
-// truncatingEntry truncates each stream after its first token, refuses the first resumption and completes the next.
+// truncatingEntry truncates each stream after its first token, refuses the first resumption and completes the
+// next.
 type truncatingEntry struct {
 	mu      sync.Mutex
 	resumed []string
--- a/ferrybench/ferryload/request.go
+++ b/ferrybench/ferryload/request.go
@@ -29,12 +29,12 @@
 	promptWords = 1 << 12
 )
 
-// answer is the result of one try; text describes the failure.
-type answer struct {
+// tryResult is the result of one try; text describes the failure.
+type tryResult struct {
 	ok     bool
 	notRun bool
 	ran    bool
-	// noResponse is set if no answer came; this does not count as a refusal.
+	// noResponse is set if the entry did not answer, which does not count as a refusal.
 	noResponse bool
 	retryAfter time.Duration
 	text       string
@@ -72,17 +72,17 @@
 	Stream    bool           `json:"stream"`
 }
 
-func (l *Load) send(ctx context.Context, c *call) answer {
+func (l *Load) send(ctx context.Context, c *call) tryResult {
 	address := l.steering.address(ctx, c.key)
 	req, err := l.request(ctx, c, address)
 	if err != nil {
-		return answer{notRun: true, text: err.Error()}
+		return tryResult{notRun: true, text: err.Error()}
 	}
 	l.countTry(address)
 	res, err := l.cfg.Client.Do(req)
 	if err != nil {
 		l.steering.markFailed(c.key, address)
-		return answer{notRun: dialFailed(err), noResponse: true, retryAfter: time.Millisecond, text: "no answer"}
+		return tryResult{notRun: dialFailed(err), noResponse: true, retryAfter: time.Millisecond, text: "no answer"}
 	}
 	defer res.Body.Close()
 	if res.StatusCode >= http.StatusBadRequest {
@@ -123,8 +123,8 @@
 	return req, nil
 }
 
-// prompt returns one word per prompt token. The words of the shared prefix come first, the next word depends on the
-// arrival time and so differs between calls.
+// prompt returns one word per prompt token. The words of the shared prefix come first. The next word is the
+// arrival time, so that prompts differ between calls.
 func prompt(x *ferryexperiment.Sample) string {
 	var b strings.Builder
 	a := x.Arrival
@@ -141,15 +141,15 @@
 	return b.String()
 }
 
-// dialFailed reports whether the connection failed, so that no byte of the call was written.
+// dialFailed reports whether err comes from dialing, before any byte of the call was written.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func refusal(res *http.Response) answer {
+func refusal(res *http.Response) tryResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxAnswerBytes))
-	a := answer{text: res.Status}
+	a := tryResult{text: res.Status}
 	switch ferryoutcome.Outcome(res.Header.Get(ferryoutcome.Header)) {
 	case ferryoutcome.NotRun:
 		a.notRun = true
@@ -162,17 +162,17 @@
 	return a
 }
 
-func (l *Load) readPlain(c *call, r io.Reader) answer {
+func (l *Load) readPlain(c *call, r io.Reader) tryResult {
 	if _, err := io.Copy(io.Discard, r); err != nil {
-		return answer{text: "cut off"}
+		return tryResult{text: "cut off"}
 	}
 	c.First = l.now()
 	l.recordWork(c, 1)
-	return answer{ok: true}
+	return tryResult{ok: true}
 }
 
 // readStream counts the tokens of a stream; a stream that ends without [DONE] is truncated.
-func (l *Load) readStream(c *call, r io.Reader) answer {
+func (l *Load) readStream(c *call, r io.Reader) tryResult {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxEventBytes)
 	id := ""
@@ -183,15 +183,15 @@
 		case field == "id":
 			id = value
 		case field == "event" && value == "error":
-			return answer{text: "error event"}
+			return tryResult{text: "error event"}
 		case field != "data" || strings.Contains(value, finishReason):
 		case value == "[DONE]":
-			return answer{ok: true}
+			return tryResult{ok: true}
 		default:
 			l.onToken(c, id)
 		}
 	}
-	return answer{text: "cut off"}
+	return tryResult{text: "cut off"}
 }
 
 // onToken records one token; the first one includes the work of the prefill.
