--- a/ferrybench/ferryrelay/idle.go
+++ b/ferrybench/ferryrelay/idle.go
@@ -24,7 +24,7 @@
 	PlatformCalls float64
 	// Engines is the mean number of engines that an entry uses.
 	Engines float64
-	// LoadAge is the mean age of the entries' load reports over entries and engines.
+	// LoadAge is the mean age of the load reports that entries hold, over entries and engines.
 	LoadAge time.Duration
 	// LoadReads is the mean number of engines that an entry reads per second.
 	LoadReads float64
--- a/ferrybench/ferryrelay/relay.go
+++ b/ferrybench/ferryrelay/relay.go
@@ -37,8 +37,8 @@
 	Open int
 }
 
-// Result holds the measurements of one ferryd. The First fields are times to the first token through ferryd, the Direct
-// fields the same without it.
+// Result holds the measurements of one ferryd. The First fields are times to the first token through ferryd,
+// the Direct fields the same without it.
 type Result struct {
 	Ready         time.Duration
 	IdleBytes     int64
@@ -54,7 +54,7 @@
 	BytesPer1000  int64
 }
 
-// Measure starts fleets of processes with one ferryd each and measures it.
+// Measure starts fleets of processes with one ferryd each and measures that ferryd.
 func Measure(ctx context.Context, cfg Config) (Result, error) {
 	var res Result
 	if err := measureRelay(ctx, cfg, &res); err != nil {
@@ -63,8 +63,8 @@
 	return res, measureMemory(ctx, cfg, &res)
 }
 
-// startFleet starts a platform, two engines and one entry, has the entry accept the model's document, and returns the
-// time until the entry was ready.
+// startFleet starts a platform, two engines and one entry, has the entry accept the model's document, and
+// returns the time until the entry was ready.
 func startFleet(ctx context.Context, cfg Config, rate int) (*ferrydemo.Fleet, time.Duration, error) {
 	f, err := ferrydemo.New(ferrydemo.Config{Dir: cfg.Programs, Engines: 2, Entries: 1, Slots: slots, TokensPerSecond: rate})
 	if err != nil {
@@ -140,7 +140,8 @@
 	}
 }
 
-// measureLatency measures the time to the first token, alternating between the entry and the engines directly.
+// measureLatency measures the time to the first token, alternating between the entry and the engines
+// directly.
 func measureLatency(ctx context.Context, f *ferrydemo.Fleet, res *Result) error {
 	through, direct := hdrhistogram.New(1, maxMicros, 3), hdrhistogram.New(1, maxMicros, 3)
 	engines := ferryengine.New(ferryengine.ClientConfig{})
@@ -155,11 +156,11 @@
 		}
 		_ = direct.RecordValue(took.Microseconds())
 	}
-	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
+	quantile := func(h *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 	}
-	res.FirstP50, res.FirstP99 = at(through, 50), at(through, 99)
-	res.DirectP50, res.DirectP99 = at(direct, 50), at(direct, 99)
+	res.FirstP50, res.FirstP99 = quantile(through, 50), quantile(through, 99)
+	res.DirectP50, res.DirectP99 = quantile(direct, 50), quantile(direct, 99)
 	return nil
 }
 
