--- a/ferrybench/ferryreport/plot.go
+++ b/ferrybench/ferryreport/plot.go
@@ -23,8 +23,8 @@
 	color.RGBA{R: 120, G: 120, B: 120, A: 255},
 }
 
-// Plot writes PNG plots over time to dir: throughput and time to the first token of all results, and the outstanding
-// work per runner of the last result.
+// Plot writes PNG plots over time to dir: throughput and time to the first token of all results, and the
+// outstanding work per runner of the last result.
 func Plot(dir, name string, rs []*ferryexperiment.Result) error {
 	if err := plotThroughput(filepath.Join(dir, name+"-throughput.png"), name, rs); err != nil {
 		return err
