--- a/ferrybench/ferryworkload/arrival.go
+++ b/ferrybench/ferryworkload/arrival.go
@@ -11,7 +11,8 @@
 // PrefillShare is the work of prefilling one prompt token as a share of the work of generating one token.
 const PrefillShare = 0.05
 
-// Arrival is one call of an experiment. At is relative to the start; Tokens is the true length, unknown to policies.
+// Arrival is one call of an experiment. At is relative to the start; Tokens is the true length, unknown to
+// policies.
 type Arrival struct {
 	At       time.Duration
 	Customer ferryid.CustomerName
@@ -70,8 +71,8 @@
 	return w.Phases.peakLoad() * w.Bound() / w.Kinds.meanWork() * time.Duration(w.Duration).Seconds()
 }
 
-// withinLimits reports whether the numbers of runners, stages and layers are within limits, so that the bound can be
-// computed.
+// withinLimits reports whether the numbers of runners, stages and layers are within limits, so that the bound
+// can be computed.
 func (w *Workload) withinLimits() bool {
 	if w.Layout.Layers > maxLayers {
 		return false
@@ -91,8 +92,8 @@
 	return n > 0 && n <= maxRunners
 }
 
-// Arrivals generates the calls of the workload in order of time, as a Poisson process that is determined by the seed.
-// The load of the phases is relative to Bound.
+// Arrivals generates the calls of the workload in order of time, as a Poisson process that is determined by
+// the seed. The load of the phases is relative to Bound.
 func (w *Workload) Arrivals() []Arrival {
 	rng := rand.New(rand.NewPCG(w.Seed, 2))
 	maxRate := w.Phases.peakLoad() * w.Bound() / w.Kinds.meanWork()
--- a/ferrybench/ferryworkload/unit.go
+++ b/ferrybench/ferryworkload/unit.go
@@ -8,7 +8,8 @@
 	"cactusferry.dev/ferry/ferryroute"
 )
 
-// Unit is a destination of calls: a runner with the whole model, or a pipeline of runners with a range of layers each.
+// Unit is a destination of calls: a runner with the whole model, or a pipeline of runners with a range of
+// layers each.
 type Unit struct {
 	Name       ferryid.UpstreamName
 	Rate       float64
@@ -19,8 +20,8 @@
 	Curve      Curve
 }
 
-// UnitList returns the units of the workload. The rate of a pipeline is that of its slowest stage; the time per token
-// of one stream is the sum over all stages and links.
+// UnitList returns the units of the workload. The rate of a pipeline is that of its slowest stage; the time
+// per token of one stream is the sum over all stages and links.
 func (w *Workload) UnitList() []Unit {
 	var all []Runner
 	for _, r := range w.Runners {
@@ -45,7 +46,8 @@
 	return out
 }
 
-// coprimeStride returns a stride that visits all n runners and distributes the groups of runners over the pipelines.
+// coprimeStride returns a stride that visits all n runners and distributes the groups of runners over the
+// pipelines.
 func coprimeStride(n int) int {
 	for s := n/3 + 1; ; s++ {
 		if gcd(s, n) == 1 {
@@ -110,7 +112,8 @@
 	return sum
 }
 
-// IdealBound returns the sum of the runners' rates in tokens/s, which pipelines of equally fast stages would reach.
+// IdealBound returns the sum of the runners' rates in tokens/s, which pipelines of equally fast stages would
+// reach.
 func (w *Workload) IdealBound() float64 {
 	sum := 0.0
 	for _, r := range w.Runners {
--- a/ferrybench/ferryworkload/workload.go
+++ b/ferrybench/ferryworkload/workload.go
@@ -48,22 +48,25 @@
 // Prediction is the source of predicted lengths.
 type Prediction string
 
-// The sources of predicted lengths. ferryd uses Learned; the others show the effect of perfect and missing predictions.
+// The sources of predicted lengths. ferryd uses Learned; the others show the effect of perfect and missing
+// predictions.
 const (
 	PredictLearned Prediction = "Learned"
 	PredictExact   Prediction = "Exact"
 	PredictNone    Prediction = "None"
 )
 
-// Retry is the callers' behaviour after a refusal: the maximum number of retries, the time from the arrival within
-// which callers retry, and the retry budget as a share of first tries.
+// Retry configures retries. Attempts is the maximum number of retries of a refused call, and Patience the
+// time from its arrival within which the caller retries. Share is the retry budget of simulated entries as a
+// share of first tries.
 type Retry struct {
 	Attempts int      `toml:"Attempts" json:"Attempts"`
 	Patience Duration `toml:"Patience" json:"Patience"`
 	Share    float64  `toml:"Share" json:"Share"`
 }
 
-// Reports is the interval at which runners report their load, and the delay of a report; no reports if Every is 0.
+// Reports is the interval at which runners report their load, and the delay of a report; no reports if Every
+// is 0.
 type Reports struct {
 	Every Duration `toml:"Every" json:"Every"`
 	Delay Duration `toml:"Delay" json:"Delay"`
@@ -77,8 +80,8 @@
 	LinkDelay Duration      `toml:"LinkDelay" json:"LinkDelay"`
 }
 
-// Runner is a group of identical runners. Rate is the throughput for the whole model with all slots in use, StreamRate
-// the maximum rate of one stream, both in tokens/s.
+// Runner is a group of identical runners. Rate is the throughput for the whole model with all slots in use,
+// StreamRate the maximum rate of one stream, both in tokens/s.
 type Runner struct {
 	Name       string  `toml:"Name" json:"Name"`
 	Count      int     `toml:"Count" json:"Count"`
@@ -92,8 +95,8 @@
 // Curve is the dependence of a stream's rate on the number of concurrent streams of a runner.
 type Curve string
 
-// The curves. With Knee, streams run at StreamRate until the sum reaches Rate. With Line, each stream adds the same
-// time per token.
+// The curves. With Knee, streams run at StreamRate until the sum reaches Rate. With Line, each stream adds
+// the same time per token.
 const (
 	CurveKnee Curve = "Knee"
 	CurveLine Curve = "Line"
@@ -112,8 +115,9 @@
 // Customers are the customers of a workload.
 type Customers []Customer
 
-// Kind is one kind of call. Lengths have a log-normal distribution with the medians Prompt and Tokens and the standard
-// deviation Spread of the logarithm. If Path is set, the load generator sends the call to the plain service.
+// Kind is one kind of call. Lengths have a log-normal distribution with the medians Prompt and Tokens and the
+// standard deviation Spread of the logarithm. If Path is set, the load generator sends the call to the plain
+// service.
 type Kind struct {
 	Name       string         `toml:"Name" json:"Name"`
 	Weight     float64        `toml:"Weight" json:"Weight"`
@@ -156,8 +160,8 @@
 	FaultDrainEntry FaultKind = "DrainEntry"
 )
 
-// Fault is injected at a time into Count runners or entries, starting with index First. Factor is the remaining share
-// of the rate for FaultSlow.
+// Fault is injected at a time into Count runners or entries, starting with index First. Factor is the
+// remaining share of the rate for FaultSlow.
 type Fault struct {
 	At     Duration  `toml:"At" json:"At"`
 	Kind   FaultKind `toml:"Kind" json:"Kind"`
@@ -169,7 +173,8 @@
 // Faults are the faults of a workload.
 type Faults []Fault
 
-// Decode decodes and validates a workload; the error is a *ferrytoml.FaultsError that lists all invalid fields.
+// Decode decodes and validates a workload; the error is a *ferrytoml.FaultsError that lists all invalid
+// fields.
 func Decode(name string, data []byte) (*Workload, error) {
 	w := &Workload{Entries: 1, QueueLength: 4000, Prediction: PredictLearned}
 	if err := ferrytoml.Decode(name, data, w); err != nil {
@@ -206,9 +211,9 @@
 }
 
 // inRange records a value outside the range; NaN is outside.
-func inRange(c *ferrytoml.Check, field string, v, least, most float64) {
-	if !(v >= least && v <= most) {
-		c.Fault(field, "must be from %v to %v, is %v", least, most, v)
+func inRange(c *ferrytoml.Check, field string, v, lower, upper float64) {
+	if !(v >= lower && v <= upper) {
+		c.Fault(field, "must be from %v to %v, is %v", lower, upper, v)
 	}
 }
 
@@ -253,7 +258,7 @@
 		n += s
 	}
 	if len(l.Stages) > 0 && n != rs.Count() {
-		c.Fault("Layout.Stages", "must add up to the number of runners: sum is %d, runners are %d", n, rs.Count())
+		c.Fault("Layout.Stages", "must add up to the number of runners: sum is %d, number of runners is %d", n, rs.Count())
 	}
 }
 
@@ -312,18 +317,18 @@
 	for i, x := range fs {
 		f := fmt.Sprintf("Faults[%d].", i)
 		inRange(c, f+"At", time.Duration(x.At).Seconds(), 0, time.Duration(w.Duration).Seconds())
-		most := w.Units()
+		available := w.Units()
 		switch x.Kind {
 		case FaultKill, FaultFreeze, FaultHeal:
 		case FaultKillEntry, FaultDrainEntry:
-			most = w.Entries
+			available = w.Entries
 		case FaultSlow:
 			inRange(c, f+"Factor", x.Factor, 1e-3, 1)
 		default:
 			c.Fault(f+"Kind", "must be Kill, Freeze, Slow, Heal, KillEntry or DrainEntry, is %q", x.Kind)
 		}
-		if x.First < 0 || x.Count < 1 || x.First+x.Count > most {
-			c.Fault(f+"Count", "must be at least 1, and First + Count at most %d", most)
+		if x.First < 0 || x.Count < 1 || x.First+x.Count > available {
+			c.Fault(f+"Count", "must be at least 1, and First + Count at most %d", available)
 		}
 	}
 }
