--- a/ferrybench/doc.go
+++ b/ferrybench/doc.go
@@ -1,3 +1,3 @@
-// Command ferrybench runs simulated experiments, load tests and measurements of cactusferry. See its --help for the
-// subcommands.
+// Command ferrybench runs simulated experiments, load tests and measurements of cactusferry. See its --help
+// for the subcommands.
 package main
--- a/ferrybench/ferryexperiment/doc.go
+++ b/ferrybench/ferryexperiment/doc.go
@@ -1,2 +1,3 @@
-// Package ferryexperiment runs the admission and routing code of ferryd with a workload in a discrete-event simulation.
+// Package ferryexperiment runs the admission and routing code of ferryd with a workload in a discrete-event
+// simulation.
 package ferryexperiment
--- a/ferrybench/ferryexperiment/entry.go
+++ b/ferrybench/ferryexperiment/entry.go
@@ -13,13 +13,15 @@
 // retryBurstShare is the initial retry budget of an entry as a share of its slots.
 const retryBurstShare = 0.25
 
-// minRetryShare is the minimum retry budget as a share of first tries; it applies if the workload sets less or none.
+// minRetryShare is the minimum retry budget as a share of first tries; it applies if the workload sets less
+// or none.
 const minRetryShare = 0.1
 
 // maxPreemptsPerTick is the maximum number of running calls that one tick preempts.
 const maxPreemptsPerTick = 4
 
-// entry is one entry instance: the queue, routing table, predictor and retry budget of ferryd, and its open calls.
+// entry is one entry instance: the queue, routing table, predictor and retry budget of ferryd, and its open
+// calls.
 type entry struct {
 	index     int
 	alive     bool
@@ -95,7 +97,7 @@
 		Resumed:   c.produced > 0,
 	}
 	if d := c.deadline(); d > 0 {
-		it.Deadline = epoch.Add(d)
+		it.Deadline = startTime.Add(d)
 	}
 	return it
 }
@@ -121,7 +123,8 @@
 	}
 }
 
-// send tries units until one accepts the call. A retry is safe because a refused connection means that nothing ran.
+// send tries units until one accepts the call. A retry is safe because nothing ran if the connection was
+// refused.
 func (e *entry) send(s *simulation, c *call) {
 	w := &ferryroute.Work{Predicted: ferryid.Tokens(c.remaining()), Prefix: c.Arrival.Prefix}
 	for {
@@ -216,8 +219,8 @@
 	e.dispatchReady(s)
 }
 
-// onUnitFailure handles the failure of the unit of a call. Repeatable calls are requeued and resume after the tokens
-// that they have; others fail.
+// onUnitFailure handles the failure of the unit of a call. Repeatable calls are requeued and resume after
+// their last token if mayRetry allows it; others fail.
 func (e *entry) onUnitFailure(s *simulation, c *call) {
 	c.dispatch.Fail(ferryroute.FailureConnection, s.time())
 	e.setCapacity()
@@ -231,8 +234,8 @@
 	e.queue.Requeue(c.id, s.time())
 }
 
-// mayRetry reports whether a call may be retried. Streams that have begun may always resume; other calls use the
-// retry budget.
+// mayRetry reports whether a call may be retried. Streams that have begun may always resume; other calls use
+// the retry budget.
 func (e *entry) mayRetry(c *call) bool {
 	return c.produced > 0 || e.budget.Retry()
 }
@@ -244,7 +247,7 @@
 			Upstream:          s.units[i].spec.Name,
 			OutstandingTokens: l.tokens,
 			RunningStreams:    float64(l.streams),
-			At:                epoch.Add(d.at),
+			At:                startTime.Add(d.at),
 		}
 		if err := e.table.Report(r, s.time()); err != nil {
 			s.result.RefusedReports++
@@ -252,4 +255,4 @@
 	}
 }
 
-var epoch = time.Date(2026, 12, 4, 5, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 5, 0, 0, 0, time.UTC)
--- a/ferrybench/ferryexperiment/result.go
+++ b/ferrybench/ferryexperiment/result.go
@@ -17,8 +17,8 @@
 	earlyRefusal = 100 * time.Millisecond
 )
 
-// Group holds the results of the calls of one kind or customer. Times are measured from the intended arrival, except
-// FirstTry, which starts at the admitted try, and Between, which is the time between two tokens.
+// Group holds the results of the calls of one kind or customer. Times are measured from the intended arrival,
+// except FirstTry, which starts at the admitted try, and Between, which is the time between two tokens.
 type Group struct {
 	Name     string    `json:"Name"`
 	Offered  int       `json:"Offered"`
@@ -57,8 +57,8 @@
 	if t.hist == nil {
 		return
 	}
-	at := func(q float64) time.Duration { return time.Duration(t.hist.ValueAtQuantile(q)) * time.Microsecond }
-	t.P50, t.P95, t.P99 = at(50), at(95), at(99)
+	quantile := func(q float64) time.Duration { return time.Duration(t.hist.ValueAtQuantile(q)) * time.Microsecond }
+	t.P50, t.P95, t.P99 = quantile(50), quantile(95), quantile(99)
 	t.Max = time.Duration(t.hist.Max()) * time.Microsecond
 }
 
--- a/ferrybench/ferryexperiment/sample.go
+++ b/ferrybench/ferryexperiment/sample.go
@@ -22,7 +22,8 @@
 	Failed
 )
 
-// Sample is the record of one call. Times are relative to the start of the run; First is zero if no token arrived.
+// Sample is the record of one call. Times are relative to the start of the run; First is zero if no token
+// arrived.
 type Sample struct {
 	Arrival      *ferryworkload.Arrival
 	Outcome      Outcome
--- a/ferrybench/ferryexperiment/simulation.go
+++ b/ferrybench/ferryexperiment/simulation.go
@@ -14,8 +14,8 @@
 const (
 	tickInterval   = 100 * time.Millisecond
 	sampleInterval = time.Second
-	// maxOverrun is the time after the end of the workload at which periodic events stop, so that a run with calls that
-	// never end terminates.
+	// maxOverrun is the time after the end of the workload at which periodic events stop, so that a run with
+	// calls that never end terminates.
 	maxOverrun = 15 * time.Minute
 	// failoverDelay is the time until callers detect the loss of their entry and fail over to another.
 	failoverDelay = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 // The two policies of every comparison.
 var (
 	Baseline = Policy{Name: "baseline", Queue: ferryservice.QueueFifo, Route: ferryservice.RouteRandom}
-	Current  = Policy{Name: "now", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast}
+	Present  = Policy{Name: "now", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast}
 )
 
 // simulation is the state of one run: entries, simulated units and pending events.
@@ -126,7 +126,7 @@
 }
 
 func (s *simulation) time() time.Time {
-	return epoch.Add(s.now)
+	return startTime.Add(s.now)
 }
 
 // liveEntry returns the entry, or the next one that is alive.
@@ -222,16 +222,16 @@
 	c.workBySecond = nil
 }
 
-// onRefusal handles a refusal: the call is put on the waiting list, retried after Retry-After within the caller's
-// patience, or ended.
+// onRefusal handles a refusal: the call is put on the waiting list, retried after Retry-After within the
+// caller's patience, or ended.
 func (s *simulation) onRefusal(c *call, r *ferryqueue.Refusal) {
 	s.result.Refuse(c.Arrival, s.now-c.Submitted)
 	if s.policy.WaitingList && c.deadline() > s.now {
 		c.entry.waiting = append(c.entry.waiting, c)
 		return
 	}
-	back := s.now + r.RetryAfter
-	if c.attempts <= s.workload.Retry.Attempts && back < c.Arrival.At+time.Duration(s.workload.Retry.Patience) {
+	retryAt := s.now + r.RetryAfter
+	if c.attempts <= s.workload.Retry.Attempts && retryAt < c.Arrival.At+time.Duration(s.workload.Retry.Patience) {
 		s.after(r.RetryAfter, submit{call: c})
 		return
 	}
@@ -282,8 +282,8 @@
 	}
 }
 
-// killEntry removes an entry. Its callers fail over to another entry, and streams resume after the tokens that they
-// have.
+// killEntry removes an entry. Its callers fail over to another entry, and repeatable streams resume after
+// their last token. Other calls that have produced tokens fail.
 func (s *simulation) killEntry(e *entry) {
 	e.alive = false
 	ids := sortedIDs(e.calls)
--- a/ferrybench/ferryexperiment/simulation_test.go
+++ b/ferrybench/ferryexperiment/simulation_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// checkTotals checks that every call ended exactly once and that no second served much more work than the bound.
+// checkTotals checks that every call ended exactly once and that no second served much more work than the
+// bound.
 func checkTotals(t assert.TestingT, w *ferryworkload.Workload, n int, r *Result) {
 	g := r.All
 	assert.Equal(t, g.InTime+g.Late+g.Refused+g.Expired+g.Failed, n)
@@ -36,7 +37,7 @@
 }
 
 func TestRunsAreRepeatable(t *testing.T) {
-	for _, p := range []Policy{Baseline, Current} {
+	for _, p := range []Policy{Baseline, Present} {
 		w := smallWorkload()
 		a, b := Run(w, w.Arrivals(), p), Run(w, w.Arrivals(), p)
 		assert.Equal(t, a.All.InTime, b.All.InTime)
@@ -69,13 +70,12 @@
 	w := smallWorkload()
 	w.Kinds[1].Weight = 5
 	w.Faults = ferryworkload.Faults{{At: ferryworkload.Duration(10 * time.Second), Kind: ferryworkload.FaultKill, Count: 3}}
-	r := Run(w, w.Arrivals(), Current)
+	r := Run(w, w.Arrivals(), Present)
 	assert.Assert(t, r.Kind("change").Failed > 0)
 	assert.Equal(t, r.Kind("long").Failed, 0)
 }
 
-// TestTotalsUnderRandomFaults checks under random faults that each call is counted once and that no bound is
-// exceeded.
+// TestTotalsUnderRandomFaults checks the totals of checkTotals under random faults.
 func TestTotalsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := smallWorkload()
@@ -96,7 +96,7 @@
 			w.Faults = append(w.Faults, ferryworkload.Fault{At: ferryworkload.Duration(15 * time.Second), Kind: ferryworkload.FaultKillEntry, Count: 1})
 		}
 		as := w.Arrivals()
-		p := rapid.SampledFrom([]Policy{Baseline, Current, {Name: "list", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast, WaitingList: true}}).Draw(t, "policy")
+		p := rapid.SampledFrom([]Policy{Baseline, Present, {Name: "list", Queue: ferryservice.QueueFair, Route: ferryservice.RouteLeast, WaitingList: true}}).Draw(t, "policy")
 		checkTotals(t, w, len(as), Run(w, as, p))
 	})
 }
--- a/ferrybench/ferryexperiment/unit.go
+++ b/ferrybench/ferryexperiment/unit.go
@@ -14,23 +14,23 @@
 // progressStep is the number of tokens that a stream produces between two events.
 const progressStep = 8
 
-// unit is a simulated runner or pipeline with continuous batching. Its running streams share its rate equally, and
-// served is the cumulative number of tokens that each of them was served.
+// unit is a simulated runner or pipeline with continuous batching. Its running streams share its rate
+// equally, and served is the cumulative number of tokens that each of them was served.
 type unit struct {
-	spec     ferryworkload.Unit
-	index    int
-	alive    bool
-	factor   float64
-	served   float64
-	advanced time.Duration
-	jobs     jobHeap
-	queue    []*job
-	version  int
-	prefixes []uint64
+	spec        ferryworkload.Unit
+	index       int
+	alive       bool
+	factor      float64
+	served      float64
+	lastAdvance time.Duration
+	jobs        jobHeap
+	queue       []*job
+	version     int
+	prefixes    []uint64
 }
 
-// job is one call on a unit. next is the value of unit.served at the next milestone; heapIndex is its index in the
-// heap, or -1.
+// job is one call on a unit. next is the value of unit.served at the next milestone; heapIndex is its index
+// in the heap, or -1.
 type job struct {
 	call      *call
 	unit      *unit
@@ -79,8 +79,8 @@
 }
 
 func (u *unit) advance(now time.Duration) {
-	u.served += u.speed() * (now - u.advanced).Seconds()
-	u.advanced = now
+	u.served += u.speed() * (now - u.lastAdvance).Seconds()
+	u.lastAdvance = now
 }
 
 // nextMilestone returns the time of the next milestone.
@@ -109,8 +109,8 @@
 	heap.Push(&u.jobs, j)
 }
 
-// prefillTokens returns the number of tokens to prefill: the prompt and the produced tokens, less a cached prompt
-// prefix. It marks the prefix as the most recently used.
+// prefillTokens returns the number of tokens to prefill: the prompt and the produced tokens, less a cached
+// prompt prefix. It marks the prefix as the most recently used.
 func (u *unit) prefillTokens(c *call) ferryid.Tokens {
 	n := c.Arrival.Prompt + ferryid.Tokens(c.produced)
 	if u.spec.Prefixes == 0 || c.Arrival.Prefix == 0 {
--- a/ferrybench/idle.go
+++ b/ferrybench/idle.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%d entries, %d engines: %.3f%% of a core and %.1f MB an entry, %.1f platform calls/s in all; "+
+		fmt.Printf("%d entries, %d engines: %.3f%% of a core and %.1f MB per entry, %.1f platform calls/s in total; "+
 			"an entry uses %.1f engines with load reports %s old and reads %.1f engines/s; an engine is read %.2f times/s\n",
 			r.Entries, c.Engines, 100*r.CoreShare, float64(r.Bytes)/1e6, r.PlatformCalls,
 			r.Engines, r.LoadAge.Round(10*time.Millisecond), r.LoadReads, r.LoadReads*float64(r.Entries)/float64(c.Engines))
--- a/ferrybench/live.go
+++ b/ferrybench/live.go
@@ -37,7 +37,8 @@
 	policyFormat = "[Policy]\nQueue = %q\nRoute = %q\n\n"
 	maxOpenCalls = 4000
 	settleTime   = 2 * time.Second
-	// drainTimeout is the time that open calls get after the end of the workload; calls open after that count as lost.
+	// drainTimeout is the time that open calls get after the end of the workload; calls open after that count
+	// as lost.
 	drainTimeout = 30 * time.Second
 	// callersPerCustomer is the number of callers per customer, each with its own steering answer.
 	callersPerCustomer = 40
@@ -120,7 +121,7 @@
 }
 
 // run starts a fleet, runs the workload's arrivals and faults, prints the report and stops the fleet.
-func (c *liveCommand) run(w *ferryworkload.Workload, p livePolicy, name string, keep time.Duration) (*liveRun, error) {
+func (c *liveCommand) run(w *ferryworkload.Workload, p livePolicy, name string, minLifetime time.Duration) (*liveRun, error) {
 	l, err := c.newFleet(w, p)
 	if err != nil {
 		return nil, err
@@ -137,7 +138,7 @@
 	defer end()
 	go l.injectFaults(limited)
 	go l.pollStatus(limited)
-	r := &liveRun{Summary: ferryload.Run(limited, c.load(l, keep), w, arrivals), fleet: l}
+	r := &liveRun{Summary: ferryload.Run(limited, c.load(l, minLifetime), w, arrivals), fleet: l}
 	c.complete(r)
 	return r, c.report(r, name+"-"+p.name)
 }
@@ -153,7 +154,7 @@
 	r.Result.Resumes = r.Resumed
 }
 
-func (c *liveCommand) load(l *liveFleet, keep time.Duration) ferryload.Config {
+func (c *liveCommand) load(l *liveFleet, minLifetime time.Duration) ferryload.Config {
 	load := &loadCommand{Service: ferrydemo.ModelService, Plain: ferrydemo.PlainService, MaxOpen: maxOpenCalls}
 	for _, t := range l.tenants {
 		load.Keys = append(load.Keys, t.Name+"="+t.Key)
@@ -162,7 +163,7 @@
 		load.Entries = append(load.Entries, e.CallerAddress)
 	}
 	cfg := load.config(l.workload)
-	cfg.Callers, cfg.MinLifetime = callersPerCustomer, keep
+	cfg.Callers, cfg.MinLifetime = callersPerCustomer, minLifetime
 	return cfg
 }
 
@@ -181,7 +182,7 @@
 	return ferryreport.WriteJSON(filepath.Join(c.Out, "live-"+strings.TrimPrefix(name, "live-")+".json"), r.Summary)
 }
 
-// firstNonZero returns the first number unless it is zero.
+// firstNonZero returns a, or b if a is zero.
 func firstNonZero(a, b int) int {
 	if a != 0 {
 		return a
@@ -191,7 +192,7 @@
 
 // newFleet returns a fleet configured from the workload and the flags; flags take precedence.
 func (c *liveCommand) newFleet(w *ferryworkload.Workload, p livePolicy) (*liveFleet, error) {
-	l := &liveFleet{workload: w, policy: p, slowSince: map[string]time.Duration{}}
+	l := &liveFleet{workload: w, policy: p, slowFoundAt: map[string]time.Duration{}}
 	for _, cu := range w.Customers {
 		l.tenants = append(l.tenants, ferrydemo.Tenant{Name: string(cu.Name), Key: "live-key-" + string(cu.Name), Share: cu.Share})
 	}
--- a/ferrybench/livefault.go
+++ b/ferrybench/livefault.go
@@ -24,15 +24,16 @@
 // correspond to engines.
 type liveFleet struct {
 	*ferrydemo.Fleet
-	workload  *ferryworkload.Workload
-	policy    livePolicy
-	tenants   []ferrydemo.Tenant
-	mu        sync.Mutex
-	slowSince map[string]time.Duration
+	workload    *ferryworkload.Workload
+	policy      livePolicy
+	tenants     []ferrydemo.Tenant
+	mu          sync.Mutex
+	slowFoundAt map[string]time.Duration
 }
 
-// capacity returns the capacity of the engines in tokens/s at a time, after the faults so far. Engines with even and
-// odd indexes hold the two halves of the layers, and the slower half limits the capacity.
+// capacity returns the capacity of the engines in tokens/s at a time, computed from their configured rates
+// and the faults so far. Engines with even and odd indexes hold the two halves of the layers, and the slower
+// half limits the capacity.
 func (l *liveFleet) capacity(at time.Duration) float64 {
 	rates := make([]float64, len(l.Engines))
 	for i, e := range l.Engines {
@@ -98,7 +99,7 @@
 	return fmt.Errorf("unknown kind of fault")
 }
 
-// heal restarts a dead engine, and resumes a live one without faults.
+// heal restarts a dead engine. It resumes a live one and clears its faults.
 func (l *liveFleet) heal(ctx context.Context, e *ferrydemo.Engine) error {
 	if err := e.Process.Signal(syscall.SIGCONT); err != nil {
 		return l.StartEngine(ctx, e)
@@ -146,8 +147,8 @@
 	defer l.mu.Unlock()
 	for _, sv := range st.Services {
 		for _, u := range sv.Upstreams {
-			if _, ok := l.slowSince[string(u.Name)]; !ok && u.State == ferryroute.StateSlow {
-				l.slowSince[string(u.Name)] = time.Since(start)
+			if _, ok := l.slowFoundAt[string(u.Name)]; !ok && u.State == ferryroute.StateSlow {
+				l.slowFoundAt[string(u.Name)] = time.Since(start)
 			}
 		}
 	}
@@ -156,5 +157,5 @@
 func (l *liveFleet) slowFound() map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.slowSince)
+	return maps.Clone(l.slowFoundAt)
 }
--- a/ferrybench/livepoint.go
+++ b/ferrybench/livepoint.go
@@ -15,11 +15,12 @@
 	workload string
 	// presentOnly skips the baseline because the result does not depend on the policy.
 	presentOnly bool
-	measure     func(play liveRunner, w *ferryworkload.Workload) (measures, error)
+	measure     func(run liveRunner, w *ferryworkload.Workload) (measures, error)
 }
 
-// liveRunner runs a workload with one policy; keep is the minimum time for which callers cache steering answers.
-type liveRunner func(w *ferryworkload.Workload, name string, keep time.Duration) (*liveRun, error)
+// liveRunner runs a workload with one policy; minLifetime is the minimum time for which callers cache
+// steering answers.
+type liveRunner func(w *ferryworkload.Workload, name string, minLifetime time.Duration) (*liveRun, error)
 
 var livePoints = []livePoint{
 	{number: 2, workload: "live-crest", measure: liveCrest},
@@ -43,10 +44,10 @@
 			return nil, err
 		}
 		seed = w.Seed
-		ms, err := p.measure(func(w *ferryworkload.Workload, name string, keep time.Duration) (*liveRun, error) {
+		ms, err := p.measure(func(w *ferryworkload.Workload, name string, minLifetime time.Duration) (*liveRun, error) {
 			own := *w
 			own.Phases = append(ferryworkload.Phases{}, w.Phases...)
-			return c.run(&own, policy, name, keep)
+			return c.run(&own, policy, name, minLifetime)
 		}, w)
 		if err != nil {
 			return nil, err
@@ -71,8 +72,8 @@
 
 func faultAt(w *ferryworkload.Workload, i int) time.Duration { return time.Duration(w.Faults[i].At) }
 
-func liveCrest(play liveRunner, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, 0)
+func liveCrest(run liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := run(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -90,12 +91,13 @@
 	}
 }
 
-func liveRecovery(play liveRunner, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, 0)
+func liveRecovery(run liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := run(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
-	// Fault 0 kills one engine and fault 1 heals it; faults 2 to 5 kill a failure domain; the last fault kills an entry.
+	// Fault 0 kills one engine and fault 1 heals it; faults 2 to 5 kill a failure domain; the last fault
+	// kills an entry.
 	return append(measures{
 		{"back above 90% of the new bound or of the load after 1 engine died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 0))},
 		{"the same after a failure domain's third of the engines died", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 2))},
@@ -103,34 +105,34 @@
 	}, lossMeasures(r)...), nil
 }
 
-func liveSlow(play liveRunner, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, 0)
+func liveSlow(run liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := run(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
-	worst, wrong := 0.0, 0
+	maxDetection, falsePositives := 0.0, 0
 	slow := w.Faults[0]
 	for i, e := range r.fleet.Engines {
 		found, ok := r.Result.SlowFound[e.Name]
 		switch {
 		case i >= slow.First && i < slow.First+slow.Count && !ok:
-			worst = math.Inf(1)
+			maxDetection = math.Inf(1)
 		case i >= slow.First && i < slow.First+slow.Count:
-			worst = max(worst, (found - time.Duration(slow.At)).Seconds())
+			maxDetection = max(maxDetection, (found - time.Duration(slow.At)).Seconds())
 		case ok && found < faultAt(w, 2):
-			wrong++
+			falsePositives++
 		}
 	}
 	return append(measures{
-		{"all slow engines found", "s", atMost(maxRecoverySeconds), worst},
-		{"sound engines taken for slow", "engines", atMost(0), float64(wrong)},
+		{"all slow engines found", "s", atMost(maxRecoverySeconds), maxDetection},
+		{"sound engines taken for slow", "engines", atMost(0), float64(falsePositives)},
 		{"back above 90% after two engines turned slow", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 0))},
 		{"the same after an engine froze", "s", atMost(maxRecoverySeconds), recoverySeconds(r.Result, faultAt(w, 2))},
 		{"answer p99", "s", target{}, r.Result.All.Answer.P99.Seconds()},
 	}, lossMeasures(r)...), nil
 }
 
-func liveFairness(play liveRunner, w *ferryworkload.Workload) (measures, error) {
+func liveFairness(run liveRunner, w *ferryworkload.Workload) (measures, error) {
 	full := *w
 	full.Phases = ferryworkload.Phases{{Load: 1}}
 	var runs []*liveRun
@@ -138,38 +140,38 @@
 		name string
 		w    *ferryworkload.Workload
 	}{{"live-fairness-80", w}, {"live-fairness-80-loud", withLoudCustomer(w)}, {"live-fairness-100", &full}, {"live-fairness-100-loud", withLoudCustomer(&full)}} {
-		r, err := play(x.w, x.name, 0)
+		r, err := run(x.w, x.name, 0)
 		if err != nil {
 			return nil, err
 		}
 		runs = append(runs, r)
 	}
-	wait, inTime := 0.0, 1.0
+	maxWait, minInTime := 0.0, 1.0
 	for _, c := range w.Customers {
 		if c.Name != loudCustomer {
 			g := runs[1].Result.Customer(c.Name)
-			wait = max(wait, g.First.P99.Seconds())
-			inTime = min(inTime, share(g.InTime, g.Offered))
+			maxWait = max(maxWait, g.First.P99.Seconds())
+			minInTime = min(minInTime, share(g.InTime, g.Offered))
 		}
 	}
 	loud := runs[1].Result
 	return measures{
 		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), worstRatio(w, runs[0].Result, loud, answerP99)},
 		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), worstRatio(w, runs[2].Result, runs[3].Result, answerP99)},
-		{"worst p99 first token of another customer, at 80%", "s", target{}, wait},
-		{"least share of another customer's calls in time, at 80%", "of calls", target{}, inTime},
+		{"worst p99 first token of another customer, at 80%", "s", target{}, maxWait},
+		{"least share of another customer's calls in time, at 80%", "of calls", target{}, minInTime},
 		{"throughput, as a check that unused shares are used", "of bound", target{}, loud.Mean(time.Duration(w.Warmup), time.Duration(w.Duration), served) / loud.Bound},
 	}, nil
 }
 
-func liveEntries(play liveRunner, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, 0)
+func liveEntries(run liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := run(w, w.Name, 0)
 	if err != nil {
 		return nil, err
 	}
 	one := *w
 	one.Entries = 1
-	single, err := play(&one, w.Name+"-one", 0)
+	single, err := run(&one, w.Name+"-one", 0)
 	if err != nil {
 		return nil, err
 	}
@@ -186,8 +188,8 @@
 // steeringLifetime is the minimum time for which callers cache steering answers in point 7.
 const steeringLifetime = time.Minute
 
-func liveSteer(play liveRunner, w *ferryworkload.Workload) (measures, error) {
-	r, err := play(w, w.Name, steeringLifetime)
+func liveSteer(run liveRunner, w *ferryworkload.Workload) (measures, error) {
+	r, err := run(w, w.Name, steeringLifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -200,8 +202,8 @@
 	}, lossMeasures(r)...), nil
 }
 
-// imbalance returns the maximum number of tries per entry between two times divided by the mean. Entries that were
-// removed before the end are ignored.
+// imbalance returns the maximum number of tries per entry between two times divided by the mean. Entries that
+// were removed before the end are ignored.
 func (r *liveRun) imbalance(from, to time.Duration) float64 {
 	gone := map[int]bool{}
 	for _, f := range r.fleet.workload.Faults {
--- a/ferrybench/load.go
+++ b/ferrybench/load.go
@@ -66,8 +66,8 @@
 	return c.save(w.Name, s)
 }
 
-// scaledArrivals returns the arrivals with the load scaled from the workload's bound to a capacity in tokens/s. It
-// changes w.
+// scaledArrivals returns the arrivals with the load scaled from the workload's bound to a capacity in
+// tokens/s. It modifies w.
 func scaledArrivals(w *ferryworkload.Workload, capacity float64, d time.Duration) []ferryworkload.Arrival {
 	factor := capacity / w.Bound()
 	for i := range w.Phases {
--- a/ferrybench/point.go
+++ b/ferrybench/point.go
@@ -46,7 +46,7 @@
 		return nil, nil, err
 	}
 	base, baseResult := p.measure(w, ferryexperiment.Baseline)
-	now, nowResult := p.measure(w, ferryexperiment.Current)
+	now, nowResult := p.measure(w, ferryexperiment.Present)
 	var out []figure
 	for i, m := range now {
 		out = append(out, figure{
@@ -91,8 +91,8 @@
 	}, r
 }
 
-// The load peak of the workload crest: the load rises from riseStart on and is at its maximum from peakStart to
-// peakEnd.
+// Times of the load peak in the workload crest: the load rises from riseStart on and is at its maximum from
+// peakStart to peakEnd.
 const (
 	riseStart = 60 * time.Second
 	peakStart = 61 * time.Second
@@ -119,19 +119,19 @@
 	}
 }
 
-// minFairShare returns the minimum over customers of the work served in time divided by the customer's fair share of
-// it.
+// minFairShare returns the minimum over customers of the work served in time divided by the customer's fair
+// share of it.
 func minFairShare(w *ferryworkload.Workload, r *ferryexperiment.Result) float64 {
 	sum, shares := 0.0, 0.0
 	for _, c := range w.Customers {
 		sum += r.Customer(c.Name).Work
 		shares += c.Share
 	}
-	least := math.Inf(1)
+	minShare := math.Inf(1)
 	for _, c := range w.Customers {
-		least = min(least, r.Customer(c.Name).Work/sum/(c.Share/shares))
+		minShare = min(minShare, r.Customer(c.Name).Work/sum/(c.Share/shares))
 	}
-	return least
+	return minShare
 }
 
 func measurePipelines(w *ferryworkload.Workload, p ferryexperiment.Policy) (measures, *ferryexperiment.Result) {
@@ -178,9 +178,9 @@
 	return g.Offered - g.InTime - g.Late - g.Refused - g.Expired
 }
 
-// recoverySeconds returns the seconds from a fault until the 5 s mean of the throughput reaches 90 % of the possible
-// throughput, which is the lower of the load before the fault and the bound. It returns +Inf if that takes 40 s or
-// more.
+// recoverySeconds returns the seconds from a fault until the 5 s mean of the throughput reaches 90 % of the
+// possible throughput, which is the lower of the load before the fault and the bound. It returns +Inf if that
+// takes 40 s or more.
 func recoverySeconds(r *ferryexperiment.Result, fault time.Duration) float64 {
 	const window = 5 * time.Second
 	load := r.Mean(fault-20*time.Second, fault, offered)
@@ -200,22 +200,22 @@
 	healthy.Faults = nil
 	before := ferryexperiment.Run(&healthy, as, p)
 	f := w.Faults[0]
-	worst, wrong := 0.0, 0
+	maxDetection, falsePositives := 0.0, 0
 	units := w.UnitList()
 	for i, u := range units {
 		found, ok := r.SlowFound[string(u.Name)]
 		switch {
 		case i >= f.First && i < f.First+f.Count && !ok:
-			worst = math.Inf(1)
+			maxDetection = math.Inf(1)
 		case i >= f.First && i < f.First+f.Count:
-			worst = max(worst, (found - time.Duration(f.At)).Seconds())
+			maxDetection = max(maxDetection, (found - time.Duration(f.At)).Seconds())
 		case ok:
-			wrong++
+			falsePositives++
 		}
 	}
 	return measures{
-		{"all slow runners found", "s", atMost(maxRecoverySeconds), worst},
-		{"sound runners taken for slow", "runners", atMost(0), float64(wrong)},
+		{"all slow runners found", "s", atMost(maxRecoverySeconds), maxDetection},
+		{"sound runners taken for slow", "runners", atMost(0), float64(falsePositives)},
 		{"answer p99 with slow runners over that without", "x", target{}, ratio(r.All.Answer.P99, before.All.Answer.P99)},
 	}, r
 }
@@ -235,12 +235,12 @@
 	fullEven := ferryexperiment.Run(&full, full.Arrivals(), p)
 	fullLoud := withLoudCustomer(&full)
 	fullRun := ferryexperiment.Run(fullLoud, fullLoud.Arrivals(), p)
-	wait, inTime := 0.0, 1.0
+	maxWait, minInTime := 0.0, 1.0
 	for _, c := range w.Customers {
 		if c.Name != loudCustomer {
 			g := r.Customer(c.Name)
-			wait = max(wait, g.Wait.P99.Seconds())
-			inTime = min(inTime, share(g.InTime, g.Offered))
+			maxWait = max(maxWait, g.Wait.P99.Seconds())
+			minInTime = min(minInTime, share(g.InTime, g.Offered))
 		}
 	}
 	from, to := time.Duration(w.Warmup), time.Duration(w.Duration)
@@ -249,20 +249,21 @@
 	return measures{
 		{"worst move of another's p99 answer time, all others at 80% of their shares", "x", atMost(1.1), worstRatio(w, even, r, answerP99)},
 		{"worst move of another's p99 answer time, all others at their shares", "x", atMost(1.1), worstRatio(w, fullEven, fullRun, answerP99)},
-		{"worst p99 wait for a slot of another customer, at 80%", "s", target{}, wait},
-		{"least share of another customer's calls in time, at 80%", "of calls", target{}, inTime},
+		{"worst p99 wait for a slot of another customer, at 80%", "s", target{}, maxWait},
+		{"least share of another customer's calls in time, at 80%", "of calls", target{}, minInTime},
 		{"throughput, as a check that unused shares are used", "of bound", target{}, r.Mean(from, to, served) / r.Bound},
 		{fmt.Sprintf("worst move at 80%% with ExcessShare = %v", limitedExcess), "x", target{}, worstRatio(w, even, limited, answerP99)},
 		{"throughput with it", "of bound", target{}, limited.Mean(from, to, served) / r.Bound},
 	}, r
 }
 
-// limitedExcess is the share of the slots for work beyond customers' shares in the runs with a limited ExcessShare.
+// limitedExcess is the share of the slots for work beyond customers' shares in the runs with a limited
+// ExcessShare.
 const limitedExcess = 0.1
 
 func answerP99(g *ferryexperiment.Group) time.Duration { return g.Answer.P99 }
 
-// worstRatio returns the maximum ratio of a figure in b to that in a over all customers except the hog.
+// worstRatio returns the maximum ratio of a figure in b to that in a over all customers except loudCustomer.
 func worstRatio(w *ferryworkload.Workload, a, b *ferryexperiment.Result, figure func(*ferryexperiment.Group) time.Duration) float64 {
 	worst := 0.0
 	for _, c := range w.Customers {
--- a/ferrybench/policy.go
+++ b/ferrybench/policy.go
@@ -66,7 +66,7 @@
 		}
 		as := w.Arrivals()
 		var rs []*ferryexperiment.Result
-		for _, p := range []ferryexperiment.Policy{ferryexperiment.Baseline, ferryexperiment.Current} {
+		for _, p := range []ferryexperiment.Policy{ferryexperiment.Baseline, ferryexperiment.Present} {
 			r := ferryexperiment.Run(w, as, p)
 			rs = append(rs, r)
 			if err := ferryreport.WriteText(os.Stdout, r); err != nil {
--- a/ferrybench/weigh.go
+++ b/ferrybench/weigh.go
@@ -21,7 +21,7 @@
 
 func addWeigh(p *flags.Parser) error {
 	_, err := p.AddCommand("weigh", "compare variants of the present policy",
-		`Runs variants of the present policy on the same arrivals and prints one table per question: prediction, cost functions,
+		`Runs variants of the present policy on the same arrivals and prints one table per comparison: prediction, cost functions,
 choices, waiting list, prefix affinity, and exchange of load between nine entries. docs/design/0004 discusses them.
 
 Example:
@@ -52,8 +52,8 @@
 	}
 }
 
-// withCurve has one customer send ten times its share, to runners with the given curve.
-func withCurve(c ferryworkload.Curve) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
+// withLoudCustomerOnCurve has one customer send ten times its share, to runners with the given curve.
+func withLoudCustomerOnCurve(c ferryworkload.Curve) func(*ferryworkload.Workload, *ferryexperiment.Policy) {
 	return func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) {
 		*w = *withLoudCustomer(w)
 		w.Runners = append(ferryworkload.Runners{}, w.Runners...)
@@ -94,8 +94,8 @@
 		{"no retries", func(w *ferryworkload.Workload, _ *ferryexperiment.Policy) { w.Retry.Attempts = 0 }},
 	}},
 	{"Runners that slow down along a line instead of a knee, one customer at ten times its share", "fairness", []variant{
-		{"knee", withCurve(ferryworkload.CurveKnee)},
-		{"line", withCurve(ferryworkload.CurveLine)},
+		{"knee", withLoudCustomerOnCurve(ferryworkload.CurveKnee)},
+		{"line", withLoudCustomerOnCurve(ferryworkload.CurveLine)},
 	}},
 	{"Prefix affinity", "affinity", []variant{
 		{"off", withRoute(ferryroute.Options{NoAffinity: true})},
@@ -137,7 +137,7 @@
 	return out
 }
 
-// Execute runs all comparisons and prints one table per question.
+// Execute runs all comparisons and prints one table for each.
 func (c *weighCommand) Execute([]string) error {
 	for _, q := range comparisons {
 		if err := compareVariants(os.Stdout, q.title, q.workload, q.variants); err != nil {
@@ -160,7 +160,7 @@
 	fmt.Fprintln(tw, "| way\t| served, of bound\t| in time, of offered\t| first token p95\t| p99\t| answer p99\t| work done twice\t|")
 	fmt.Fprintln(tw, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range vs {
-		w, p := *base, ferryexperiment.Current
+		w, p := *base, ferryexperiment.Present
 		v.change(&w, &p)
 		r := ferryexperiment.Run(&w, as, p)
 		g := &r.All
--- a/ferrybench/workload.go
+++ b/ferrybench/workload.go
@@ -13,7 +13,8 @@
 //go:embed workloads/*.toml
 var workloads embed.FS
 
-// readWorkload reads a workload file if name contains a slash or dot, and else the embedded workload of that name.
+// readWorkload reads a workload file if name contains a slash or dot, and else the embedded workload of that
+// name.
 func readWorkload(name string) (*ferryworkload.Workload, error) {
 	if strings.ContainsAny(name, "/.") {
 		b, err := os.ReadFile(name)
