--- a/ferrybench/ferrychoice/choice.go
+++ b/ferrybench/ferrychoice/choice.go
@@ -21,11 +21,11 @@
 	medianTokens  = 200
 	tokensSigma   = 0.7
 	// predictionSigma is the standard deviation of the logarithm of the error of predicted lengths.
-	predictionSigma      = 0.3
-	minTokensRate        = 300
-	rateLevels           = 4
-	warmup               = 15 * time.Second
-	sharedReadsPerSecond = 20
+	predictionSigma        = 0.3
+	minTokensRate          = 300
+	rateLevels             = 4
+	warmup                 = 15 * time.Second
+	sharedReportsPerSecond = 20
 )
 
 var startTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
@@ -37,7 +37,8 @@
 const (
 	// None leaves an entry with its own accounting.
 	None Reports = "None"
-	// Shared has one entry read each engine and send the report to all others, at most 20 reports/s over the fleet.
+	// Shared has one entry read each engine and send the report to all others, at most 20 reports/s over the
+	// fleet.
 	Shared Reports = "PassedOn"
 	// Direct has each entry read the engines of its subset in turn.
 	Direct Reports = "Direct"
@@ -52,12 +53,14 @@
 	Reports        Reports
 	// ReadsPerSecond is the number of engines that an entry reads per second if Reports is Direct.
 	ReadsPerSecond float64
-	// Skew is the standard deviation of the logarithm of the entries' shares of the arrivals; 0 distributes them evenly.
+	// Skew is the standard deviation of the logarithm of the entries' shares of the arrivals; 0 distributes
+	// them evenly.
 	Skew float64
 	// Load is the offered load as a share of the capacity; 0 keeps Slots answers per chain open at all times.
 	Load  float64
 	Slots int
-	// Credit is the number of concurrent streams of an engine, shared by the entries that use it; 0 means no limit.
+	// Credit is the number of concurrent streams of an engine, shared by the entries that use it; 0 means no
+	// limit.
 	Credit   int
 	Duration time.Duration
 	Seed     uint64
@@ -104,7 +107,8 @@
 	reported []time.Time
 }
 
-// event is an action due at a time: the end of an answer, an arrival or a read. seq orders events of the same time.
+// event is an action due at a time: the end of an answer, an arrival or a read of an engine's load. seq
+// orders events of the same time.
 type event struct {
 	at     time.Time
 	seq    int
@@ -190,7 +194,8 @@
 	}
 }
 
-// capacity returns the tokens/s that the engines can serve, which is limited by the part with the lowest total rate.
+// capacity returns the tokens/s that the engines can serve, which is limited by the part with the lowest
+// total rate.
 func (r *run) capacity() float64 {
 	parts := make([]float64, r.cfg.Parts)
 	for i, e := range r.engines {
@@ -209,7 +214,7 @@
 		candidates[i] = ferrysubset.Candidate{Name: e.candidate.Name, Domain: e.candidate.Domain, Layers: e.candidate.Layers}
 	}
 	chooser := ferrysubset.New(r.cfg.Subset)
-	entriesOf := make([]int, len(r.engines))
+	entryCounts := make([]int, len(r.engines))
 	r.result.MinSubset = len(r.engines)
 	for _, name := range names {
 		e := &entry{engines: chooser.Choose(name, names, candidates, nil)}
@@ -217,7 +222,7 @@
 		cfg := ferrypipeline.PlannerConfig{Layers: ferryid.Layer(r.cfg.Parts * layersPerPart)}
 		var loads []ferrypipeline.Load
 		for _, i := range e.engines {
-			entriesOf[i]++
+			entryCounts[i]++
 			cfg.Candidates = append(cfg.Candidates, r.engines[i].candidate)
 			loads = append(loads, ferrypipeline.Load{Rate: ferryid.TokensPerSecond(r.engines[i].rate), Slots: r.credit()})
 		}
@@ -230,7 +235,7 @@
 		r.result.Subset += float64(len(e.engines)) / float64(len(names))
 		r.result.MinSubset, r.result.MaxSubset = min(r.result.MinSubset, len(e.engines)), max(r.result.MaxSubset, len(e.engines))
 	}
-	r.result.MinEntries = slices.Min(entriesOf)
+	r.result.MinEntries = slices.Min(entryCounts)
 	return nil
 }
 
@@ -271,7 +276,7 @@
 }
 
 func (r *run) sharedReadInterval() time.Duration {
-	return max(time.Second, time.Duration(len(r.engines))*time.Second/sharedReadsPerSecond)
+	return max(time.Second, time.Duration(len(r.engines))*time.Second/sharedReportsPerSecond)
 }
 
 func (r *run) scheduleRead(e *entry, in time.Duration) {
--- a/ferrybench/ferrychoice/choice_test.go
+++ b/ferrybench/ferrychoice/choice_test.go
@@ -10,8 +10,9 @@
 	"cactusferry.dev/ferrybench/ferrychoice"
 )
 
-// TestSubsetIsNearCompleteView checks that entries that read a subset of the engines serve at least 90 % of the work
-// of a single entry with a complete view, and more than entries that use all engines and exchange reports.
+// TestSubsetIsNearCompleteView checks that entries that read a subset of the engines serve at least 90 % of
+// the work of a single entry with a complete view, and more than entries that use all engines and exchange
+// reports.
 func TestSubsetIsNearCompleteView(t *testing.T) {
 	base := ferrychoice.Config{
 		Entries: 30, Engines: 150, Parts: 4, Domains: 7, Subset: ferrysubset.Config{AllUpTo: 150}, Slots: 4,
