--- a/ferrybench/ferrycapacity/documents.go
+++ b/ferrybench/ferrycapacity/documents.go
@@ -25,13 +25,13 @@
 	Entries int
 	// Size is the size of the document in bytes.
 	Size int
-	// Whole is the bytes sent and received if documents are sent in full, Difference if they are sent as deltas.
-	// Both include headers, acknowledgements and offers.
-	Whole, Difference float64
+	// FullBytes is the bytes sent and received per change if documents are sent in full, DeltaBytes if sent
+	// as deltas. Both include headers, acknowledgements and offers.
+	FullBytes, DeltaBytes float64
 	// Propagation is the time until every entry holds the change, sent as a delta.
 	Propagation time.Duration
-	// WholeCPU and DifferenceCPU are the processor time of the change at one entry.
-	WholeCPU, DifferenceCPU time.Duration
+	// FullCPU and DeltaCPU are the processor time of the change at one entry.
+	FullCPU, DeltaCPU time.Duration
 }
 
 // documentFleet distributes accepted documents between entries as ferryd does.
@@ -39,7 +39,7 @@
 	*ferrypeertest.Fleet
 	holders []*ferrydocument.Holder
 	names   []ferryid.EntryName
-	whole   bool
+	full    bool
 	last    ferryservice.Accepted
 }
 
@@ -55,7 +55,7 @@
 func (f *documentFleet) digestOf(h *ferrydocument.Holder) ferrydocument.Digest {
 	d := h.Digest()
 	for i := range d {
-		d[i].AcceptsDeltas = !f.whole
+		d[i].AcceptsDeltas = !f.full
 	}
 	return d
 }
@@ -81,8 +81,8 @@
 	return v == ferrydocument.Taken, err
 }
 
-func newDocumentFleet(entries int, whole bool) *documentFleet {
-	f := &documentFleet{Fleet: ferrypeertest.New(startTime), whole: whole}
+func newDocumentFleet(entries int, full bool) *documentFleet {
+	f := &documentFleet{Fleet: ferrypeertest.New(startTime), full: full}
 	for i := range entries {
 		h := ferrydocument.NewHolder(f.Clock, nil)
 		m := f.MemberOf(fmt.Sprintf("entry-%03d", i), domainName(i, entries), 1)
@@ -95,8 +95,8 @@
 	return f
 }
 
-// change has an entry accept the text. It returns the time until all entries hold the text, and the bytes sent and
-// received by all entries within changeWindow.
+// change has an entry accept the text. It returns the time until all entries hold the text, and the bytes
+// sent and received by all entries within changeWindow.
 func (f *documentFleet) change(at int, text string) (time.Duration, float64) {
 	for _, c := range f.Cores() {
 		c.Traffic = ferrypeertest.Traffic{}
@@ -168,22 +168,22 @@
 // MeasureChange measures the change of one line of a document, sent in full and as a delta.
 func MeasureChange(entries, size int) ChangePoint {
 	p := ChangePoint{Entries: entries, Size: size}
-	p.Whole, _, p.WholeCPU = measureChange(entries, size, true)
-	p.Difference, p.Propagation, p.DifferenceCPU = measureChange(entries, size, false)
+	p.FullBytes, _, p.FullCPU = measureChange(entries, size, true)
+	p.DeltaBytes, p.Propagation, p.DeltaCPU = measureChange(entries, size, false)
 	return p
 }
 
-func measureChange(entries, size int, whole bool) (bytes float64, took, cpu time.Duration) {
+func measureChange(entries, size int, full bool) (bytes float64, took, cpu time.Duration) {
 	const tries = 3
-	f := newDocumentFleet(entries, whole)
+	f := newDocumentFleet(entries, full)
 	text := documentText(size)
 	f.change(0, text)
-	rest := f.idleBytes()
+	idle := f.idleBytes()
 	for i := range tries {
 		began := processorTime()
 		d, b := f.change(i*31%entries, changeLine(text, i+1))
 		cpu += (processorTime() - began) / time.Duration(tries*entries)
-		bytes += (b - rest) / float64(tries*entries)
+		bytes += (b - idle) / float64(tries*entries)
 		took = max(took, d)
 	}
 	return bytes, took, cpu
@@ -195,7 +195,7 @@
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|")
 	const perDay = float64(planChangesPerDay) / secondsPerDay
 	for _, p := range ps {
-		fmt.Fprintf(w, "| %d | %d KiB | %.0f | %.0f | %.0f | %.0f | %s | %s | %s |\n", p.Entries, p.Size>>10, p.Whole, p.Difference,
-			p.Whole*perDay, p.Difference*perDay, p.Propagation, p.WholeCPU.Round(100*time.Microsecond), p.DifferenceCPU.Round(100*time.Microsecond))
+		fmt.Fprintf(w, "| %d | %d KiB | %.0f | %.0f | %.0f | %.0f | %s | %s | %s |\n", p.Entries, p.Size>>10, p.FullBytes, p.DeltaBytes,
+			p.FullBytes*perDay, p.DeltaBytes*perDay, p.Propagation, p.FullCPU.Round(100*time.Microsecond), p.DeltaCPU.Round(100*time.Microsecond))
 	}
 }
--- a/ferrybench/ferrycapacity/documents_test.go
+++ b/ferrybench/ferrycapacity/documents_test.go
@@ -9,7 +9,7 @@
 
 func TestOneLineChangeIsSentAsSmallDelta(t *testing.T) {
 	p := MeasureChange(9, 64<<10)
-	assert.Assert(t, p.Difference < p.Whole/10, "delta takes %.0f bytes, full document %.0f", p.Difference, p.Whole)
-	assert.Assert(t, p.Difference < 5<<10, "delta takes %.0f bytes, want less than 5 KiB", p.Difference)
+	assert.Assert(t, p.DeltaBytes < p.FullBytes/10, "delta takes %.0f bytes, full document %.0f", p.DeltaBytes, p.FullBytes)
+	assert.Assert(t, p.DeltaBytes < 5<<10, "delta takes %.0f bytes, want less than 5 KiB", p.DeltaBytes)
 	assert.Assert(t, p.Propagation < time.Second, "propagation took %s, want less than 1 s", p.Propagation)
 }
--- a/ferrybench/ferrycapacity/fit.go
+++ b/ferrybench/ferrycapacity/fit.go
@@ -6,8 +6,8 @@
 	Base, Slope float64
 }
 
-// Fit returns the least-squares line through the values of the points that have the planned number of failure domains.
-// If fewer than two points have it, all points are used.
+// Fit returns the least-squares line through the values of the points that have the planned number of failure
+// domains. If fewer than two points have it, all points are used.
 func (ps Points) Fit(of func(Point) float64) Line {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range ps.atPlannedDomains() {
--- a/ferrybench/ferrycapacity/fleet.go
+++ b/ferrybench/ferrycapacity/fleet.go
@@ -75,7 +75,7 @@
 
 func (d *document) apply(it ferrypeer.Item) (bool, error) {
 	if len(it) < 8 {
-		return false, fmt.Errorf("document item is %d bytes long, want at least 8", len(it))
+		return false, fmt.Errorf("decode document item: length is %d bytes, want at least 8", len(it))
 	}
 	n := binary.BigEndian.Uint64(it)
 	if n <= d.generation {
@@ -135,7 +135,8 @@
 	f.documents[m.Name], f.loads[m.Name] = d, l
 }
 
-// incompleteView describes an entry whose membership view is incomplete, or returns an empty string if all views agree.
+// incompleteView describes an entry whose membership view is incomplete, or returns an empty string if all
+// views agree.
 func (f *fleet) incompleteView() string {
 	n := len(f.Cores())
 	for name, c := range f.Cores() {
@@ -146,7 +147,7 @@
 			}
 		}
 		if alive != n {
-			return fmt.Sprintf("%s holds %d of %d", name, alive, n)
+			return fmt.Sprintf("membership view of %s lists %d of %d entries as alive", name, alive, n)
 		}
 	}
 	return ""
@@ -170,7 +171,8 @@
 	return true
 }
 
-// loadInterval returns the interval at which an entry publishes the load summaries of the runners that it polls.
+// loadInterval returns the interval at which an entry publishes the load summaries of the runners that it
+// polls.
 func loadInterval(nodes int) time.Duration {
 	return max(minLoadInterval, time.Duration(nodes)*time.Second/loadsPerSecond)
 }
@@ -178,13 +180,13 @@
 // refreshLoads has the entries publish, in turn, a new load of their own. If every entry uses all runners,
 // the entries publish load summaries of the runners too.
 func (f *fleet) refreshLoads(d time.Duration) {
-	each := loadInterval(len(f.names))
-	every := each / time.Duration(len(f.names))
+	interval := loadInterval(len(f.names))
+	every := interval / time.Duration(len(f.names))
 	for spent := time.Duration(0); spent < d; spent += every {
 		f.loadSequence++
 		i := f.loadSequence % len(f.names)
 		if ferrysubset.Default.UsesAll(len(f.names), f.runners) {
-			f.loads[f.names[i]].Set(string(f.names[i]), f.runnerLoads(i), 4*each)
+			f.loads[f.names[i]].Set(string(f.names[i]), f.runnerLoads(i), 4*interval)
 		}
 		f.Core(f.names[i]).Step(ferrypeer.SelfChanged{State: ferrypeer.Ready, Load: ferrypeer.Load{Permille: uint16(f.loadSequence*loadStep) % maxPermille}})
 		f.Run(every)
@@ -200,7 +202,8 @@
 	return ls
 }
 
-// traffic is what a node sends and receives per second: the means of bytes and messages, and the maximum of bytes.
+// traffic is what a node sends and receives per second: the means of bytes and messages, and the maximum of
+// bytes.
 type traffic struct {
 	Bytes, MaxBytes, Messages float64
 }
@@ -223,13 +226,13 @@
 	return t
 }
 
-func (f *fleet) linkCounts() (mean float64, most int) {
+func (f *fleet) linkCounts() (mean float64, maxLinks int) {
 	for _, c := range f.Cores() {
 		n := len(c.Overlay.Links())
 		mean += float64(n) / float64(len(f.Cores()))
-		most = max(most, n)
+		maxLinks = max(maxLinks, n)
 	}
-	return mean, most
+	return mean, maxLinks
 }
 
 // processorTime returns the user and system time of this process.
--- a/ferrybench/ferrycapacity/limits.go
+++ b/ferrybench/ferrycapacity/limits.go
@@ -29,11 +29,12 @@
 // LimitPoint is the cost of enforcing customers' limits, per entry and second.
 type LimitPoint struct {
 	Entries, Customers int
-	// Calls is the rate of calls by limited customers, and Refused the share of them that exceeded the limit.
+	// Calls is the rate of calls by limited customers, and Refused the share of them for which the entry had
+	// no allowance.
 	Calls   float64
 	Refused float64
-	// Asks is the rate of requests to other entries. Bytes is the bytes sent and received for them, including answers,
-	// headers and acknowledgements.
+	// Asks is the rate of requests to other entries. Bytes is the bytes sent and received for them, including
+	// answers, headers and acknowledgements.
 	Asks  float64
 	Bytes float64
 	// Counters is the number of other entries that an entry asks.
@@ -53,7 +54,7 @@
 	asked   map[int]bool
 }
 
-// limitSimulation simulates entries that admit calls and count for each other, without network delay.
+// limitSimulation simulates entries that admit calls and count them for each other, without network delay.
 type limitSimulation struct {
 	now       time.Time
 	r         *rand.Rand
@@ -93,8 +94,8 @@
 	return sim
 }
 
-// call offers the calls of one step; their number has a Poisson distribution.
-func (sim *limitSimulation) call() {
+// offerCalls offers the calls of one step; their number has a Poisson distribution.
+func (sim *limitSimulation) offerCalls() {
 	active := max(1, len(sim.customers)/activeDivisor)
 	mean := float64(active) * callRate * limitStep.Seconds()
 	for n := poisson(sim.r, mean); n > 0; n-- {
@@ -133,7 +134,7 @@
 			e.shares.Granted(g)
 		}
 		if c != at {
-			sim.count(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: encodeCBOR(as)})+
+			sim.countAsk(e, c, wireBytes(&ferrypeer.Ask{ID: limitTag, To: limitTag, Kind: limitAskKind, Body: encodeCBOR(as)})+
 				wireBytes(&ferrypeer.Answer{ID: limitTag, Body: encodeCBOR(grants)}))
 		}
 	}
@@ -145,7 +146,7 @@
 	return sim.customers[i].counter
 }
 
-func (sim *limitSimulation) count(e *limitEntry, counter, bytes int) {
+func (sim *limitSimulation) countAsk(e *limitEntry, counter, bytes int) {
 	sim.asks++
 	e.bytes += bytes
 	sim.entries[counter].bytes += bytes
@@ -154,15 +155,15 @@
 
 func (sim *limitSimulation) run(d time.Duration) {
 	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(limitStep) {
-		sim.call()
+		sim.offerCalls()
 		for i, e := range sim.entries {
 			sim.exchange(i, e)
 		}
 	}
 }
 
-// MeasureLimits measures the limits with a fifth of the customers active, each with 8 calls/s over the entries of
-// its shard.
+// MeasureLimits measures the limits with a fifth of the customers active, each with 8 calls/s over the
+// entries of its shard.
 func MeasureLimits(entries, customers int) LimitPoint {
 	sim := newLimitSimulation(entries, customers)
 	sim.run(limitWarmup)
@@ -173,15 +174,15 @@
 	sim.calls, sim.refused, sim.asks, sim.rounds = 0, 0, 0, 0
 	began := processorTime()
 	sim.run(limitTime)
-	each := 1 / limitTime.Seconds() / float64(entries)
+	perEntrySecond := 1 / limitTime.Seconds() / float64(entries)
 	p := sim.point
-	p.CPU = (processorTime() - began).Seconds() * each
-	p.Calls = float64(sim.calls) * each
+	p.CPU = (processorTime() - began).Seconds() * perEntrySecond
+	p.Calls = float64(sim.calls) * perEntrySecond
 	p.Refused = float64(sim.refused) / float64(max(1, sim.calls))
-	p.Asks = float64(sim.asks) * each
-	p.Rounds = float64(sim.rounds) * each
+	p.Asks = float64(sim.asks) * perEntrySecond
+	p.Rounds = float64(sim.rounds) * perEntrySecond
 	for _, e := range sim.entries {
-		p.Bytes += float64(e.bytes) * each
+		p.Bytes += float64(e.bytes) * perEntrySecond
 		p.Counters += float64(len(e.asked)) / float64(entries)
 	}
 	return p
--- a/ferrybench/ferrycapacity/orders.go
+++ b/ferrybench/ferrycapacity/orders.go
@@ -28,17 +28,19 @@
 	Engines int
 	// ReadAll selects the former design for comparison: every engine is read in each round of 2 s.
 	ReadAll bool
-	// Takeover is the time from the grant of the lease until all engines have the wanted state; each loads for 3 s.
+	// Takeover is the time from the grant of the lease until all engines have the wanted state; each loads
+	// for 3 s.
 	Takeover time.Duration
-	// TakeoverReads is the number of engine reads in that time. TakeoverBytes is the bytes between the holder and readers.
+	// TakeoverReads is the number of engine reads in that time. TakeoverBytes is the bytes between the holder
+	// and readers.
 	TakeoverReads int
 	TakeoverBytes int
-	// IdleReads is the rate of engine reads while no order is open. IdleAsks and IdleBytes are the holder's asks per
-	// second and the bytes per second of asks and answers.
+	// IdleReads is the rate of engine reads while all engines have the wanted state. IdleAsks and IdleBytes
+	// are the holder's asks per second and the bytes per second of asks and answers.
 	IdleReads float64
 	IdleAsks  float64
 	IdleBytes float64
-	// IdleCPU is the share of a processor core that the holder uses while no order is open, TakeoverCPU its total
+	// IdleCPU is the share of a processor core that the holder uses in that state, TakeoverCPU its total
 	// processor time during the takeover.
 	IdleCPU     float64
 	TakeoverCPU time.Duration
@@ -50,7 +52,8 @@
 	ready  time.Time
 }
 
-// orderSimulation simulates one lease holder and its engines on a virtual clock; each engine holds half of the layers.
+// orderSimulation simulates one lease holder and its engines on a virtual clock; each engine holds half of
+// the layers.
 type orderSimulation struct {
 	now     time.Time
 	wanted  ferryorder.Wanted
@@ -60,7 +63,7 @@
 	reads   atomic.Int64
 	asks    int
 	bytes   int
-	spent   time.Duration
+	cpuTime time.Duration
 }
 
 func orderWanted(engines int, g ferryid.Generation) ferryorder.Wanted {
@@ -110,7 +113,7 @@
 	if !sim.point.ReadAll {
 		next = sim.core.NextRound(sim.now)
 	}
-	sim.spent += processorTime() - began
+	sim.cpuTime += processorTime() - began
 	for _, s := range sends {
 		e := sim.engines[s.Address]
 		e.report.Target = s.Order.Target
@@ -129,7 +132,7 @@
 func (sim *orderSimulation) readDue() {
 	began := processorTime()
 	asks := sim.core.Due(sim.now)
-	sim.spent += processorTime() - began
+	sim.cpuTime += processorTime() - began
 	for _, a := range asks {
 		ans, err := ferryorder.ReadGroup(context.Background(), sim.wanted, a, sim.report)
 		if err != nil {
@@ -142,7 +145,7 @@
 		}
 		began = processorTime()
 		sim.core.ApplyAnswer(a, ans, sim.now)
-		sim.spent += processorTime() - began
+		sim.cpuTime += processorTime() - began
 	}
 }
 
@@ -176,15 +179,15 @@
 		sim.now = sim.round()
 	}
 	p.Takeover = sim.now.Sub(startTime)
-	p.TakeoverReads, p.TakeoverBytes, p.TakeoverCPU = int(sim.reads.Load()), sim.bytes, sim.spent
+	p.TakeoverReads, p.TakeoverBytes, p.TakeoverCPU = int(sim.reads.Load()), sim.bytes, sim.cpuTime
 	sim.runUntil(sim.now.Add(orderIdleTime))
 	sim.reads.Store(0)
-	sim.asks, sim.bytes, sim.spent = 0, 0, 0
+	sim.asks, sim.bytes, sim.cpuTime = 0, 0, 0
 	sim.runUntil(sim.now.Add(orderIdleTime))
 	p.IdleReads = float64(sim.reads.Load()) / orderIdleTime.Seconds()
 	p.IdleAsks = float64(sim.asks) / orderIdleTime.Seconds()
 	p.IdleBytes = float64(sim.bytes) / orderIdleTime.Seconds()
-	p.IdleCPU = sim.spent.Seconds() / orderIdleTime.Seconds()
+	p.IdleCPU = sim.cpuTime.Seconds() / orderIdleTime.Seconds()
 	return p
 }
 
@@ -199,11 +202,11 @@
 	fmt.Fprintln(w, "| engines | reading | takeover | readings in it | KB in it | core time in it | readings/s at rest | asks/s at rest | B/s at rest | core at rest |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
 	for _, p := range ps {
-		how := "by groups"
+		mode := "by groups"
 		if p.ReadAll {
-			how = "all each 2 s"
+			mode = "all each 2 s"
 		}
-		fmt.Fprintf(w, "| %d | %s | %s | %d | %.1f | %s | %.1f | %.1f | %.0f | %.3f%% |\n", p.Engines, how, p.Takeover, p.TakeoverReads,
+		fmt.Fprintf(w, "| %d | %s | %s | %d | %.1f | %s | %.1f | %.1f | %.0f | %.3f%% |\n", p.Engines, mode, p.Takeover, p.TakeoverReads,
 			float64(p.TakeoverBytes)/1024, p.TakeoverCPU.Round(100*time.Microsecond), p.IdleReads, p.IdleAsks, p.IdleBytes, 100*p.IdleCPU)
 	}
 }
--- a/ferrybench/ferrycapacity/orders_test.go
+++ b/ferrybench/ferrycapacity/orders_test.go
@@ -9,7 +9,7 @@
 
 func TestOrdersAtThePlannedSize(t *testing.T) {
 	p := MeasureOrders(planRunners, false)
-	assert.Assert(t, p.Takeover <= 4*orderLoadTime, "%s", p.Takeover)
+	assert.Assert(t, p.Takeover <= 4*orderLoadTime, "takeover took %s, want at most 4 load times", p.Takeover)
 	assert.Assert(t, p.IdleReads <= 160, "%.1f reads/s at rest, want at most 160", p.IdleReads)
 	assert.Assert(t, p.IdleBytes < 0.4*targetBytes, "%.0f B/s at rest, want less than 40%% of the target", p.IdleBytes)
 	few := MeasureOrders(4, false)
--- a/ferrybench/ferrycapacity/point.go
+++ b/ferrybench/ferrycapacity/point.go
@@ -17,14 +17,16 @@
 	// Links is the mean number of peer links of a node.
 	Links    float64
 	MaxLinks int
-	// IdleBytes is the bytes/s that a node sends and receives without changes, including headers and acknowledgements.
+	// IdleBytes is the bytes/s that a node sends and receives without changes, including headers and
+	// acknowledgements.
 	IdleBytes    float64
 	IdleMessages float64
 	// LoadBytes is the same while load summaries of the runners are exchanged.
 	LoadBytes    float64
 	MaxLoadBytes float64
 	LoadMessages float64
-	// MedianPropagation is the median time for a document change to reach every node; MaxPropagation is the maximum.
+	// MedianPropagation is the median time for a document change to reach every node; MaxPropagation is the
+	// maximum.
 	MedianPropagation time.Duration
 	MaxPropagation    time.Duration
 	// ChangeBytes is the bytes that a node sends and receives for one change of a document of 16 KiB.
@@ -34,22 +36,23 @@
 	LargePropagation time.Duration
 	// RestartBytes is the bytes that a node sends and receives for one restart of another node.
 	RestartBytes float64
-	// LoadCPU is the share of a core that a node uses while load summaries are exchanged, including the overhead of
-	// the simulation.
+	// LoadCPU is the share of a core that a node uses while load summaries are exchanged, including the
+	// overhead of the simulation.
 	LoadCPU float64
 	// StateBytes is the heap that a node uses for membership, links and load summaries.
 	StateBytes float64
 
 	// DomainLossDetection is the time until no survivor lists a member of a lost failure domain as live.
 	DomainLossDetection time.Duration
-	// RejoinTime is the time from the end of a network partition until all membership views are complete, and RejoinBytes
-	// the mean bytes that a node sent and received in that time.
+	// RejoinTime is the time from the end of a network partition until all membership views are complete, and
+	// RejoinBytes the mean bytes that a node sent and received in that time.
 	RejoinTime  time.Duration
 	RejoinBytes float64
 	// MaxRejoinBytes is the maximum that any node sent and received in one second of rejoining.
 	MaxRejoinBytes float64
 
-	// Watches is the number of watches that the fleet holds on the platform: two per failure domain for each of two kinds.
+	// Watches is the number of watches that the fleet holds on the platform: two per failure domain for each
+	// of two kinds.
 	Watches int
 }
 
@@ -124,7 +127,8 @@
 	f.change(1, documentChange)
 }
 
-// measureRestart crashes a node and starts it again; it fetches its state from the other nodes.
+// measureRestart crashes a node and starts it again as a new incarnation, which gets the membership from the
+// other nodes. The simulation keeps the node's document and load summaries.
 func (f *fleet) measureRestart(p *Point) {
 	const within = 30 * time.Second
 	i := p.Nodes / 2
@@ -141,7 +145,8 @@
 	p.Watches = countWatches(f)
 }
 
-// measurePartition separates half of the failure domains from the others for partitionTime and then heals the network.
+// measurePartition separates half of the failure domains from the others for partitionTime and then heals the
+// network.
 func (f *fleet) measurePartition(p *Point) {
 	for i := range domainCount(p.Nodes) / 2 {
 		f.Partition(1, ferryid.DomainName(domainName(i, p.Nodes)))
--- a/ferrybench/ferrycapacity/print.go
+++ b/ferrybench/ferrycapacity/print.go
@@ -35,13 +35,13 @@
 }
 
 func (ps Points) printPlan(w io.Writer, rs Readings) {
-	rest := ps.Fit(func(p Point) float64 { return p.IdleBytes })
+	idle := ps.Fit(func(p Point) float64 { return p.IdleBytes })
 	loads := ps.Fit(func(p Point) float64 { return p.LoadBytes })
 	change := ps.Fit(func(p Point) float64 { return p.ChangeBytes })
 	restart := ps.Fit(func(p Point) float64 { return p.RestartBytes })
 	cpu := ps.Fit(func(p Point) float64 { return p.LoadCPU })
 	state := ps.Fit(func(p Point) float64 { return p.StateBytes })
-	everywhere := ps.Fit(func(p Point) float64 { return p.MaxPropagation.Seconds() })
+	propagation := ps.Fit(func(p Point) float64 { return p.MaxPropagation.Seconds() })
 	changes := change.At(planNodes) * planChangesPerDay / secondsPerDay
 	large := ps.Fit(func(p Point) float64 { return p.LargeBytes })
 	largeChanges := large.At(planNodes) * planChangesPerDay / secondsPerDay
@@ -51,7 +51,7 @@
 	fmt.Fprintf(w, "\nAt %d nodes, %d runners, %d changes and %d restarts a day, by the lines through the points above:\n\n", planNodes, planRunners, planChangesPerDay, planRestartsPerDay)
 	fmt.Fprintln(w, "| what | base | a node adds | at the planned size | target | met |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|")
-	row(w, "B/s at rest", rest, rest.At(planNodes), targetBytes)
+	row(w, "B/s at rest", idle, idle.At(planNodes), targetBytes)
 	row(w, "B/s with loads", loads, loads.At(planNodes), targetBytes)
 	row(w, "B/s of reading engines, as measured", Line{Base: reading}, reading, targetBytes)
 	row(w, "B/s of changes of 16 KiB, on the day's average", change, changes, targetBytes)
@@ -60,13 +60,13 @@
 	row(w, "B/s together, changes of 16 KiB", Line{}, total, targetBytes)
 	row(w, "share of a core, in %", Line{Base: 100 * cpu.Base, Slope: 100 * cpu.Slope}, 100*cpu.At(planNodes), 100*targetCPU)
 	row(w, "state in KB", Line{Base: state.Base / 1024, Slope: state.Slope / 1024}, state.At(planNodes)/1024, targetState/1024)
-	row(w, "longest time to everywhere in s", everywhere, everywhere.At(planNodes), targetPropagation.Seconds())
+	row(w, "longest time to everywhere in s", propagation, propagation.At(planNodes), targetPropagation.Seconds())
 }
 
-func row(w io.Writer, what string, l Line, value, target float64) {
+func row(w io.Writer, quantity string, l Line, value, target float64) {
 	met := "yes"
 	if value > target {
 		met = "no"
 	}
-	fmt.Fprintf(w, "| %s | %.4g | %.4g | %.4g | %.6g | %s |\n", what, l.Base, l.Slope, value, target, met)
+	fmt.Fprintf(w, "| %s | %.4g | %.4g | %.4g | %.6g | %s |\n", quantity, l.Base, l.Slope, value, target, met)
 }
--- a/ferrybench/ferrycapacity/reading.go
+++ b/ferrybench/ferrycapacity/reading.go
@@ -26,7 +26,8 @@
 	// headerBytes and ackBytes are the overhead of a message below HTTP.
 	headerBytes = 60
 	ackBytes    = 52
-	// sharedReportsPerSecond is how many load reports the fleet exchanges per second if all entries use all engines.
+	// sharedReportsPerSecond is how many load reports the fleet exchanges per second if all entries use all
+	// engines.
 	sharedReportsPerSecond = 20
 )
 
@@ -110,7 +111,7 @@
 	IdleReads           float64
 	IdleAge, MaxIdleAge time.Duration
 	IdleBytes           float64
-	// Bytes is the bytes/s that an entry sends and receives for its reads; exchanged reports come on top.
+	// Bytes is the bytes/s that an entry sends and receives for its reads, without exchanged reports.
 	Bytes float64
 	// CPU is the share of a core that client and server use together.
 	CPU float64
@@ -119,7 +120,8 @@
 // Readings are the measurements of several fleet sizes.
 type Readings []Reading
 
-// MeasureReading simulates how the entries of one fleet size choose engines and read them, in steps of one second.
+// MeasureReading simulates how the entries of one fleet size choose engines and read them, in steps of one
+// second.
 func MeasureReading(nodes, runners int, cost ReadCost) Reading {
 	r := Reading{Nodes: nodes, Runners: runners, Shared: ferrysubset.Default.UsesAll(nodes, runners)}
 	if r.Shared {
@@ -185,15 +187,15 @@
 	maxAge    time.Duration
 }
 
-// add simulates one entry that reads its subset for readSeconds. Ages are sampled in the second half, when every engine
-// has been read.
+// add simulates one entry that reads its subset for readSeconds. Ages are sampled in the second half, when
+// every engine has been read.
 func (t *readStats) add(subset []int) {
 	last := make([]int, len(subset))
-	var turns ferrysubset.Rotation
-	var turn []int
+	var rotation ferrysubset.Rotation
+	var due []int
 	for second := range readSeconds {
-		turn = turns.Next(len(subset), t.perSecond, turn[:0])
-		for _, i := range turn {
+		due = rotation.Next(len(subset), t.perSecond, due[:0])
+		for _, i := range due {
 			last[i] = second
 			t.reads[subset[i]]++
 			t.total++
@@ -220,11 +222,11 @@
 	fmt.Fprintln(w, "| nodes | runners | engines an entry (most) | loads come | readings/s an entry | at an engine (most) | age of a report (most) | B/s an entry | core, both ends | without calls: readings/s | age (most) | B/s |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, r := range rs {
-		way := "by reading"
+		mode := "by reading"
 		if r.Shared {
-			way = "passed on"
+			mode = "passed on"
 		}
-		fmt.Fprintf(w, "| %d | %d | %.1f (%d) | %s | %.2f | %.2f (%.2f) | %s (%s) | %.0f | %.3f%% | %.2f | %s (%s) | %.0f |\n", r.Nodes, r.Runners, r.Engines, r.MaxEngines, way,
+		fmt.Fprintf(w, "| %d | %d | %.1f (%d) | %s | %.2f | %.2f (%.2f) | %s (%s) | %.0f | %.3f%% | %.2f | %s (%s) | %.0f |\n", r.Nodes, r.Runners, r.Engines, r.MaxEngines, mode,
 			r.Reads, r.EngineReads, r.MaxEngineReads, r.Age.Round(10*time.Millisecond), r.MaxAge.Round(10*time.Millisecond), r.Bytes, 100*r.CPU,
 			r.IdleReads, r.IdleAge.Round(10*time.Millisecond), r.MaxIdleAge.Round(10*time.Millisecond), r.IdleBytes)
 	}
--- a/ferrybench/ferrycapacity/real.go
+++ b/ferrybench/ferrycapacity/real.go
@@ -130,13 +130,13 @@
 	return true
 }
 
-func waitUntil(limit time.Duration, what string, holds func() bool) error {
+func waitUntil(limit time.Duration, operation string, done func() bool) error {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(realPoll) {
-		if holds() {
+		if done() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not done within %s", what, limit)
+	return fmt.Errorf("%s: timed out after %s", operation, limit)
 }
 
 // measureRealChange publishes documents and returns the median time until every node holds one.
@@ -173,6 +173,6 @@
 
 // Print writes the point as one line.
 func (p RealPoint) Print(w io.Writer) {
-	fmt.Fprintf(w, "real nodes %d: all joined in %s, %.1f links, %.3f%% of a core, %.0f KB of heap and %.0f goroutines a node, a change of 16 KiB propagated in %s\n",
+	fmt.Fprintf(w, "real nodes %d: all joined in %s, %.1f links, %.3f%% of a core, %.0f KB of heap and %.0f goroutines per node, a change of 16 KiB propagated in %s\n",
 		p.Nodes, p.Joined.Round(time.Millisecond), p.Links, 100*p.CPU, p.HeapBytes/1024, p.Goroutines, p.Propagation.Round(time.Millisecond))
 }
