--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -193,7 +193,7 @@
 	}})
 }
 
-// onNoPlan fails a job of which certainly nothing ran. A job that may have run waits for engines, unless
+// onNoPlan fails a job if it is certain that nothing of it ran. A job that may have run waits for engines, unless
 // MaxWaits or the retry budget is used up.
 func (c *Core) onNoPlan(err error, out []Action) []Action {
 	if c.phase != phasePlanning {
--- a/ferry/ferrypipeline/evidence.go
+++ b/ferry/ferrypipeline/evidence.go
@@ -11,8 +11,8 @@
 // evidence tracks whether any layer of a job ran.
 type evidence struct {
 	ran bool
-	// unknownEpochs holds the epochs of which that is not known; pendingCancels those whose first stage was
-	// sent a cancel and has not answered.
+	// unknownEpochs holds the epochs of which it is unknown whether a layer ran. pendingCancels holds the epochs
+	// whose first stage was sent a cancel and has not answered.
 	unknownEpochs  map[ferryid.Epoch]bool
 	pendingCancels map[ferryid.Epoch]bool
 }
--- a/ferry/ferrypipeline/job.go
+++ b/ferry/ferrypipeline/job.go
@@ -46,7 +46,7 @@
 	Done(plan Plan, tokens ferryid.Tokens)
 }
 
-// Observer is a Picker that uses the times measured by the stages of a plan.
+// Observer is implemented by a Picker that uses the times measured by the stages of a plan.
 type Observer interface {
 	Observe(plan Plan, times []ferryengine.StageTime)
 }
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -12,7 +12,8 @@
 
 const (
 	maxDomains = 16
-	sumWeight  = 0.5
+	// sumWeight is the weight of the sum of the stages' times in a chain's score; the slowest stage has weight 1.
+	sumWeight = 0.5
 	// noSlotPenalty is the cost in seconds of a job without a slot; it ranks full engines behind all with free
 	// slots.
 	noSlotPenalty = 10.0
@@ -57,7 +58,7 @@
 	edges  []edge
 }
 
-// label is the best chain up to a boundary whose last stage is in one failure domain.
+// label describes the best chain that ends at one boundary with its last stage in one failure domain.
 type label struct {
 	score float64
 	worst float64
@@ -65,7 +66,8 @@
 	link  float64
 	// candidate is the last stage of the chain, or noCandidate.
 	candidate int
-	prev      int
+	// prev is the index of the label that the chain extends, or chainStart.
+	prev int
 }
 
 // Planner chooses chains among a fixed set of candidates; it is not safe for concurrent use.
--- a/ferry/ferrypipeline/runner.go
+++ b/ferry/ferrypipeline/runner.go
@@ -99,7 +99,7 @@
 	stream      ferryengine.Stream
 	epoch       ferryid.Epoch
 	cancelRun   context.CancelFunc
-	// closing waits for the connections that are being closed.
+	// closing counts the connections that are being closed.
 	closing  sync.WaitGroup
 	finished *Finish
 }
