--- a/ferry/ferryqueue/classqueue.go
+++ b/ferry/ferryqueue/classqueue.go
@@ -41,20 +41,20 @@
 	return &classQueue{class: c, flows: map[ferryid.CustomerName]*flow{}}
 }
 
-func (cq *classQueue) add(f *flow, e *entry) {
+func (cq *classQueue) add(f *flow, e *queueItem) {
 	e.flow, e.classQueue = f, cq
 	f.pushBack(e)
 	cq.onAdded(f, e)
 }
 
 // addFront adds work that has already run in part before the customer's other work.
-func (cq *classQueue) addFront(f *flow, e *entry) {
+func (cq *classQueue) addFront(f *flow, e *queueItem) {
 	e.flow, e.classQueue = f, cq
 	f.pushFront(e)
 	cq.onAdded(f, e)
 }
 
-func (cq *classQueue) onAdded(f *flow, e *entry) {
+func (cq *classQueue) onAdded(f *flow, e *queueItem) {
 	cq.waiting++
 	cq.backlog += e.Predicted
 	if f.n == 1 {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (cq *classQueue) remove(e *entry) {
+func (cq *classQueue) remove(e *queueItem) {
 	f := e.flow
 	f.remove(e)
 	cq.waiting--
@@ -79,7 +79,7 @@
 }
 
 // head returns the next item in virtual time, or nil.
-func (cq *classQueue) head() *entry {
+func (cq *classQueue) head() *queueItem {
 	if len(cq.active) == 0 {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // dispatch removes the item and charges its customer with the predicted work.
-func (cq *classQueue) dispatch(e *entry, now time.Time) {
+func (cq *classQueue) dispatch(e *queueItem, now time.Time) {
 	f := e.flow
 	cq.virtualTime = max(cq.virtualTime, f.start)
 	cq.remove(e)
--- a/ferry/ferryqueue/configure.go
+++ b/ferry/ferryqueue/configure.go
@@ -19,11 +19,11 @@
 	for i, cq := range q.classQueues {
 		cq.slotRate = old[min(i, len(old)-1)].slotRate
 	}
-	all := make([]*entry, 0, len(q.entries))
-	for _, e := range q.entries {
+	all := make([]*queueItem, 0, len(q.items))
+	for _, e := range q.items {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b *entry) int {
+	slices.SortFunc(all, func(a, b *queueItem) int {
 		return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.ID, b.ID))
 	})
 	for _, e := range all {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (q *Queue) reinsert(e *entry, now time.Time) {
+func (q *Queue) reinsert(e *queueItem, now time.Time) {
 	it := e.Item
 	cq := q.classQueueOf(&it)
 	e.Class = it.Class
--- a/ferry/ferryqueue/excess.go
+++ b/ferry/ferryqueue/excess.go
@@ -45,9 +45,9 @@
 	return q.cfg.ExcessShare < 1 && q.totalShares > 0
 }
 
-// nextOf returns the next item of the class, or nil. While excess work occupies all its slots,
+// nextOf returns the next item of the class, or nil. While all slots for excess work are occupied,
 // only customers within their share are considered.
-func (q *Queue) nextOf(cq *classQueue, now time.Time) *entry {
+func (q *Queue) nextOf(cq *classQueue, now time.Time) *queueItem {
 	e := cq.head()
 	if e == nil || !q.limitsExcess() || q.excess < q.excessSlots() || !q.beyondShare(e.Customer, now) {
 		return e
@@ -80,7 +80,7 @@
 }
 
 // countStart updates the counters for an item that starts.
-func (q *Queue) countStart(e *entry, now time.Time) {
+func (q *Queue) countStart(e *queueItem, now time.Time) {
 	cs := q.customer(e.Customer)
 	if q.limitsExcess() {
 		e.excess = q.beyondShare(e.Customer, now)
@@ -94,7 +94,7 @@
 }
 
 // countEnd updates the counters for an item that no longer runs.
-func (q *Queue) countEnd(e *entry) {
+func (q *Queue) countEnd(e *queueItem) {
 	q.customer(e.Customer).running--
 	if e.excess {
 		q.excess--
--- a/ferry/ferryqueue/flow.go
+++ b/ferry/ferryqueue/flow.go
@@ -11,14 +11,14 @@
 	customer   ferryid.CustomerName
 	weight     float64
 	start      float64
-	head, tail *entry
+	head, tail *queueItem
 	n          int
 	backlog    ferryid.Tokens
 	running    int
 	index      int
 }
 
-func (f *flow) pushBack(e *entry) {
+func (f *flow) pushBack(e *queueItem) {
 	e.prev, e.next = f.tail, nil
 	if f.tail == nil {
 		f.head = e
@@ -30,7 +30,7 @@
 	f.backlog += e.Predicted
 }
 
-func (f *flow) pushFront(e *entry) {
+func (f *flow) pushFront(e *queueItem) {
 	e.prev, e.next = nil, f.head
 	if f.head == nil {
 		f.tail = e
@@ -42,7 +42,7 @@
 	f.backlog += e.Predicted
 }
 
-func (f *flow) remove(e *entry) {
+func (f *flow) remove(e *queueItem) {
 	if e.prev == nil {
 		f.head = e.next
 	} else {
--- a/ferry/ferryqueue/item.go
+++ b/ferry/ferryqueue/item.go
@@ -34,10 +34,10 @@
 	return ferryoutcome.New(r.Kind, ferryoutcome.NotRun, "%s", r.Detail).WithRetryAfter(r.RetryAfter)
 }
 
-// entry is an item in the queue or running.
-type entry struct {
+// queueItem is a waiting or running item with its accounting.
+type queueItem struct {
 	Item
-	prev, next  *entry
+	prev, next  *queueItem
 	flow        *flow
 	classQueue  *classQueue
 	started     time.Time
--- a/ferry/ferryqueue/loop.go
+++ b/ferry/ferryqueue/loop.go
@@ -127,19 +127,19 @@
 	if !loop.queue.Done(m.id, m.tokens, loop.now()) {
 		return
 	}
-	c := loop.waiters[m.id]
-	loop.predictor.Learn(c.customer, c.prompt, m.tokens)
+	w := loop.waiters[m.id]
+	loop.predictor.Learn(w.customer, w.prompt, m.tokens)
 	delete(loop.waiters, m.id)
 }
 
 func (loop *admissionLoop) requeue(m requeue) {
-	c, ok := loop.waiters[m.id]
+	w, ok := loop.waiters[m.id]
 	if !ok || !loop.queue.Requeue(m.id, loop.now()) {
 		m.reply <- acquireResult{problem: ferryoutcome.New(ferryoutcome.KindInternal, ferryoutcome.Ran, "the call is not running here")}
 		return
 	}
-	c.reply = m.reply
-	loop.waiters[m.id] = c
+	w.reply = m.reply
+	loop.waiters[m.id] = w
 }
 
 func (loop *admissionLoop) configure(d *ferryservice.Document) {
@@ -198,9 +198,9 @@
 }
 
 func (loop *admissionLoop) refuseAll() {
-	for id, c := range loop.waiters {
-		if e, ok := loop.queue.entries[id]; ok && !e.running {
-			c.reply <- acquireResult{problem: draining()}
+	for id, w := range loop.waiters {
+		if e, ok := loop.queue.items[id]; ok && !e.running {
+			w.reply <- acquireResult{problem: draining()}
 		}
 	}
 }
--- a/ferry/ferryqueue/preempt.go
+++ b/ferry/ferryqueue/preempt.go
@@ -19,7 +19,7 @@
 
 // Progress records the total tokens of a running item; an item longer than its class allows changes class.
 func (q *Queue) Progress(id ferryid.RequestID, tokens ferryid.Tokens, now time.Time) {
-	e, ok := q.entries[id]
+	e, ok := q.items[id]
 	if !ok || !e.running || tokens <= e.tokens {
 		return
 	}
@@ -33,12 +33,12 @@
 	}
 }
 
-func (q *Queue) outgrown(e *entry) bool {
+func (q *Queue) outgrown(e *queueItem) bool {
 	n := e.classQueue.class.MaxTokens
 	return n > 0 && e.tokens > n && e.classQueue != q.classQueues[len(q.classQueues)-1]
 }
 
-func (q *Queue) reclassify(e *entry, now time.Time) {
+func (q *Queue) reclassify(e *queueItem, now time.Time) {
 	for i, cq := range q.classQueues[:len(q.classQueues)-1] {
 		if cq != e.classQueue {
 			continue
@@ -76,10 +76,10 @@
 
 // victim returns the running item that is cheapest to resume, or nil. It considers classes of lower priority
 // that run more than their reserved slots.
-func (q *Queue) victim(waiter *classQueue) *entry {
-	var best *entry
-	for _, e := range q.runningEntries {
-		if e.classQueue == waiter || e.classQueue.class.Priority <= waiter.class.Priority || e.preempted >= maxPreemptions {
+func (q *Queue) victim(cq *classQueue) *queueItem {
+	var best *queueItem
+	for _, e := range q.runningItems {
+		if e.classQueue == cq || e.classQueue.class.Priority <= cq.class.Priority || e.preempted >= maxPreemptions {
 			continue
 		}
 		if e.classQueue.running <= e.classQueue.reserved(q.cfg.Capacity) {
@@ -94,7 +94,7 @@
 
 // Requeue returns a cancelled running item to the front of its customer's queue; its tokens are kept.
 func (q *Queue) Requeue(id ferryid.RequestID, now time.Time) bool {
-	e, ok := q.entries[id]
+	e, ok := q.items[id]
 	if !ok || !e.running {
 		return false
 	}
--- a/ferry/ferryqueue/queue.go
+++ b/ferry/ferryqueue/queue.go
@@ -85,20 +85,20 @@
 
 // Queue implements admission without I/O, clock or goroutines; it must not be used concurrently.
 type Queue struct {
-	cfg            Config
-	classQueues    []*classQueue
-	entries        map[ferryid.RequestID]*entry
-	customers      map[ferryid.CustomerName]*customerState
-	totalShares    float64
-	usage          usage
-	excess         int
-	waiting        int
-	running        int
-	dropped        []Refusal
-	freeList       *entry
-	runningEntries []*entry
-	rng            *rand.Rand
-	counts         Counts
+	cfg          Config
+	classQueues  []*classQueue
+	items        map[ferryid.RequestID]*queueItem
+	customers    map[ferryid.CustomerName]*customerState
+	totalShares  float64
+	usage        usage
+	excess       int
+	waiting      int
+	running      int
+	dropped      []Refusal
+	freeList     *queueItem
+	runningItems []*queueItem
+	rng          *rand.Rand
+	counts       Counts
 }
 
 // New returns an empty queue.
@@ -106,7 +106,7 @@
 	cfg.setDefaults()
 	q := &Queue{
 		cfg:       cfg,
-		entries:   map[ferryid.RequestID]*entry{},
+		items:     map[ferryid.RequestID]*queueItem{},
 		customers: map[ferryid.CustomerName]*customerState{},
 		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
@@ -158,9 +158,9 @@
 			return r
 		}
 	}
-	e := q.newEntry(it)
+	e := q.newItem(it)
 	cq.add(q.flowOf(cq, it.Customer), e)
-	q.entries[it.ID] = e
+	q.items[it.ID] = e
 	q.customer(it.Customer).waiting++
 	q.waiting++
 	q.counts.Enqueued++
@@ -192,7 +192,7 @@
 
 // Cancel removes a waiting or running item and reports whether it existed.
 func (q *Queue) Cancel(id ferryid.RequestID) bool {
-	e, ok := q.entries[id]
+	e, ok := q.items[id]
 	if !ok {
 		return false
 	}
@@ -203,13 +203,13 @@
 		e.classQueue.remove(e)
 		q.leaveWaiting(e)
 	}
-	q.removeEntry(e)
+	q.removeItem(e)
 	return true
 }
 
 // Done ends a running item, which produced the given tokens in total, and reports whether it was running.
 func (q *Queue) Done(id ferryid.RequestID, tokens ferryid.Tokens, now time.Time) bool {
-	e, ok := q.entries[id]
+	e, ok := q.items[id]
 	if !ok || !e.running {
 		return false
 	}
@@ -219,7 +219,7 @@
 	q.counts.Finished++
 	q.counts.Served += tokens
 	q.stopRunning(e)
-	q.removeEntry(e)
+	q.removeItem(e)
 	return true
 }
 
@@ -282,7 +282,7 @@
 	return free > reservedForOthers || q.running == 0
 }
 
-func (q *Queue) tooLate(e *entry, now time.Time) bool {
+func (q *Queue) tooLate(e *queueItem, now time.Time) bool {
 	if e.Deadline.IsZero() {
 		return false
 	}
@@ -293,30 +293,30 @@
 	return now.Add(need).After(e.Deadline)
 }
 
-func (q *Queue) expire(e *entry, now time.Time) {
+func (q *Queue) expire(e *queueItem, now time.Time) {
 	e.classQueue.remove(e)
 	q.leaveWaiting(e)
 	q.counts.Expired++
 	q.dropped = append(q.dropped, *q.refuse(&e.Item, e.classQueue, now, ferryoutcome.KindTimeout, "the call waited until it could not be in time"))
-	q.removeEntry(e)
+	q.removeItem(e)
 }
 
-func (q *Queue) leaveWaiting(e *entry) {
+func (q *Queue) leaveWaiting(e *queueItem) {
 	q.waiting--
 	q.customers[e.Customer].waiting--
 }
 
-func (q *Queue) startRunning(e *entry) {
-	e.index = len(q.runningEntries)
-	q.runningEntries = append(q.runningEntries, e)
+func (q *Queue) startRunning(e *queueItem) {
+	e.index = len(q.runningItems)
+	q.runningItems = append(q.runningItems, e)
 	q.running++
 }
 
-func (q *Queue) stopRunning(e *entry) {
-	last := q.runningEntries[len(q.runningEntries)-1]
-	q.runningEntries[e.index], last.index = last, e.index
-	q.runningEntries[len(q.runningEntries)-1] = nil
-	q.runningEntries = q.runningEntries[:len(q.runningEntries)-1]
+func (q *Queue) stopRunning(e *queueItem) {
+	last := q.runningItems[len(q.runningItems)-1]
+	q.runningItems[e.index], last.index = last, e.index
+	q.runningItems[len(q.runningItems)-1] = nil
+	q.runningItems = q.runningItems[:len(q.runningItems)-1]
 	q.countEnd(e)
 	e.running = false
 	e.classQueue.running--
@@ -324,19 +324,19 @@
 	q.running--
 }
 
-func (q *Queue) removeEntry(e *entry) {
-	delete(q.entries, e.ID)
-	*e = entry{next: q.freeList}
+func (q *Queue) removeItem(e *queueItem) {
+	delete(q.items, e.ID)
+	*e = queueItem{next: q.freeList}
 	q.freeList = e
 }
 
-func (q *Queue) newEntry(it Item) *entry {
+func (q *Queue) newItem(it Item) *queueItem {
 	e := q.freeList
 	if e == nil {
-		return &entry{Item: it}
+		return &queueItem{Item: it}
 	}
 	q.freeList = e.next
-	*e = entry{Item: it}
+	*e = queueItem{Item: it}
 	return e
 }
 
--- a/ferry/ferryqueue/refuse.go
+++ b/ferry/ferryqueue/refuse.go
@@ -18,7 +18,7 @@
 // checkAdmission refuses duplicates, items past their deadline, and items that can't be served in time
 // according to the predicted wait.
 func (q *Queue) checkAdmission(it *Item, cq *classQueue, now time.Time) *Refusal {
-	if _, ok := q.entries[it.ID]; ok {
+	if _, ok := q.items[it.ID]; ok {
 		return q.refuse(it, cq, now, ferryoutcome.KindConflict, "a call with this id is already waiting or running")
 	}
 	if !it.Deadline.IsZero() && !now.Before(it.Deadline) {
@@ -103,13 +103,13 @@
 	q.leaveWaiting(victim)
 	q.counts.Evicted++
 	q.dropped = append(q.dropped, *q.refuse(&victim.Item, victim.classQueue, now, ferryoutcome.KindLimit, full+" and this customer is the one most over its share"))
-	q.removeEntry(victim)
+	q.removeItem(victim)
 	return nil
 }
 
 // newest returns the last item of the customer in the class with most waiting, or nil. It never returns an
 // item that has already run in part.
-func (q *Queue) newest(c ferryid.CustomerName) *entry {
+func (q *Queue) newest(c ferryid.CustomerName) *queueItem {
 	var best *flow
 	for _, cq := range q.classQueues {
 		if f := cq.flows[c]; f != nil && f.n > 0 && f.tail.preempted == 0 && !f.tail.Resumed && (best == nil || f.n > best.n) {
