--- a/ferry/ferryroute/choose.go
+++ b/ferry/ferryroute/choose.go
@@ -33,11 +33,15 @@
 
 // Options configure the policy LeastWork. The zero value gave the best results in measurements.
 type Options struct {
-	Cost          Cost `toml:"Cost" json:"Cost"`
-	Choices       int  `toml:"Choices" json:"Choices"`
+	Cost Cost `toml:"Cost" json:"Cost"`
+	// Choices is the number of random upstreams to compare; 0 compares all.
+	Choices int `toml:"Choices" json:"Choices"`
+	// IgnoreReports excludes the load of other entries from the cost.
 	IgnoreReports bool `toml:"IgnoreReports" json:"IgnoreReports"`
-	RawReports    bool `toml:"RawReports" json:"RawReports"`
-	NoAffinity    bool `toml:"NoAffinity" json:"NoAffinity"`
+	// RawReports uses the newest report instead of the moving average.
+	RawReports bool `toml:"RawReports" json:"RawReports"`
+	// NoAffinity disables the preference for an upstream with the prompt prefix.
+	NoAffinity bool `toml:"NoAffinity" json:"NoAffinity"`
 }
 
 // Work describes a call for a choice. Avoid names the upstreams that have already failed it.
