--- a/ferry/ferryplatform/call.go
+++ b/ferry/ferryplatform/call.go
@@ -40,11 +40,11 @@
 	defer cancel()
 	var sent atomic.Bool
 	trace := httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	w, err := c.protocol.Encode(in)
+	encoded, err := c.protocol.Encode(in)
 	if err != nil {
 		return Reply{}, &UnavailableError{Op: op, Err: err}
 	}
-	req, err := c.request(httptrace.WithClientTrace(ctx, &trace), w)
+	req, err := c.request(httptrace.WithClientTrace(ctx, &trace), encoded)
 	if err != nil {
 		return Reply{}, &UnavailableError{Op: op, Err: err}
 	}
@@ -57,22 +57,22 @@
 		return Reply{}, incompleteError(in, sent.Load(), err)
 	}
 	defer res.Body.Close()
-	out, err := c.read(in, w, res)
+	out, err := c.read(in, encoded, res)
 	var unavailable *UnavailableError
 	c.down.Store(errors.As(err, &unavailable))
 	return out, err
 }
 
-func (c *Client) request(ctx context.Context, w HTTPRequest) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, encoded HTTPRequest) (*http.Request, error) {
 	var body io.Reader
-	if w.Body != nil {
-		body = bytes.NewReader(w.Body)
+	if encoded.Body != nil {
+		body = bytes.NewReader(encoded.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, w.Method, c.base+w.Path, body)
+	req, err := http.NewRequestWithContext(ctx, encoded.Method, c.base+encoded.Path, body)
 	if err != nil {
 		return nil, err
 	}
-	for k, vs := range w.Header {
+	for k, vs := range encoded.Header {
 		req.Header[k] = vs
 	}
 	return req, nil
@@ -88,11 +88,11 @@
 }
 
 // read decodes an answer, or returns the error for its status.
-func (c *Client) read(in Call, w HTTPRequest, res *http.Response) (Reply, error) {
+func (c *Client) read(in Call, encoded HTTPRequest, res *http.Response) (Reply, error) {
 	if res.StatusCode/100 != 2 {
 		return Reply{}, c.statusError(in, res)
 	}
-	maxBytes := w.MaxAnswer
+	maxBytes := encoded.MaxAnswer
 	if maxBytes == 0 {
 		maxBytes = maxListBytes
 	}
--- a/ferry/ferryplatform/protocol.go
+++ b/ferry/ferryplatform/protocol.go
@@ -38,7 +38,7 @@
 	// After is the version after which a watch returns changes, Wait the maximum time that it waits.
 	After Version
 	Wait  time.Duration
-	// More is the page token of a list, from the Reply with the previous page.
+	// PageToken is the page token of a list, from the Reply with the previous page.
 	PageToken string
 }
 
@@ -69,7 +69,7 @@
 	Object  Object
 	Version Version
 	Changes Changes
-	// More is the token of the next page of a list, empty after the last one.
+	// NextPageToken is the token of the next page of a list, empty after the last one.
 	NextPageToken string
 	Instances     Instances
 }
