--- a/ferry/ferryengine/errors.go
+++ b/ferry/ferryengine/errors.go
@@ -22,7 +22,7 @@
 // Unwrap returns the underlying error.
 func (e *DispatchError) Unwrap() error { return e.Err }
 
-// Outcome returns the outcome of the call as far as the phase tells it.
+// Outcome returns the outcome of the call that follows from its phase.
 func (e *DispatchError) Outcome() ferryoutcome.Outcome { return ferryoutcome.OfFailure(e.Phase) }
 
 // RefusedError reports that the upstream refused the call and stated that it did not run it.
--- a/ferry/ferryengine/item.go
+++ b/ferry/ferryengine/item.go
@@ -20,9 +20,11 @@
 
 // Kinds of failures.
 const (
-	FailureDied     FailureKind = "Died"
-	FailureRefused  FailureKind = "Refused"
-	FailureEmpty    FailureKind = "Empty"
+	FailureDied    FailureKind = "Died"
+	FailureRefused FailureKind = "Refused"
+	// FailureEmpty means that the engine does not have the stream's KV cache.
+	FailureEmpty FailureKind = "Empty"
+	// FailureDraining means that the engine is draining and refused the epoch.
 	FailureDraining FailureKind = "Draining"
 )
 
--- a/ferry/ferryengine/run.go
+++ b/ferry/ferryengine/run.go
@@ -49,16 +49,19 @@
 
 // RunRequest is the request to the first stage to run a stream through all stages.
 type RunRequest struct {
-	Stream       ferryid.StreamID               `json:"Stream"`
-	Epoch        ferryid.Epoch                  `json:"Epoch"`
+	Stream ferryid.StreamID `json:"Stream"`
+	Epoch  ferryid.Epoch    `json:"Epoch"`
+	// Incarnations holds the expected incarnations of the stages, by address.
 	Incarnations map[string]ferryid.Incarnation `json:"Incarnations,omitempty"`
 	Stages       Stages                         `json:"Stages"`
 	Prompt       string                         `json:"Prompt"`
-	Generated    []string                       `json:"Generated,omitempty"`
-	MaxTokens    int                            `json:"MaxTokens"`
-	Seed         uint64                         `json:"Seed"`
-	Priority     int                            `json:"Priority"`
-	Import       bool                           `json:"Import,omitempty"`
+	// Generated holds the texts of the tokens generated before, in order.
+	Generated []string `json:"Generated,omitempty"`
+	MaxTokens int      `json:"MaxTokens"`
+	Seed      uint64   `json:"Seed"`
+	Priority  int      `json:"Priority"`
+	// Import makes the stages continue from the stream's KV cache instead of a prefill of the history.
+	Import bool `json:"Import,omitempty"`
 }
 
 // Check returns a *FieldError for the first invalid field.
