--- a/ferry/ferrylimit/counter.go
+++ b/ferry/ferrylimit/counter.go
@@ -60,8 +60,8 @@
 	return &Counter{rate: r, buckets: map[Key]*bucket{}}
 }
 
-// Answer grants what the limits allow. A bucket new here starts empty, since another entry may have counted
-// until now.
+// Answer grants what the limits allow. A new bucket starts empty, since another entry may have counted for the
+// customer until now.
 func (c *Counter) Answer(asks []Ask, now time.Time) []Grant {
 	out := make([]Grant, 0, len(asks))
 	for _, a := range asks {
