--- a/ferry/ferryexchange/answer.go
+++ b/ferry/ferryexchange/answer.go
@@ -59,8 +59,8 @@
 // Close ends the exchange. It keeps the connection if the body was read to its end, and else closes it so
 // that the upstream stops.
 func (a *Answer) Close() {
-	running := a.stopWatch()
-	if !running || !a.complete || a.failed || !a.reusable || a.conn.br.Buffered() > 0 {
+	stopped := a.stopWatch()
+	if !stopped || !a.complete || a.failed || !a.reusable || a.conn.br.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
--- a/ferry/ferryexchange/client.go
+++ b/ferry/ferryexchange/client.go
@@ -158,20 +158,20 @@
 func (c *Client) readAnswer(cn *conn, r *Request) (*Answer, error) {
 	method := &http.Request{Method: r.Method}
 	for foreign := 0; foreign < maxForeignAnswers; {
-		w, err := http.ReadResponse(cn.br, method)
+		resp, err := http.ReadResponse(cn.br, method)
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
 		switch {
-		case w.StatusCode == http.StatusSwitchingProtocols:
+		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errors.New("upstream answered 101 Switching Protocols to a request without Upgrade")
-		case w.StatusCode/100 == 1:
+		case resp.StatusCode/100 == 1:
 			continue
-		case r.Echo == "" || w.Header.Get(r.Echo) == "" || w.Header.Get(r.Echo) == r.Header.Get(r.Echo):
-			return &Answer{Status: w.StatusCode, Header: w.Header, body: w.Body, conn: cn, reusable: !w.Close, Skipped: foreign}, nil
+		case r.Echo == "" || resp.Header.Get(r.Echo) == "" || resp.Header.Get(r.Echo) == r.Header.Get(r.Echo):
+			return &Answer{Status: resp.StatusCode, Header: resp.Header, body: resp.Body, conn: cn, reusable: !resp.Close, Skipped: foreign}, nil
 		}
 		foreign++
-		if err := skipAnswer(w); err != nil {
+		if err := skipAnswer(resp); err != nil {
 			return nil, err
 		}
 	}
@@ -180,12 +180,12 @@
 
 // skipAnswer reads the body of an answer to another request. It fails if no further answer can follow on the
 // connection.
-func skipAnswer(w *http.Response) error {
-	defer w.Body.Close()
-	if w.Close {
+func skipAnswer(resp *http.Response) error {
+	defer resp.Body.Close()
+	if resp.Close {
 		return ErrForeignAnswers
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(w.Body, maxSkipBytes))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkipBytes))
 	if err != nil || n == maxSkipBytes {
 		return ErrForeignAnswers
 	}
