--- a/ferry/ferryingress/server.go
+++ b/ferry/ferryingress/server.go
@@ -21,8 +21,8 @@
 	lingerTime = 500 * time.Millisecond
 	// lingerBytes is the maximum number of discarded bytes.
 	lingerBytes = 1 << 20
-	// acceptPause is the backoff after a failed accept, for example when file descriptors run out.
-	acceptPause = 20 * time.Millisecond
+	// acceptBackoff is the backoff after a failed accept, for example when file descriptors run out.
+	acceptBackoff = 20 * time.Millisecond
 )
 
 // ErrCallerDisconnected is the cancellation cause of a call whose caller has closed its connection.
@@ -89,8 +89,8 @@
 			if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 				return nil
 			}
-			s.cfg.Log.Warn().Err(err).Msg("could not accept a connection")
-			s.cfg.Clock.Sleep(acceptPause)
+			s.cfg.Log.Warn().Err(err).Msg("accepting a connection failed; retrying after a pause")
+			s.cfg.Clock.Sleep(acceptBackoff)
 			continue
 		}
 		c := s.add(nc)
@@ -126,7 +126,8 @@
 }
 
 // Stop closes idle connections at once and the others after their current call. A request that arrives on an
-// idle connection meanwhile is not read.
+// idle connection meanwhile is not read. A connection that has carried no request yet may still send one within
+// stoppingIdleTimeout.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.mu.Lock()
