--- a/ferry/ferryplain/client.go
+++ b/ferry/ferryplain/client.go
@@ -123,7 +123,7 @@
 	idleTimer := c.clock.AfterFunc(c.idleTimeout, func() { cancel(ErrIdleTimeout) })
 	stop := func() { idleTimer.Stop(); cancel(nil) }
 	written := &atomic.Bool{}
-	w, err := c.send(context.WithValue(ctx, writtenKey{}, written), address, call)
+	resp, err := c.send(context.WithValue(ctx, writtenKey{}, written), address, call)
 	if err != nil {
 		cause := err
 		if context.Cause(ctx) != nil {
@@ -140,12 +140,12 @@
 		}
 		return nil, &DispatchError{Address: address, Phase: phase, Err: cause}
 	}
-	body := &idleTimeoutBody{ReadCloser: w.Body, ctx: ctx, idleTimer: idleTimer, idleTimeout: c.idleTimeout, stop: stop}
-	if w.Header.Get(ferryoutcome.Header) == string(ferryoutcome.NotRun) {
+	body := &idleTimeoutBody{ReadCloser: resp.Body, ctx: ctx, idleTimer: idleTimer, idleTimeout: c.idleTimeout, stop: stop}
+	if resp.Header.Get(ferryoutcome.Header) == string(ferryoutcome.NotRun) {
 		defer body.Close()
-		return nil, refusal(address, w.StatusCode, body)
+		return nil, refusal(address, resp.StatusCode, body)
 	}
-	return readAnswer(address, w, body)
+	return readAnswer(address, resp, body)
 }
 
 func (c *Client) send(ctx context.Context, address string, call Call) (*http.Response, error) {
@@ -171,8 +171,8 @@
 	return &RefusedError{Address: address, Status: status, Leaving: p.Kind == ferryoutcome.KindDraining}
 }
 
-func readAnswer(address string, w *http.Response, body *idleTimeoutBody) (*Answer, error) {
-	a := &Answer{Status: w.StatusCode, Header: w.Header}
+func readAnswer(address string, resp *http.Response, body *idleTimeoutBody) (*Answer, error) {
+	a := &Answer{Status: resp.StatusCode, Header: resp.Header}
 	b, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes))
 	if err != nil {
 		body.Close()
