--- a/ferryctl/file.go
+++ b/ferryctl/file.go
@@ -11,7 +11,7 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// maxFileBytes is the maximum size of a file.
+// maxFileBytes is the maximum size of a document file, header line included.
 const maxFileBytes = 1 << 20
 
 // headerRE matches the header line that the subcommand get writes before a document.
