--- a/ferry/ferrypipeline/core.go
+++ b/ferry/ferrypipeline/core.go
@@ -64,18 +64,21 @@
 
 // Core is the state machine of one job: it turns messages into actions and does no I/O.
 type Core struct {
-	cfg            CoreConfig
-	job            *Job
-	phase          phase
-	epoch          ferryid.Epoch
-	plan           Plan
-	previous       Plan
-	kvMovable      bool
+	cfg   CoreConfig
+	job   *Job
+	phase phase
+	epoch ferryid.Epoch
+	plan  Plan
+	// previous is the plan of the last closed epoch; kvMovable is set if its stages may have kept the KV cache.
+	previous  Plan
+	kvMovable bool
+	// importDisabled is set once a stage reported that it lost the KV cache.
 	importDisabled bool
-	withKV         bool
-	generated      []string
-	ready          bool
-	epochTokens    int
+	// withKV is set if the current epoch was started from a moved KV cache, ready once its start was received.
+	withKV      bool
+	generated   []string
+	ready       bool
+	epochTokens int
 	// refusedByDraining is set if a draining engine refused the current epoch; the next epoch is then not
 	// charged as a retry.
 	refusedByDraining bool
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -59,6 +59,9 @@
 }
 
 // label describes the best chain that ends at one boundary with its last stage in one failure domain.
+//
+// worst is the time of the slowest stage and sum that of all stages, in seconds; link is the transfer time of one
+// token in seconds.
 type label struct {
 	score float64
 	worst float64
@@ -79,9 +82,10 @@
 	domainIndex map[ferryid.DomainName]int
 	boundaries  []ferryid.Layer
 	groups      []group
-	link        [maxDomains][maxDomains]float64
-	fixed       [][]int
-	labels      []label
+	// link holds the transfer times of one token between failure domains, in seconds.
+	link   [maxDomains][maxDomains]float64
+	fixed  [][]int
+	labels []label
 	// chain holds the chosen candidates, stageEnds the layer at which each one ends.
 	chain     []int
 	stageEnds []ferryid.Layer
--- a/ferry/ferrypipeline/trace.go
+++ b/ferry/ferrypipeline/trace.go
@@ -30,10 +30,11 @@
 	Outcome  ferryoutcome.Outcome `json:"Outcome,omitempty"`
 	Refused  ferryoutcome.Kind    `json:"Refused,omitempty"`
 	Err      string               `json:"Err,omitempty"`
-	Silent   bool                 `json:"Silent,omitempty"`
-	OK       bool                 `json:"OK,omitempty"`
-	Known    bool                 `json:"Known,omitempty"`
-	Ran      bool                 `json:"Ran,omitempty"`
+	// Silent is set for a Broke message caused by the idle timeout.
+	Silent bool `json:"Silent,omitempty"`
+	OK     bool `json:"OK,omitempty"`
+	Known  bool `json:"Known,omitempty"`
+	Ran    bool `json:"Ran,omitempty"`
 }
 
 // Trace is a recording of a job and every message that its core processed.
