--- a/ferry/ferryqueue/classqueue.go
+++ b/ferry/ferryqueue/classqueue.go
@@ -22,17 +22,21 @@
 
 // classQueue holds the waiting work of one class; customers share it by start-time fair queueing.
 type classQueue struct {
-	class         ferryservice.Class
-	virtualTime   float64
-	flows         map[ferryid.CustomerName]*flow
-	active        flowHeap
-	activeWeight  float64
-	waiting       int
-	backlog       ferryid.Tokens
-	running       int
-	demand        float64
-	demandAt      time.Time
-	slotRate      float64
+	class       ferryservice.Class
+	virtualTime float64
+	flows       map[ferryid.CustomerName]*flow
+	active      flowHeap
+	// activeWeight is the sum of the weights of the active flows.
+	activeWeight float64
+	waiting      int
+	backlog      ferryid.Tokens
+	running      int
+	// demand is the decaying maximum of the running and waiting items, as of demandAt.
+	demand   float64
+	demandAt time.Time
+	// slotRate is the moving average of the rate of one slot in tokens/s, 0 while unknown.
+	slotRate float64
+	// refusedTokens is the refused work less what could have been served since, as of refusedAt.
 	refusedTokens ferryid.Tokens
 	refusedAt     time.Time
 }
--- a/ferry/ferryqueue/item.go
+++ b/ferry/ferryqueue/item.go
@@ -37,15 +37,18 @@
 // queueItem is a waiting or running item with its accounting.
 type queueItem struct {
 	Item
-	prev, next  *queueItem
-	flow        *flow
-	classQueue  *classQueue
-	started     time.Time
-	tokens      ferryid.Tokens
+	prev, next *queueItem
+	flow       *flow
+	classQueue *classQueue
+	started    time.Time
+	// tokens counts the tokens produced so far, priorTokens those produced before the last preemption.
+	tokens ferryid.Tokens
+	// charged is the work charged to the customer since the last start.
 	charged     ferryid.Tokens
 	running     bool
 	excess      bool
 	preempted   int
 	priorTokens ferryid.Tokens
-	index       int
+	// index is the position in Queue.runningItems.
+	index int
 }
