--- a/ferry/ferryroute/choose.go
+++ b/ferry/ferryroute/choose.go
@@ -47,8 +47,9 @@
 // Work describes a call for a choice. Avoid names the upstreams that have already failed it.
 type Work struct {
 	Predicted ferryid.Tokens
-	Prefix    uint64
-	Avoid     []ferryid.UpstreamName
+	// Prefix identifies the prompt prefix for affinity; 0 means none.
+	Prefix uint64
+	Avoid  []ferryid.UpstreamName
 }
 
 // Rand is a small random generator (splitmix64). It is not safe for concurrent use.
--- a/ferry/ferryroute/dispatch.go
+++ b/ferry/ferryroute/dispatch.go
@@ -21,11 +21,12 @@
 
 // Dispatch is one call that this entry has sent to an upstream. It is not safe for concurrent use.
 type Dispatch struct {
-	table          *Table
-	up             *upstream
-	remaining      ferryid.Tokens
-	predicted      ferryid.Tokens
-	produced       ferryid.Tokens
+	table     *Table
+	up        *upstream
+	remaining ferryid.Tokens
+	predicted ferryid.Tokens
+	produced  ferryid.Tokens
+	// measuredTokens are the tokens produced up to measuredAt, the time of the last speed measurement.
 	measuredTokens ferryid.Tokens
 	measuredAt     time.Time
 	ended          bool
--- a/ferry/ferryroute/snapshot.go
+++ b/ferry/ferryroute/snapshot.go
@@ -45,11 +45,14 @@
 
 // load is the state of an upstream that changes with every call.
 type load struct {
-	own           atomic.Int64
-	ownRunning    atomic.Int32
+	// own is the outstanding work of this entry in tokens, ownRunning the number of its running calls.
+	own        atomic.Int64
+	ownRunning atomic.Int32
+	// others and othersRunning are the same for all other entries, estimated from delayed reports.
 	others        atomic.Int64
 	othersRunning atomic.Int32
-	rateBits      atomic.Uint64
+	// rateBits holds the bits of the rate in tokens/s, a float64.
+	rateBits atomic.Uint64
 }
 
 func (l *load) rate() float64 {
--- a/ferry/ferryroute/table.go
+++ b/ferry/ferryroute/table.go
@@ -28,7 +28,8 @@
 
 // upstream is the state of one upstream; row.load is shared with the snapshots.
 type upstream struct {
-	row           row
+	row row
+	// nominal is the rate in the service document in tokens/s, 0 if there is none.
 	nominal       float64
 	speed         speed
 	health        health
