--- a/ferry/ferrystream/assemble.go
+++ b/ferry/ferrystream/assemble.go
@@ -6,6 +6,7 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
+// assembleWindow is the number of positions, from the first missing one, for which tokens are buffered.
 const assembleWindow = 256
 
 // Token is one token of an answer with its position.
