--- a/ferry/ferryengine/item.go
+++ b/ferry/ferryengine/item.go
@@ -69,10 +69,11 @@
 	Receipts []Receipt        `json:"Receipts,omitempty"`
 	Ready    bool             `json:"Ready,omitempty"`
 	Done     bool             `json:"Done,omitempty"`
-	Reason   string           `json:"Reason,omitempty"`
-	Tokens   int              `json:"Tokens,omitempty"`
-	Times    []StageTime      `json:"Times,omitempty"`
-	Failed   *Failure         `json:"Failed,omitempty"`
+	// Reason is the finish reason with Done, "length" or "stop".
+	Reason string      `json:"Reason,omitempty"`
+	Tokens int         `json:"Tokens,omitempty"`
+	Times  []StageTime `json:"Times,omitempty"`
+	Failed *Failure    `json:"Failed,omitempty"`
 }
 
 // Check returns a *FieldError unless the item is exactly one of start, token, end or failure.
