--- a/ferry/ferryservice/class.go
+++ b/ferry/ferryservice/class.go
@@ -11,11 +11,13 @@
 // Class is a range of predicted work with its own deadline, priority and reserved share of the
 // engines' slots.
 type Class struct {
-	Name          ferryid.ClassName `toml:"Name" json:"Name"`
-	MaxTokens     ferryid.Tokens    `toml:"MaxTokens" json:"MaxTokens"`
-	Deadline      Duration          `toml:"Deadline" json:"Deadline"`
-	ReservedShare float64           `toml:"ReservedShare" json:"ReservedShare"`
-	Priority      int               `toml:"Priority" json:"Priority"`
+	Name ferryid.ClassName `toml:"Name" json:"Name"`
+	// MaxTokens is the largest predicted work of the class; 0 means no limit.
+	MaxTokens     ferryid.Tokens `toml:"MaxTokens" json:"MaxTokens"`
+	Deadline      Duration       `toml:"Deadline" json:"Deadline"`
+	ReservedShare float64        `toml:"ReservedShare" json:"ReservedShare"`
+	// Priority is higher for a lower number; work is preempted only for classes of higher priority.
+	Priority int `toml:"Priority" json:"Priority"`
 }
 
 // Classes are the classes of a service by ascending MaxTokens; the last may be unbounded.
--- a/ferry/ferryservice/customer.go
+++ b/ferry/ferryservice/customer.go
@@ -19,10 +19,12 @@
 
 // Customer is a customer of a service, identified by the SHA-256 digests of its API keys.
 type Customer struct {
-	Name              ferryid.CustomerName `toml:"Name" json:"Name"`
-	KeySHA256         []string             `toml:"KeySHA256" json:"KeySHA256"`
-	Share             float64              `toml:"Share" json:"Share"`
-	RequestsPerSecond float64              `toml:"RequestsPerSecond" json:"RequestsPerSecond"`
+	Name      ferryid.CustomerName `toml:"Name" json:"Name"`
+	KeySHA256 []string             `toml:"KeySHA256" json:"KeySHA256"`
+	// Share is the weight of the customer in fair queueing.
+	Share float64 `toml:"Share" json:"Share"`
+	// RequestsPerSecond is the customer's rate limit; 0 means no limit.
+	RequestsPerSecond float64 `toml:"RequestsPerSecond" json:"RequestsPerSecond"`
 }
 
 // Customers are the customers of a service.
--- a/ferry/ferryservice/limits.go
+++ b/ferry/ferryservice/limits.go
@@ -36,11 +36,14 @@
 
 // Limits holds the limits of calls to a service.
 type Limits struct {
-	BodyBytes      int64    `toml:"BodyBytes" json:"BodyBytes"`
-	Deadline       Duration `toml:"Deadline" json:"Deadline"`
+	BodyBytes int64    `toml:"BodyBytes" json:"BodyBytes"`
+	Deadline  Duration `toml:"Deadline" json:"Deadline"`
+	// ClaimRetention is how long a claimed key is kept; Retention returns the effective time.
 	ClaimRetention Duration `toml:"ClaimRetention" json:"ClaimRetention"`
-	QueueLength    int      `toml:"QueueLength" json:"QueueLength"`
-	RetryShare     float64  `toml:"RetryShare" json:"RetryShare"`
+	// QueueLength is the number of waiting calls from which the queue is full.
+	QueueLength int `toml:"QueueLength" json:"QueueLength"`
+	// RetryShare limits retries to a share of first tries.
+	RetryShare float64 `toml:"RetryShare" json:"RetryShare"`
 }
 
 func (l *Limits) setDefaults() {
--- a/ferry/ferryservice/route.go
+++ b/ferry/ferryservice/route.go
@@ -17,7 +17,8 @@
 
 // Route sets whether calls of one method to paths that match a pattern may be retried.
 type Route struct {
-	Method     string `toml:"Method" json:"Method"`
+	Method string `toml:"Method" json:"Method"`
+	// Path is a pattern as for path.Match.
 	Path       string `toml:"Path" json:"Path"`
 	Idempotent bool   `toml:"Idempotent" json:"Idempotent"`
 }
