--- a/ferry/ferryengine/item.go
+++ b/ferry/ferryengine/item.go
@@ -20,9 +20,11 @@
 
 // Kinds of failures.
 const (
-	FailureDied     FailureKind = "Died"
-	FailureRefused  FailureKind = "Refused"
-	FailureEmpty    FailureKind = "Empty"
+	FailureDied    FailureKind = "Died"
+	FailureRefused FailureKind = "Refused"
+	// FailureEmpty means that the engine does not have the stream's KV cache.
+	FailureEmpty FailureKind = "Empty"
+	// FailureDraining means that the engine is draining and refused the epoch.
 	FailureDraining FailureKind = "Draining"
 )
 
@@ -67,10 +69,11 @@
 	Receipts []Receipt        `json:"Receipts,omitempty"`
 	Ready    bool             `json:"Ready,omitempty"`
 	Done     bool             `json:"Done,omitempty"`
-	Reason   string           `json:"Reason,omitempty"`
-	Tokens   int              `json:"Tokens,omitempty"`
-	Times    []StageTime      `json:"Times,omitempty"`
-	Failed   *Failure         `json:"Failed,omitempty"`
+	// Reason is the finish reason with Done, "length" or "stop".
+	Reason string      `json:"Reason,omitempty"`
+	Tokens int         `json:"Tokens,omitempty"`
+	Times  []StageTime `json:"Times,omitempty"`
+	Failed *Failure    `json:"Failed,omitempty"`
 }
 
 // Check returns a *FieldError unless the item is exactly one of start, token, end or failure.
--- a/ferry/ferrypipeline/planner.go
+++ b/ferry/ferrypipeline/planner.go
@@ -12,7 +12,8 @@
 
 const (
 	maxDomains = 16
-	sumWeight  = 0.5
+	// sumWeight is the weight of the sum of the stages' times in a chain's score; the slowest stage has weight 1.
+	sumWeight = 0.5
 	// noSlotPenalty is the cost in seconds of a job without a slot; it ranks full engines behind all with free
 	// slots.
 	noSlotPenalty = 10.0
@@ -57,7 +58,10 @@
 	edges  []edge
 }
 
-// label is the best chain up to a boundary whose last stage is in one failure domain.
+// label describes the best chain that ends at one boundary with its last stage in one failure domain.
+//
+// worst is the time of the slowest stage and sum that of all stages, in seconds; link is the transfer time of one
+// token in seconds.
 type label struct {
 	score float64
 	worst float64
@@ -65,7 +69,8 @@
 	link  float64
 	// candidate is the last stage of the chain, or noCandidate.
 	candidate int
-	prev      int
+	// prev is the index of the label that the chain extends, or chainStart.
+	prev int
 }
 
 // Planner chooses chains among a fixed set of candidates; it is not safe for concurrent use.
@@ -77,9 +82,10 @@
 	domainIndex map[ferryid.DomainName]int
 	boundaries  []ferryid.Layer
 	groups      []group
-	link        [maxDomains][maxDomains]float64
-	fixed       [][]int
-	labels      []label
+	// link holds the transfer times of one token between failure domains, in seconds.
+	link   [maxDomains][maxDomains]float64
+	fixed  [][]int
+	labels []label
 	// chain holds the chosen candidates, stageEnds the layer at which each one ends.
 	chain     []int
 	stageEnds []ferryid.Layer
--- a/ferry/ferryqueue/classqueue.go
+++ b/ferry/ferryqueue/classqueue.go
@@ -22,17 +22,21 @@
 
 // classQueue holds the waiting work of one class; customers share it by start-time fair queueing.
 type classQueue struct {
-	class         ferryservice.Class
-	virtualTime   float64
-	flows         map[ferryid.CustomerName]*flow
-	active        flowHeap
-	activeWeight  float64
-	waiting       int
-	backlog       ferryid.Tokens
-	running       int
-	demand        float64
-	demandAt      time.Time
-	slotRate      float64
+	class       ferryservice.Class
+	virtualTime float64
+	flows       map[ferryid.CustomerName]*flow
+	active      flowHeap
+	// activeWeight is the sum of the weights of the active flows.
+	activeWeight float64
+	waiting      int
+	backlog      ferryid.Tokens
+	running      int
+	// demand is the decaying maximum of the running and waiting items, as of demandAt.
+	demand   float64
+	demandAt time.Time
+	// slotRate is the moving average of the rate of one slot in tokens/s, 0 while unknown.
+	slotRate float64
+	// refusedTokens is the refused work less what could have been served since, as of refusedAt.
 	refusedTokens ferryid.Tokens
 	refusedAt     time.Time
 }
@@ -41,20 +45,20 @@
 	return &classQueue{class: c, flows: map[ferryid.CustomerName]*flow{}}
 }
 
-func (cq *classQueue) add(f *flow, e *entry) {
+func (cq *classQueue) add(f *flow, e *queueItem) {
 	e.flow, e.classQueue = f, cq
 	f.pushBack(e)
 	cq.onAdded(f, e)
 }
 
 // addFront adds work that has already run in part before the customer's other work.
-func (cq *classQueue) addFront(f *flow, e *entry) {
+func (cq *classQueue) addFront(f *flow, e *queueItem) {
 	e.flow, e.classQueue = f, cq
 	f.pushFront(e)
 	cq.onAdded(f, e)
 }
 
-func (cq *classQueue) onAdded(f *flow, e *entry) {
+func (cq *classQueue) onAdded(f *flow, e *queueItem) {
 	cq.waiting++
 	cq.backlog += e.Predicted
 	if f.n == 1 {
@@ -64,7 +68,7 @@
 	}
 }
 
-func (cq *classQueue) remove(e *entry) {
+func (cq *classQueue) remove(e *queueItem) {
 	f := e.flow
 	f.remove(e)
 	cq.waiting--
@@ -79,7 +83,7 @@
 }
 
 // head returns the next item in virtual time, or nil.
-func (cq *classQueue) head() *entry {
+func (cq *classQueue) head() *queueItem {
 	if len(cq.active) == 0 {
 		return nil
 	}
@@ -87,7 +91,7 @@
 }
 
 // dispatch removes the item and charges its customer with the predicted work.
-func (cq *classQueue) dispatch(e *entry, now time.Time) {
+func (cq *classQueue) dispatch(e *queueItem, now time.Time) {
 	f := e.flow
 	cq.virtualTime = max(cq.virtualTime, f.start)
 	cq.remove(e)
--- a/ferry/ferryqueue/item.go
+++ b/ferry/ferryqueue/item.go
@@ -34,18 +34,21 @@
 	return ferryoutcome.New(r.Kind, ferryoutcome.NotRun, "%s", r.Detail).WithRetryAfter(r.RetryAfter)
 }
 
-// entry is an item in the queue or running.
-type entry struct {
+// queueItem is a waiting or running item with its accounting.
+type queueItem struct {
 	Item
-	prev, next  *entry
-	flow        *flow
-	classQueue  *classQueue
-	started     time.Time
-	tokens      ferryid.Tokens
+	prev, next *queueItem
+	flow       *flow
+	classQueue *classQueue
+	started    time.Time
+	// tokens counts the tokens produced so far, priorTokens those produced before the last preemption.
+	tokens ferryid.Tokens
+	// charged is the work charged to the customer since the last start.
 	charged     ferryid.Tokens
 	running     bool
 	excess      bool
 	preempted   int
 	priorTokens ferryid.Tokens
-	index       int
+	// index is the position in Queue.runningItems.
+	index int
 }
