--- a/ferry/ferryroute/oracle_test.go
+++ b/ferry/ferryroute/oracle_test.go
@@ -92,11 +92,11 @@
 // TestBudgetBoundsRetries checks the limit for any order of first tries and retries.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBudget(0.25, 3)
+		b := NewRetryBudget(0.25, 3)
 		first, retries := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "first") {
-				b.FirstTry()
+				b.AddFirstTry()
 				first++
 			} else if b.Retry() {
 				retries++
--- a/ferrybench/ferryexperiment/entry.go
+++ b/ferrybench/ferryexperiment/entry.go
@@ -28,7 +28,7 @@
 	queue     *ferryqueue.Queue
 	table     *ferryroute.Table
 	predictor *ferryqueue.Predictor
-	budget    *ferryroute.Budget
+	budget    *ferryroute.RetryBudget
 	rand      ferryroute.Rand
 	calls     map[ferryid.RequestID]*call
 	waiting   []*call
@@ -50,7 +50,7 @@
 	cfg.Seed = s.workload.Seed + uint64(index)
 	cfg.Length = max(1, cfg.Length/s.workload.Entries)
 	e.queue = ferryqueue.New(cfg)
-	e.budget = ferryroute.NewBudget(max(s.workload.Retry.Share, minRetryShare), retryBurstShare*float64(cfg.Capacity)/float64(s.workload.Entries))
+	e.budget = ferryroute.NewRetryBudget(max(s.workload.Retry.Share, minRetryShare), retryBurstShare*float64(cfg.Capacity)/float64(s.workload.Entries))
 	e.setCapacity()
 	return e
 }
@@ -82,7 +82,7 @@
 		return
 	}
 	if c.attempts == 1 {
-		e.budget.FirstTry()
+		e.budget.AddFirstTry()
 	}
 	e.calls[c.id] = c
 	e.dispatchReady(s)
--- a/ferryd/ferrynode/plain.go
+++ b/ferryd/ferrynode/plain.go
@@ -26,7 +26,7 @@
 		return ferryservice.Upstream{}, nil, false
 	}
 	if len(exclude) == 0 {
-		sv.budget.Load().FirstTry()
+		sv.budget.Load().AddFirstTry()
 	}
 	w := ferryroute.Work{Predicted: 1, Avoid: exclude}
 	snap := sv.table.Snapshot()
--- a/ferryd/ferrynode/service.go
+++ b/ferryd/ferrynode/service.go
@@ -29,7 +29,7 @@
 	doc       atomic.Pointer[ferryservice.Document]
 	table     *ferryroute.Table
 	admission *ferryqueue.Admission
-	budget    atomic.Pointer[ferryroute.Budget]
+	budget    atomic.Pointer[ferryroute.RetryBudget]
 	model     atomic.Pointer[model]
 	orders    atomic.Pointer[serviceOrders]
 	subset    subset
@@ -111,7 +111,7 @@
 		go sv.admission.Run(ctx, ferryqueue.ConfigOf(d))
 	}
 	sv.accepted = d
-	sv.budget.Store(ferryroute.NewBudget(d.Limits.RetryShare, minRetryBurst))
+	sv.budget.Store(ferryroute.NewRetryBudget(d.Limits.RetryShare, minRetryBurst))
 	s.refresh(sv)
 	next := make(map[ferryid.ServiceName]*service, len(s.byName))
 	for k, v := range s.byName {
