--- a/ferry/ferryforward/congestion.go
+++ b/ferry/ferryforward/congestion.go
@@ -20,12 +20,13 @@
 
 // congestion tracks how long a service has been refusing requests for lack of capacity.
 type congestion struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// since is the first refusal of the present congestion, and last the latest refusal.
 	since time.Time
 	last  time.Time
 }
 
-// recordRefusal records a refusal.
+// recordRefusal records a refusal. The first one after more than congestionGap starts a new congestion.
 func (c *congestion) recordRefusal(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ferry/ferryforward/probe.go
+++ b/ferry/ferryforward/probe.go
@@ -28,11 +28,11 @@
 	// timerLateness is how late a probe's timeout may fire before this machine counts as overloaded. Timers
 	// are late by less than 1 ms otherwise.
 	timerLateness = 5 * time.Millisecond
-	// slowProbeTimeout is the connect timeout while this machine is overloaded, so that its own delays are not
-	// attributed to the engine.
-	slowProbeTimeout = 200 * time.Millisecond
-	// slowTTL is how long the machine counts as overloaded after a late timeout.
-	slowTTL = time.Second
+	// hostOverloadProbeTimeout is the connect timeout while this machine is overloaded, so that its own delays
+	// are not attributed to the engine.
+	hostOverloadProbeTimeout = 200 * time.Millisecond
+	// hostOverloadTTL is how long the machine counts as overloaded after a late timeout.
+	hostOverloadTTL = time.Second
 )
 
 // prober checks the liveness of engines by TCP connects. Streams that suspect the same engine share a probe.
@@ -41,8 +41,8 @@
 	clock  clockwork.Clock
 	mu     sync.Mutex
 	probes map[string]*probe
-	// slowUntil is when this machine stops counting as overloaded.
-	slowUntil time.Time
+	// hostOverloadedUntil is when this machine stops counting as overloaded.
+	hostOverloadedUntil time.Time
 }
 
 // probe is one liveness check of an address; done is closed after alive has been set.
@@ -56,11 +56,11 @@
 	return &prober{client: c, clock: clock, probes: map[string]*probe{}}
 }
 
-// slow reports whether this machine has recently been overloaded.
-func (p *prober) slow() bool {
+// hostOverloaded reports whether this machine has recently been overloaded.
+func (p *prober) hostOverloaded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.clock.Now().Before(p.slowUntil)
+	return p.clock.Now().Before(p.hostOverloadedUntil)
 }
 
 // deadHops returns the given indices of hops whose engines do not answer. If none of them answers, one more
@@ -118,14 +118,14 @@
 
 // reachable connects with each of the usual timeouts, and with the longer one if this machine is overloaded.
 func (p *prober) reachable(address string) bool {
-	if !p.slow() {
+	if !p.hostOverloaded() {
 		for _, d := range probeTimeouts {
 			if p.connect(address, d) {
 				return true
 			}
 		}
 	}
-	return p.slow() && p.connect(address, slowProbeTimeout)
+	return p.hostOverloaded() && p.connect(address, hostOverloadProbeTimeout)
 }
 
 // connect connects once and records whether the timeout fired late.
@@ -136,7 +136,7 @@
 	err := p.client.Probe(ctx, address)
 	if now := p.clock.Now(); now.Sub(began) > timeout+timerLateness {
 		p.mu.Lock()
-		p.slowUntil = now.Add(slowTTL)
+		p.hostOverloadedUntil = now.Add(hostOverloadTTL)
 		p.mu.Unlock()
 	}
 	return err == nil
--- a/ferry/ferryforward/probe_test.go
+++ b/ferry/ferryforward/probe_test.go
@@ -60,7 +60,7 @@
 				pr := p.probe("10.0.0.1:1")
 				<-pr.done
 				assert.Equal(t, pr.alive, tc.alive)
-				assert.Equal(t, p.slow(), tc.slow)
+				assert.Equal(t, p.hostOverloaded(), tc.slow)
 			})
 		})
 	}
--- a/ferry/ferryforward/stall.go
+++ b/ferry/ferryforward/stall.go
@@ -35,8 +35,8 @@
 	// drainRerouteDelay is how long a run stays on a draining engine. Most runs end earlier, and the engine
 	// serves at least twice as long.
 	drainRerouteDelay = time.Second
-	// slowFactor multiplies the suspect limits while this machine is overloaded.
-	slowFactor = 4
+	// hostOverloadFactor multiplies the suspect limits while this machine is overloaded.
+	hostOverloadFactor = 4
 	// suspectGapFactor is the multiple of a run's mean gap between events from which its silence is suspect.
 	suspectGapFactor = 4
 )
@@ -78,6 +78,7 @@
 	seenVersion int64
 }
 
+// watch starts the watchdog of a run; cancel ends the run.
 func (s *callerStream) watch(run *ferrypath.Run, cancel context.CancelCauseFunc) *watchdog {
 	d := &watchdog{callerStream: s, run: run, cancel: cancel, began: s.cfg.Clock.Now(), seenVersion: run.Chooser().Version(), mayRestart: s.mayRestart()}
 	d.mu.Lock()
@@ -154,8 +155,8 @@
 // limits returns the silence after which the run is suspect and the idle timeout after which it is ended.
 func (d *watchdog) limits() (suspect, timeout time.Duration) {
 	first, next := firstEventSuspect, eventGapSuspect
-	if d.prober.slow() {
-		first, next = slowFactor*first, slowFactor*next
+	if d.prober.hostOverloaded() {
+		first, next = hostOverloadFactor*first, hostOverloadFactor*next
 	}
 	if !d.started.Load() {
 		return first, firstEventTimeout
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -146,7 +146,7 @@
 	if c, ok := dest.(enginePath); ok {
 		o.Path = c.run.Path()
 	}
-	waiting, cancel := context.WithCancelCause(ctx)
+	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	progress := func() {}
 	if c, ok := dest.(enginePath); ok {
@@ -158,7 +158,7 @@
 		defer timer.Stop()
 		progress = func() { timer.Reset(eventTimeout) }
 	}
-	a, err := s.cfg.Client.Do(waiting, dest.first().Address, r.outgoing(s.cfg.Dialect, o))
+	a, err := s.cfg.Client.Do(runCtx, dest.first().Address, r.outgoing(s.cfg.Dialect, o))
 	if err != nil {
 		return s.handleSendError(ctx, dest, err)
 	}
@@ -173,7 +173,7 @@
 	case !v.Signed || a.Header.Get("Content-Encoding") != "":
 		return s.handleBrokenRun(ctx, dest, errUnsigned)
 	}
-	err = s.relay(a, progress)
+	err = s.forwardAnswer(a, progress)
 	switch {
 	case err == nil:
 		finishDone(dest)
@@ -195,8 +195,8 @@
 	errCallerWrite = errors.New("answer to the caller could not be written")
 )
 
-// relay forwards complete events until the upstream's answer ends.
-func (s *callerStream) relay(a *ferryexchange.Answer, progress func()) error {
+// forwardAnswer forwards complete events until the upstream's answer ends.
+func (s *callerStream) forwardAnswer(a *ferryexchange.Answer, progress func()) error {
 	if s.buf == nil {
 		s.buf = make([]byte, initialEventBytes)
 	}
@@ -313,6 +313,7 @@
 	r.mayHaveRun = true
 	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes))
 	if err != nil {
+		// handleBrokenRun decides whether the run counts.
 		r.ran--
 		return s.handleBrokenRun(ctx, dest, err)
 	}
