--- a/ferry/ferrypath/chooser.go
+++ b/ferry/ferrypath/chooser.go
@@ -71,7 +71,7 @@
 	return max(1, n)
 }
 
-// Version is incremented whenever the engines change.
+// Version returns a number that increases whenever the engines or their layers may have changed.
 func (c *Chooser) Version() int64 { return c.version.Load() }
 
 // Set replaces the model and the engines of the service. The state of an engine is kept while its process is
@@ -119,7 +119,7 @@
 // memory.
 const domainLinkWeight = 1000
 
-// links returns the transfer times per token between two engines, by their failure domains.
+// links returns the costs per token of a transfer between two engines, by their failure domains.
 func links(m *ferryconfig.Model) ferrypipeline.LinkCosts {
 	costs := ferrypipeline.LinkCosts{}
 	shared := time.Duration(0)
