--- a/ferry/ferryplacement/core.go
+++ b/ferry/ferryplacement/core.go
@@ -10,14 +10,14 @@
 
 const (
 	// orderVisibleTimeout is how long, beyond the load time, an order that was begun may take to show in
-	// the engine's platform entry.
+	// the engine's registration on the platform.
 	orderVisibleTimeout = 4 * time.Second
 	// settleFor is how long no new engine must have appeared before the first placement, so that all engines
 	// are known. It is a little more than the heartbeat interval. maxSettle bounds the wait.
 	settleFor = 1400 * time.Millisecond
 	maxSettle = 4 * time.Second
-	// retryAfter is the delay after an order that was refused or not answered.
-	retryAfter = 500 * time.Millisecond
+	// orderRetryDelay is the delay after an order that was refused or not answered.
+	orderRetryDelay = 500 * time.Millisecond
 )
 
 // Core decides which orders to send. It is not safe for concurrent use.
@@ -52,7 +52,7 @@
 	idle orderState = iota
 	// sent means that an order was sent and not answered yet.
 	sent
-	// begun means that the engine has begun the order but its platform entry does not show the layers yet.
+	// begun means that the engine has begun the order but its registration does not show the layers yet.
 	begun
 	// doubtful means that an order had no answer. Its layers count as held until
 	// the engine's state is known.
@@ -171,8 +171,8 @@
 	return out
 }
 
-// repeatDoubtful repeats the orders without an answer. An engine that has begun one answers so, and an order
-// that is still in transit no longer has the expected number.
+// repeatDoubtful returns the orders without an answer, to be sent again. An engine that has begun one reports
+// so, and one that is still in transit is refused once its expected number of orders is outdated.
 func (c *Core) repeatDoubtful(now time.Time) []Send {
 	var sends []Send
 	for _, e := range c.engines {
@@ -224,12 +224,12 @@
 			e.state = idle
 		}
 	case Refused:
-		e.state, e.until = idle, now.Add(retryAfter)
+		e.state, e.until = idle, now.Add(orderRetryDelay)
 		if e.outcomeUnknown {
 			e.state = doubtful
 		}
 	case Unknown:
-		e.state, e.until, e.outcomeUnknown = doubtful, now.Add(retryAfter), true
+		e.state, e.until, e.outcomeUnknown = doubtful, now.Add(orderRetryDelay), true
 	}
 }
 
--- a/ferry/ferryplacement/coverage.go
+++ b/ferry/ferryplacement/coverage.go
@@ -60,9 +60,10 @@
 	return w
 }
 
-// best returns the range of at most the given length with the highest value in a domain.
+// best returns the range of at most the given length with the highest value in a domain, and its value.
 //
-// It is the first part, or else the highest of the equally valued ranges behind it.
+// It considers the given number of first layers and the ranges behind them. Of equal values it prefers
+// the first layers, and then the range with the highest layers.
 func (c *coverage) best(d ferryid.DomainName, length, first int) (ferryid.LayerRange, float64) {
 	length = min(length, c.layers)
 	head := ferryid.LayerRange{To: ferryid.Layer(min(first, length))}
--- a/ferry/ferryplacement/plan.go
+++ b/ferry/ferryplacement/plan.go
@@ -240,7 +240,7 @@
 const bytesPerMegabyte = 1e6
 
 // distribute distributes the model over a fresh pool: the smallest engines hold the first layers, the largest
-// the last ones. If the others can hold the model without the largest engines, those are added to a complete
+// the last ones. If the others can hold the model without the largest engines, those only add to a complete
 // copy, since they take longest to load.
 func (p *plan) distribute(l pool) {
 	first := p.firstPart(l)
