--- a/ferry/ferrydiscovery/table.go
+++ b/ferry/ferrydiscovery/table.go
@@ -95,7 +95,7 @@
 	Removed  bool
 }
 
-// MarkUnreachable marks the platform as unreachable. Upstreams whose entries expire during the
+// MarkUnreachable marks the platform as unreachable. Upstreams whose registrations expire during the
 // outage may still be running.
 func (t *Table) MarkUnreachable() {
 	t.mu.Lock()
@@ -165,8 +165,8 @@
 	return next
 }
 
-// endOutage starts the grace period of upstreams that expired during an outage, if the platform was
-// unreachable.
+// endOutage restarts the grace period of upstreams that expired during an outage, if the platform was
+// unreachable. It changes no upstream and always returns false.
 func (t *Table) endOutage() bool {
 	if !t.outage {
 		return false
@@ -191,7 +191,8 @@
 	return old == nil || old.Instance != u.Instance
 }
 
-// remove removes an upstream, or starts its grace period if its entry may have expired because of an outage.
+// remove removes an upstream, or starts its grace period if its registration may have expired because of an
+// outage.
 func (t *Table) remove(name string, v ferryplatform.Version) bool {
 	old := t.rows[name]
 	if old != nil && old.Version > v {
