--- a/ferry/ferryfollow/follower.go
+++ b/ferry/ferryfollow/follower.go
@@ -37,9 +37,9 @@
 	Log    zerolog.Logger
 	// Wait is how long the platform may hold one watch; it delays the detection of a silent connection.
 	Wait time.Duration
-	// Pace is the pause after an answer with changes, which batches a quick series of changes.
-	Pace    time.Duration
-	Watcher Watcher
+	// ChangePause is the pause after an answer with changes, which batches a quick series of changes.
+	ChangePause time.Duration
+	Watcher     Watcher
 }
 
 // Watcher receives the results of a Follower, from a single goroutine.
@@ -80,7 +80,7 @@
 		}
 		f.recordSuccess()
 		if changes > 0 {
-			f.pause(ctx, f.cfg.Pace)
+			f.pause(ctx, f.cfg.ChangePause)
 		}
 	}
 }
--- a/ferry/ferryfollow/follower_test.go
+++ b/ferry/ferryfollow/follower_test.go
@@ -103,7 +103,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		New(Config{Source: f, Kind: "k", Clock: clock, Log: zerolog.Nop(), Wait: 3 * time.Second, Pace: 500 * time.Millisecond, Watcher: r}).Run(ctx)
+		New(Config{Source: f, Kind: "k", Clock: clock, Log: zerolog.Nop(), Wait: 3 * time.Second, ChangePause: 500 * time.Millisecond, Watcher: r}).Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -21,10 +21,10 @@
 	// readInterval is the interval at which each engine's condition is read, by one entry of
 	// its failure domain for all.
 	readInterval = 1500 * time.Millisecond
-	// readIntervalPressed applies while the memory of some engine is used by more than pressedShare.
-	readIntervalPressed = 500 * time.Millisecond
-	pressedShare        = 0.75
-	readTimeout         = 300 * time.Millisecond
+	// readIntervalUnderPressure applies while the memory of some engine is used by more than memoryPressureShare.
+	readIntervalUnderPressure = 500 * time.Millisecond
+	memoryPressureShare       = 0.75
+	readTimeout               = 300 * time.Millisecond
 	// conditionTTL is how long a condition is passed on.
 	conditionTTL      = 4 * time.Second
 	maxEnginesPerItem = 40 // engines in one item, which the overlay bounds to a kilobyte
@@ -119,7 +119,7 @@
 		}
 		every = readInterval
 		if e.applyConditions(ctx) {
-			every = readIntervalPressed
+			every = readIntervalUnderPressure
 		}
 	}
 }
@@ -187,8 +187,8 @@
 // engine is short of memory.
 func (e *Edge) applyConditions(ctx context.Context) (short bool) {
 	known := e.enginesByHash()
-	for _, entry := range e.conditions.All() {
-		for _, c := range entry.Value.List {
+	for _, item := range e.conditions.All() {
+		for _, c := range item.Value.List {
 			u := known[c.Engine]
 			if u == nil {
 				continue
@@ -199,8 +199,8 @@
 			case c.Silent:
 				e.probeSilent(ctx, ch, u.Name)
 			default:
-				short = short || float64(c.Used) > pressedShare*float64(c.Room)
-				ch.Report(u.Name, c.chooserCondition(), entry.At.Time())
+				short = short || float64(c.Used) > memoryPressureShare*float64(c.Room)
+				ch.Report(u.Name, c.chooserCondition(), item.At.Time())
 			}
 		}
 	}
@@ -212,12 +212,12 @@
 	out := map[engineHash]*ferrydiscovery.Upstream{}
 	for _, name := range e.services.Layered() {
 		for _, u := range e.upstreams.View().Of(name) {
-			m := hashOf(u)
-			if _, taken := out[m]; taken {
-				out[m] = nil
+			hash := hashOf(u)
+			if _, taken := out[hash]; taken {
+				out[hash] = nil
 				continue
 			}
-			out[m] = u
+			out[hash] = u
 		}
 	}
 	return out
@@ -230,15 +230,15 @@
 		return
 	}
 	go func() {
-		if !e.answers(ctx, u) && !e.answers(ctx, u) {
+		if !e.engineReachable(ctx, u) && !e.engineReachable(ctx, u) {
 			ch.MarkDown(name)
 			e.cfg.Log.Info().Str("Engine", name).Msg("engine did not answer two probes; marked as down")
 		}
 	}()
 }
 
-// answers reports whether a connection to the engine can be opened.
-func (e *Edge) answers(ctx context.Context, u *ferrydiscovery.Upstream) bool {
+// engineReachable reports whether a connection to the engine can be opened.
+func (e *Edge) engineReachable(ctx context.Context, u *ferrydiscovery.Upstream) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeDownTimeout)
 	defer cancel()
 	return e.client.Probe(ctx, u.Address) == nil
@@ -254,7 +254,7 @@
 			}
 			for _, u := range ch.Down() {
 				go func() {
-					if e.answers(ctx, u) {
+					if e.engineReachable(ctx, u) {
 						ch.MarkUp(u.Name)
 						e.cfg.Log.Info().Str("Engine", u.Name).Msg("engine answered a probe; no longer marked as down")
 					}
--- a/ferryd/ferryedge/config.go
+++ b/ferryd/ferryedge/config.go
@@ -56,9 +56,9 @@
 	ConfigurationKind, ConfigurationName string
 	// Configuration decodes that object.
 	Configuration func([]byte) (*ferryconfig.Snapshot, error)
-	// UpstreamKind is the object kind of the upstreams' entries.
+	// UpstreamKind is the object kind of the upstreams' registrations.
 	UpstreamKind string
-	// Upstream decodes an upstream's entry. A removed entry has only a name and a version.
+	// Upstream decodes an upstream's registration. A removed one has only a name and a version.
 	Upstream func(ferryplatform.Object) (ferrydiscovery.Upstream, error)
 }
 
--- a/ferryd/ferryedge/configuration.go
+++ b/ferryd/ferryedge/configuration.go
@@ -18,16 +18,16 @@
 	// pauseDivisor limits this delay to a part of the objective for the changes.
 	pauseDivisor = 4
 	// proofsPerKeyAge is the number of proofs within the maximum age of keys. What another entry has read
-	// may already be proofRead old.
+	// may already be directProofInterval old.
 	proofsPerKeyAge = 2.5
-	// proofRead is the interval of proofs of an entry that reads from the platform directly.
-	proofRead = time.Second
-	// proofRetry is the delay after a failed proof.
-	proofRetry = 500 * time.Millisecond
+	// directProofInterval is the interval of proofs of an entry that reads from the platform directly.
+	directProofInterval = time.Second
+	// proofRetryDelay is the delay after a failed proof.
+	proofRetryDelay = 500 * time.Millisecond
 	// proofTimeout bounds one proof, including the fallback from another entry to the platform.
 	proofTimeout = 1500 * time.Millisecond
-	// proofIdle is the interval of proofs if keys may have any age.
-	proofIdle = 5 * time.Second
+	// idleProofInterval is the interval of proofs if keys may have any age.
+	idleProofInterval = 5 * time.Second
 )
 
 // configWatcher applies the operators' configuration from the platform.
@@ -70,7 +70,7 @@
 		return true
 	}
 	e.cfg.Log.Info().Str("Source", source).Uint64("Version", uint64(s.Version)).Str("Verdict", verdict.String()).
-		Int("Routes", len(s.Routes)).Int("Services", len(s.Services)).Int("Customers", len(s.Customers)).Msg("configuration offered")
+		Int("Routes", len(s.Routes)).Int("Services", len(s.Services)).Int("Customers", len(s.Customers)).Msg("configuration received from the platform")
 	return true
 }
 
@@ -96,7 +96,7 @@
 		}
 		wait := e.proofInterval()
 		if err != nil {
-			wait = proofRetry
+			wait = proofRetryDelay
 		}
 		e.pause(ctx, wait)
 	}
@@ -106,11 +106,11 @@
 func (e *Edge) proofInterval() time.Duration {
 	switch age := e.cfg.Objectives.KeyAge; {
 	case e.relay.ReadsDirectly():
-		return proofRead
+		return directProofInterval
 	case age > 0:
 		return time.Duration(float64(age) / proofsPerKeyAge)
 	}
-	return proofIdle
+	return idleProofInterval
 }
 
 func (e *Edge) prove(ctx context.Context) error {
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -50,22 +50,22 @@
 
 // Edge is an entry for routed services.
 type Edge struct {
-	cfg       Config
-	self      ferryid.Incarnation
-	state     atomic.Int32
-	listed    atomic.Bool
-	holder    *ferryconfig.Holder
-	upstreams *ferrydiscovery.Table
-	services  *ferryforward.Services
-	client    *ferryexchange.Client
-	forwarder *ferryforward.Forwarder
-	ingress   *ferryingress.Server
-	callers   net.Listener
-	events    *ferryevent.Log
-	peer      *ferrypeer.Node
-	placement *placement
-	states    *ferrypeer.Latest[entryState]
-	relay     *ferryrelay.Relay
+	cfg            Config
+	self           ferryid.Incarnation
+	state          atomic.Int32
+	listed         atomic.Bool // set once the upstreams are known
+	holder         *ferryconfig.Holder
+	upstreams      *ferrydiscovery.Table
+	services       *ferryforward.Services
+	client         *ferryexchange.Client
+	forwarder      *ferryforward.Forwarder
+	ingress        *ferryingress.Server
+	callerListener net.Listener
+	events         *ferryevent.Log
+	peer           *ferrypeer.Node
+	placement      *placement
+	states         *ferrypeer.Latest[entryState]
+	relay          *ferryrelay.Relay
 	// started is closed when requests can be served.
 	started   chan struct{}
 	startOnce sync.Once
@@ -101,7 +101,7 @@
 	e.holder.OnChange(e.onConfig)
 	e.upstreams.OnChange(e.services.SetView)
 	e.upstreams.OnChange(e.placement.setView)
-	e.newShare()
+	e.newStates()
 	e.newConditions()
 	e.newOverlay()
 	return e
@@ -125,7 +125,7 @@
 		}
 	}
 	e.cfg.Log.Info().Str("State", s.String()).Msg("entry state changed")
-	e.publishState()
+	e.publishReadiness()
 }
 
 // setReadyIfListed makes the edge ready if the configuration and the list of upstreams are known.
@@ -179,7 +179,7 @@
 	g.Go(func() error { e.readPlatform(ctx); return nil })
 	g.Go(func() error { e.expireUpstreams(ctx); return nil })
 	g.Go(func() error { e.placement.run(ctx); return nil })
-	g.Go(func() error { e.shareState(ctx); return nil })
+	g.Go(func() error { e.shareEntryState(ctx); return nil })
 	g.Go(func() error { e.readConditions(ctx); return nil })
 	g.Go(func() error { e.probeDown(ctx); return nil })
 	g.Go(func() error { e.sweep(ctx); return nil })
@@ -226,14 +226,14 @@
 }
 
 // follow keeps a view of one kind of the platform's objects current until the context ends.
-func (e *Edge) follow(ctx context.Context, kind string, wait, pace time.Duration, w ferryfollow.Watcher) {
+func (e *Edge) follow(ctx context.Context, kind string, wait, changePause time.Duration, w ferryfollow.Watcher) {
 	ferryfollow.New(ferryfollow.Config{
-		Source: e.relay, Kind: kind, Clock: e.cfg.Clock, Log: e.cfg.Log, Wait: wait, Pace: pace, Watcher: w,
+		Source: e.relay, Kind: kind, Clock: e.cfg.Clock, Log: e.cfg.Log, Wait: wait, ChangePause: changePause, Watcher: w,
 	}).Run(ctx)
 }
 
 // SetObjectives applies changed objectives. Only KeyAge takes effect while the edge runs.
 func (e *Edge) SetObjectives(p Objectives) {
 	e.forwarder.SetMaxProofAge(p.KeyAge)
-	e.cfg.Log.Info().Dur("KeyAge", p.KeyAge).Msg("service objectives changed")
+	e.cfg.Log.Info().Dur("KeyAge", p.KeyAge).Msg("service objectives applied; only KeyAge takes effect without a restart")
 }
--- a/ferryd/ferryedge/listen.go
+++ b/ferryd/ferryedge/listen.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	e.callers = callers
+	e.callerListener = callers
 	g.Go(func() error { return e.ingress.Serve(ctx, callers) })
 	peers := chi.NewRouter()
 	peers.Handle("/peer", e.peer.Handler())
--- a/ferryd/ferryedge/overlay.go
+++ b/ferryd/ferryedge/overlay.go
@@ -20,11 +20,11 @@
 	})
 	e.states.Notify(e.peer.Publish)
 	e.conditions.Notify(e.peer.Publish)
-	e.publishState()
+	e.publishReadiness()
 }
 
-// publishState publishes whether callers may be sent to this entry.
-func (e *Edge) publishState() {
+// publishReadiness publishes whether callers may be sent to this entry.
+func (e *Edge) publishReadiness() {
 	s := ferrypeer.Draining
 	if e.Ready() {
 		s = ferrypeer.Ready
--- a/ferryd/ferryedge/placement.go
+++ b/ferryd/ferryedge/placement.go
@@ -54,7 +54,7 @@
 	return &placement{
 		Edge: e, placers: map[ferryid.ServiceName]*ferryplacement.Placer{},
 		lease: ferrylease.New(ferrylease.Config{
-			Name: string(dutyPlacement), Self: e.self, Store: e.cfg.Store, Clock: e.cfg.Steady, TTL: leaseTTL, Margin: leaseMargin, HolderEnded: e.ended,
+			Name: string(dutyPlacement), Self: e.self, Store: e.cfg.Store, Clock: e.cfg.Steady, TTL: leaseTTL, Margin: leaseMargin, HolderEnded: e.incarnationEnded,
 		}),
 	}
 }
@@ -72,35 +72,36 @@
 		alone := len(p.peer.Links()) == 0
 		p.lease.Want(p.Ready() && p.shouldHold() && (!alone || p.cfg.Clock.Since(began) > aloneWait))
 		fence, _, err := p.lease.Check()
-		if now := err == nil; now != p.held.Swap(now) {
-			p.cfg.Log.Info().Bool("Held", now).Uint64("Fence", uint64(fence)).Msg("holder state of the placement lease changed")
+		if held := err == nil; held != p.held.Swap(held) {
+			p.cfg.Log.Info().Bool("Held", held).Uint64("Fence", uint64(fence)).Msg("holder state of the placement lease changed")
 		}
 	}
 }
 
 // shouldHold reports whether this entry should hold the lease. The present holder keeps it; otherwise
-// it is the first entry in the duty's order that reaches the platform. Orders from changing entries
-// cost more than those of one.
+// it is the first entry in the duty's order that reaches the platform. Orders from one
+// entry after another cost more than those of a single one.
 func (p *placement) shouldHold() bool {
 	ms := p.peer.Members()
 	if len(ms.List) <= 1 || p.held.Load() {
 		return true
 	}
 	for _, m := range ms.List {
-		if entry, ok := p.states.Get(string(m.Name)); ok && entry.Value.Orders && m.Usable() && p.reaches(m.Name) {
+		if item, ok := p.states.Get(string(m.Name)); ok && item.Value.Orders && m.Usable() && p.reachesPlatform(m.Name) {
 			return false
 		}
 	}
 	for _, name := range ferryduty.Holders(ms, dutyPlacement, len(ms.List)) {
-		if p.reaches(name) {
+		if p.reachesPlatform(name) {
 			return name == p.cfg.Name
 		}
 	}
 	return false
 }
 
-// ended reports whether the process of an incarnation has ended, because a later one has its entry's name.
-func (e *Edge) ended(id ferryid.Incarnation) bool {
+// incarnationEnded reports whether the process of an incarnation has ended: its entry has left the overlay, or
+// another incarnation runs under the entry's name.
+func (e *Edge) incarnationEnded(id ferryid.Incarnation) bool {
 	name := entryOf(id)
 	if name == e.cfg.Name {
 		return id != e.self
--- a/ferryd/ferryedge/relay.go
+++ b/ferryd/ferryedge/relay.go
@@ -34,7 +34,7 @@
 	near := ferryduty.InDomain(ms, dutyReader, e.cfg.Domain)
 	far := ferryduty.Holders(ms, dutyReader, len(ms.List))
 	for _, name := range slices.Concat(near, far) {
-		if m, _ := ms.Get(name); e.usable(m) && e.reaches(name) {
+		if m, _ := ms.Get(name); e.usable(m) && e.reachesPlatform(name) {
 			return e.readFrom(ms, name)
 		}
 	}
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -50,15 +50,15 @@
 	return nil
 }
 
-func (e *Edge) newShare() {
+func (e *Edge) newStates() {
 	e.states = ferrypeer.NewLatest[entryState](ferrypeer.LatestConfig{
 		Name: topicStates, Self: e.cfg.Name, Size: maxEntries, Clock: e.cfg.Steady, Events: e.events,
 	})
 }
 
-// shareState publishes this entry's state when it changes, and applies the use of the
+// shareEntryState publishes this entry's state when it changes, and applies the use of the
 // retry budget by the others.
-func (e *Edge) shareState(ctx context.Context) {
+func (e *Edge) shareEntryState(ctx context.Context) {
 	published := entryState{}
 	publishedAt := e.cfg.Clock.Now()
 	for e.pause(ctx, e.scaledShareInterval()) {
@@ -85,11 +85,11 @@
 
 func (e *Edge) reportedRetryUsage() map[ferryid.ServiceName][]ferrybudget.Usage {
 	out := map[ferryid.ServiceName][]ferrybudget.Usage{}
-	for _, entry := range e.states.All() {
-		if entry.Origin == e.cfg.Name {
+	for _, item := range e.states.All() {
+		if item.Origin == e.cfg.Name {
 			continue
 		}
-		for name, v := range entry.Value.RetryUsage {
+		for name, v := range item.Value.RetryUsage {
 			out[name] = append(out[name], v)
 		}
 	}
@@ -101,17 +101,17 @@
 	if name == e.cfg.Name {
 		return e.configStale.Load()
 	}
-	entry, ok := e.states.Get(string(name))
-	return ok && entry.Value.ConfigStale
+	item, ok := e.states.Get(string(name))
+	return ok && item.Value.ConfigStale
 }
 
-// reaches reports whether an entry's direct calls to the platform succeed, as far as known.
-func (e *Edge) reaches(name ferryid.EntryName) bool {
+// reachesPlatform reports whether an entry's direct calls to the platform succeed, as far as known.
+func (e *Edge) reachesPlatform(name ferryid.EntryName) bool {
 	if name == e.cfg.Name {
 		return e.relay.PlatformReachable()
 	}
-	entry, ok := e.states.Get(string(name))
-	return !ok || !entry.Value.PlatformLost
+	item, ok := e.states.Get(string(name))
+	return !ok || !item.Value.PlatformLost
 }
 
 // differs reports whether the newer state must be published at once. A lower use of
--- a/ferryd/ferryedge/stop.go
+++ b/ferryd/ferryedge/stop.go
@@ -33,15 +33,15 @@
 	e.pause(ctx, min(linger, e.cfg.Objectives.AnswerLifetime))
 	e.ingress.Stop()
 	e.pause(ctx, linger-e.cfg.Clock.Since(began))
-	_ = e.callers.Close()
-	waiting, cancel := context.WithTimeout(ctx, e.cfg.Objectives.Grace-exitMargin-e.cfg.Clock.Since(began))
+	_ = e.callerListener.Close()
+	waitCtx, cancel := context.WithTimeout(ctx, e.cfg.Objectives.Grace-exitMargin-e.cfg.Clock.Since(began))
 	defer cancel()
-	err := e.ingress.Wait(waiting)
+	err := e.ingress.Wait(waitCtx)
 	conns, calls := e.ingress.Open()
 	e.cfg.Log.Info().Dur("Took", e.cfg.Clock.Since(began)).Int64("OpenConnections", conns).Int64("OpenCalls", calls).AnErr("Left", err).Msg("planned stop finished")
-	leaving, cancel := context.WithTimeout(waiting, leaveTimeout)
+	leaveCtx, cancel := context.WithTimeout(waitCtx, leaveTimeout)
 	defer cancel()
-	if err := e.peer.Leave(leaving); err != nil {
+	if err := e.peer.Leave(leaveCtx); err != nil {
 		e.cfg.Log.Info().Err(err).Msg("could not notify all peers of the departure")
 	}
 }
--- a/ferryd/ferryedge/upstream.go
+++ b/ferryd/ferryedge/upstream.go
@@ -16,7 +16,7 @@
 // period is a multiple of it.
 const expireInterval = 500 * time.Millisecond
 
-// upstreamWatcher applies the upstreams' entries from the platform.
+// upstreamWatcher applies the upstreams' registrations from the platform.
 type upstreamWatcher struct{ *Edge }
 
 func (w upstreamWatcher) Listed(c ferryplatform.Changes) {
@@ -60,7 +60,7 @@
 func (w upstreamWatcher) decode(o ferryplatform.Object) (ferrydiscovery.Upstream, bool) {
 	u, err := w.cfg.Objects.Upstream(o)
 	if err != nil {
-		w.cfg.Log.Warn().Err(err).Uint64("Revision", uint64(o.Version)).Msg("could not decode the upstream's entry; ignored")
+		w.cfg.Log.Warn().Err(err).Uint64("Revision", uint64(o.Version)).Msg("could not decode the upstream's registration; ignored")
 		return u, false
 	}
 	return u, true
