--- a/ferry/ferryrelay/mirror.go
+++ b/ferry/ferryrelay/mirror.go
@@ -63,8 +63,8 @@
 	return m.complete
 }
 
-// appliesAfter reports whether the answer to a watch after a version can be applied to the objects.
-func (m *mirror) appliesAfter(after ferryplatform.Version) bool {
+// canApply reports whether the answer to a watch after the given version can be applied to the objects.
+func (m *mirror) canApply(after ferryplatform.Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.complete && after <= m.version
--- a/ferry/ferryrelay/relay.go
+++ b/ferry/ferryrelay/relay.go
@@ -184,7 +184,7 @@
 	if lost := r.lostUntilRetry(err); lost != nil {
 		return ferryplatform.Changes{}, lost
 	}
-	if _, relayed := r.cfg.Reader(); !relayed && !m.appliesAfter(after) {
+	if _, relayed := r.cfg.Reader(); !relayed && !m.canApply(after) {
 		// Other entries will read from this one, which holds only a part of the list.
 		return ferryplatform.Changes{}, &ferryplatform.HistoryGoneError{Kind: kind, After: after}
 	}
@@ -202,8 +202,8 @@
 // certainly current.
 func (r *Relay) Prove(ctx context.Context, kind, name string) (ferryplatform.Object, time.Time, error) {
 	if r.retryDue() {
-		trying, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, directRetryTimeout)
-		o, at, err := r.prove(trying, kind, name)
+		directCtx, cancel := clockwork.WithTimeout(ctx, r.cfg.Clock, directRetryTimeout)
+		o, at, err := r.prove(directCtx, kind, name)
 		cancel()
 		if err == nil || isAnswer(err) {
 			return o, at, err
@@ -330,15 +330,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastDirect = r.cfg.Clock.Now()
-	was := r.failingSince.IsZero()
+	wasReachable := r.failingSince.IsZero()
 	switch {
 	case err == nil || isAnswer(err):
 		r.failingSince = time.Time{}
-	case was:
+	case wasReachable:
 		r.failingSince = r.lastDirect
 	}
-	if now := r.failingSince.IsZero(); now != was {
-		r.cfg.Log.Info().Bool("Reached", now).AnErr("Cause", err).Msg("reachability of the platform by direct calls changed")
+	if reachable := r.failingSince.IsZero(); reachable != wasReachable {
+		r.cfg.Log.Info().Bool("Reached", reachable).AnErr("Cause", err).Msg("reachability of the platform by direct calls changed")
 	}
 }
 
