--- a/ferry/ferrylease/lease.go
+++ b/ferry/ferrylease/lease.go
@@ -25,7 +25,7 @@
 	Clock clockwork.Clock
 	// TTL is the lease term, from the start of each write; 0 means 10 s.
 	TTL time.Duration
-	// Gone, if set, reports whether a holder's process has certainly ended, so that
+	// HolderEnded, if set, reports whether a holder's process has certainly ended, so that
 	// its lease can be acquired before it expires.
 	HolderEnded func(ferryid.Incarnation) bool
 	// Margin is subtracted from the holder's term and added to the successor's wait; 0 means 1 s.
