--- a/ferry/ferryforward/dialect.go
+++ b/ferry/ferryforward/dialect.go
@@ -13,9 +13,9 @@
 // RequestInfo holds the values decoded from a request's headers.
 type RequestInfo struct {
 	ID ferryid.RequestID
-	// Wait is the caller's timeout; zero means no limit.
-	Wait time.Duration
-	Key  ferryconfig.Key
+	// Timeout is the caller's timeout; zero means no limit.
+	Timeout time.Duration
+	Key     ferryconfig.Key
 	// Prompt is the number of prompt tokens of a generation, and Answer the maximum number of tokens to
 	// generate.
 	Prompt, Answer ferryid.Tokens
@@ -29,7 +29,8 @@
 type OutgoingInfo struct {
 	// Instance is the name of the upstream that the request is sent to; any other instance must not run it.
 	Instance string
-	Wait     time.Duration
+	// Timeout is the time left until the deadline of the request.
+	Timeout  time.Duration
 	Customer ferryid.CustomerName
 	// Path is set for a generation that runs over several engines.
 	Path *ferrypath.Path
--- a/ferry/ferryforward/forwarder.go
+++ b/ferry/ferryforward/forwarder.go
@@ -141,7 +141,7 @@
 	}
 	now := f.cfg.Clock.Now()
 	r.deadline = now.Add(maxTimeout)
-	for _, wait := range []time.Duration{r.Wait, r.route.Timeout} {
+	for _, wait := range []time.Duration{r.Timeout, r.route.Timeout} {
 		if at := c.At.Add(wait); wait > 0 && at.Before(r.deadline) {
 			r.deadline = at
 		}
--- a/ferry/ferryforward/harness_test.go
+++ b/ferry/ferryforward/harness_test.go
@@ -36,14 +36,14 @@
 	ms, err := strconv.Atoi("0" + h.Get("Wait-Ms"))
 	return RequestInfo{
 		ID: ferryid.RequestID(h.Get("Request-Id")), Key: ferryconfig.Key(h.Get("Key")), After: h.Get("Last-Event-Id"),
-		Wait: time.Duration(ms) * time.Millisecond, Prompt: 100, Answer: 20,
+		Timeout: time.Duration(ms) * time.Millisecond, Prompt: 100, Answer: 20,
 	}, err
 }
 
 func (testDialect) EncodeOutgoing(h http.Header, o OutgoingInfo) {
 	delete(h, "Key")
 	h.Set("Instance", o.Instance)
-	h.Set("Wait-Ms", strconv.FormatInt(o.Wait.Milliseconds(), 10))
+	h.Set("Wait-Ms", strconv.FormatInt(o.Timeout.Milliseconds(), 10))
 	h.Set("Customer", string(o.Customer))
 	h.Set("Last-Event-Id", o.After)
 	if o.Path != nil {
--- a/ferry/ferryforward/plain.go
+++ b/ferry/ferryforward/plain.go
@@ -76,7 +76,7 @@
 // sendTo sends the request to one upstream and returns its answer, or the resulting problem.
 func (f *Forwarder) sendTo(ctx context.Context, r *request, pick *ferrybalance.Call) (*bufferedAnswer, *ferryoutcome.Problem) {
 	now := f.cfg.Clock.Now()
-	out := r.outgoing(f.cfg.Dialect, OutgoingInfo{Instance: pick.Upstream.Name, Wait: r.remaining(now), Customer: r.customer, After: r.After})
+	out := r.outgoing(f.cfg.Dialect, OutgoingInfo{Instance: pick.Upstream.Name, Timeout: r.remaining(now), Customer: r.customer, After: r.After})
 	a, err := f.cfg.Client.Do(ctx, pick.Upstream.Address, out)
 	if err != nil {
 		return nil, f.handleSendError(ctx, r, pick, err)
--- a/ferry/ferryforward/stream.go
+++ b/ferry/ferryforward/stream.go
@@ -142,7 +142,7 @@
 // sent to the caller.
 func (s *callerStream) run(ctx context.Context, dest destination) *ferryoutcome.Problem {
 	r := s.r
-	o := OutgoingInfo{Instance: dest.first().Name, Wait: r.remaining(s.cfg.Clock.Now()), Customer: r.customer, After: s.position.id}
+	o := OutgoingInfo{Instance: dest.first().Name, Timeout: r.remaining(s.cfg.Clock.Now()), Customer: r.customer, After: s.position.id}
 	if c, ok := dest.(enginePath); ok {
 		o.Path = c.run.Path()
 	}
