--- a/ferry/ferrypath/chooser.go
+++ b/ferry/ferrypath/chooser.go
@@ -204,18 +204,18 @@
 }
 
 // updateLoads updates the planner's load of each engine.
-func (c *Chooser) updateLoads(w Work, now time.Time, r constraints) {
+func (c *Chooser) updateLoads(w Work, now time.Time, cons constraints) {
 	for i, e := range c.engines {
-		c.updateLoad(&c.loads[i], e, w, now, r)
+		c.updateLoad(&c.loads[i], e, w, now, cons)
 	}
 }
 
-func (c *Chooser) updateLoad(l *ferrypipeline.Load, e *engine, w Work, now time.Time, r constraints) {
+func (c *Chooser) updateLoad(l *ferrypipeline.Load, e *engine, w Work, now time.Time, cons constraints) {
 	t := time.Duration(float64(tokenTime(c.model, e.kind, e.up.Layers.Len(), c.running(e, now)+1)) * e.pace(now))
 	l.Rate = ferryid.TokensPerSecond(1 / max(t, minTokenTime).Seconds())
-	l.Avoid = e.down || (r.sameDomain && e.up.FailureDomain != c.opts.Domain) ||
-		(r.healthy && (e.pace(now) >= slowPace || !e.health.Usable(now, true))) ||
-		(r.fits && !c.fits(e, w, now, r)) || excluded(w.Avoid, e)
+	l.Avoid = e.down || (cons.sameDomain && e.up.FailureDomain != c.opts.Domain) ||
+		(cons.healthy && (e.pace(now) >= slowPace || !e.health.Usable(now, true))) ||
+		(cons.fits && !c.fits(e, w, now, cons)) || excluded(w.Avoid, e)
 }
 
 // slowPace is the slowdown from which an engine is used only if there is no other.
@@ -260,13 +260,13 @@
 // each other's work about a second late and would otherwise all fill the fastest engine of a layer at once.
 const preferredFill = 0.8
 
-// fits reports whether the engine has memory for the work beside its running generations and, unless r.tight is
-// set, for their expected growth.
-func (c *Chooser) fits(e *engine, w Work, now time.Time, r constraints) bool {
+// fits reports whether the engine has memory for the work beside its running generations and, unless
+// cons.tight is set, for their expected growth.
+func (c *Chooser) fits(e *engine, w Work, now time.Time, cons constraints) bool {
 	layers := int64(e.up.Layers.Len())
 	work := int64(w.Prompt+w.Answer) * layers
 	fill := 1.0
-	if r.reserve {
+	if cons.reserve {
 		fill = preferredFill
 	}
 	if !e.reportFresh(now) || e.reported.Room == 0 {
@@ -274,7 +274,7 @@
 		return e.running == 0 || float64(e.held+work) <= fill*share
 	}
 	used := e.reported.Used + int64(newWorkFactor*float64(max(0, e.held-e.heldAtReport)))
-	if !r.tight {
+	if !cons.tight {
 		used += int64(expectedGrowth*float64(c.model.UsualAnswer)) * layers * int64(e.reported.Running)
 	}
 	return float64(used+work) <= fill*float64(e.reported.Room)
