--- a/ferry/ferrybalance/balancer.go
+++ b/ferry/ferrybalance/balancer.go
@@ -61,13 +61,13 @@
 	b.byName = make(map[ferryid.UpstreamName]*upstreamState, len(list))
 	b.states = b.states[:0]
 	for _, u := range list {
-		r := old[ferryid.UpstreamName(u.Name)]
-		if r == nil || !r.up.SameProcess(u) {
-			r = &upstreamState{}
+		state := old[ferryid.UpstreamName(u.Name)]
+		if state == nil || !state.up.SameProcess(u) {
+			state = &upstreamState{}
 		}
-		r.up = u
-		b.byName[ferryid.UpstreamName(u.Name)] = r
-		b.states = append(b.states, r)
+		state.up = u
+		b.byName[ferryid.UpstreamName(u.Name)] = state
+		b.states = append(b.states, state)
 	}
 }
 
@@ -103,13 +103,13 @@
 func (b *Balancer) cheapest(now time.Time, avoid []ferryid.UpstreamName, repeatable, lastResort bool) *upstreamState {
 	var best *upstreamState
 	least := math.Inf(1)
-	for _, r := range b.states {
-		if !r.up.Ready() || excluded(avoid, r.up) || (!lastResort && !r.health.Usable(now, repeatable)) {
+	for _, state := range b.states {
+		if !state.up.Ready() || excluded(avoid, state.up) || (!lastResort && !state.health.Usable(now, repeatable)) {
 			continue
 		}
-		c := b.cost(r, now, repeatable)
+		c := b.cost(state, now, repeatable)
 		if c < least {
-			best, least = r, c
+			best, least = state, c
 		}
 	}
 	return best
@@ -143,26 +143,26 @@
 )
 
 // cost returns the expected cost of a call at an upstream, in seconds.
-func (b *Balancer) cost(r *upstreamState, now time.Time, repeatable bool) float64 {
-	base := max(r.latency.valueOr(b.lowestLatency()), minLatency.Seconds())
-	slots := float64(max(1, r.up.Slots))
-	load := float64(r.running)
-	if now.Sub(r.loadAt) < loadTTL {
-		load = max(load, float64(r.load.Running+r.load.Waiting))
+func (b *Balancer) cost(state *upstreamState, now time.Time, repeatable bool) float64 {
+	base := max(state.latency.valueOr(b.lowestLatency()), minLatency.Seconds())
+	slots := float64(max(1, state.up.Slots))
+	load := float64(state.running)
+	if now.Sub(state.loadAt) < loadTTL {
+		load = max(load, float64(state.load.Running+state.load.Waiting))
 	}
 	c := base * (1 + load/slots)
 	if load >= slots {
 		c += base * (load + 1 - slots) / slots
 	}
-	if r.up.FailureDomain != b.opts.Domain {
+	if state.up.FailureDomain != b.opts.Domain {
 		c += remoteCost.Seconds()
 	}
 	failurePenalty := failureCost
 	if !repeatable {
 		failurePenalty = unsafeFailureCost
 	}
-	c += r.failureRate.valueOr(0) * failurePenalty.Seconds()
-	if r.up.Warming > 0 {
+	c += state.failureRate.valueOr(0) * failurePenalty.Seconds()
+	if state.up.Warming > 0 {
 		c += base / 2
 	}
 	return c * (1 + jitter*rand.Float64())
@@ -172,8 +172,8 @@
 // answers so far, so that they are tried.
 func (b *Balancer) lowestLatency() float64 {
 	least := defaultLatency.Seconds()
-	for _, r := range b.states {
-		least = min(least, r.latency.valueOr(least))
+	for _, state := range b.states {
+		least = min(least, state.latency.valueOr(least))
 	}
 	return least
 }
@@ -230,8 +230,8 @@
 	defer b.mu.Unlock()
 	now := b.opts.Clock.Now()
 	n := 0
-	for _, r := range b.states {
-		if r.up.Ready() && r.health.Usable(now, true) {
+	for _, state := range b.states {
+		if state.up.Ready() && state.health.Usable(now, true) {
 			n++
 		}
 	}
@@ -243,8 +243,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, r := range b.states {
-		if r.up.Ready() {
+	for _, state := range b.states {
+		if state.up.Ready() {
 			n++
 		}
 	}
--- a/ferry/ferrybudget/budget.go
+++ b/ferry/ferrybudget/budget.go
@@ -103,12 +103,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limit := b.unreportedLimit()
-	sum := Usage{Repeats: limit * max(0, b.entries-1-len(reports))}
+	total := Usage{Repeats: limit * max(0, b.entries-1-len(reports))}
 	for _, s := range reports {
-		sum.Requests += s.Requests
-		sum.Repeats += max(limit, s.Repeats)
+		total.Requests += s.Requests
+		total.Repeats += max(limit, s.Repeats)
 	}
-	b.others, b.reportedAt = sum, b.cfg.Clock.Now()
+	b.others, b.reportedAt = total, b.cfg.Clock.Now()
 }
 
 // Request counts one caller's request.
--- a/ferry/ferrylease/core.go
+++ b/ferry/ferrylease/core.go
@@ -210,38 +210,38 @@
 	}
 	c.read, c.lastRead = true, now
 	c.mayBeHolder = r.Holder == c.self
-	if l := c.conflictedWrite; l != nil && r == l.record && r.Holder == c.self {
-		c.hold(l)
+	if w := c.conflictedWrite; w != nil && r == w.record && r.Holder == c.self {
+		c.hold(w)
 	}
 	c.conflictedWrite = nil
 }
 
-func (c *core) hold(f *pendingWrite) {
-	c.held = f.record.Holder == c.self
+func (c *core) hold(w *pendingWrite) {
+	c.held = w.record.Holder == c.self
 	c.mayBeHolder = c.held
-	c.writeStarted = f.started
-	c.validUntil = f.started.Add(c.ttl - c.margin)
+	c.writeStarted = w.started
+	c.validUntil = w.started.Add(c.ttl - c.margin)
 }
 
 func (c *core) handlePut(now time.Time, ans answer) {
-	f := c.inFlight
+	w := c.inFlight
 	var conflict *ferryplatform.ConflictError
 	switch {
 	case ans.err == nil:
 		c.inFlight, c.backoff = nil, 0
-		c.version, c.record = ans.version, f.record
+		c.version, c.record = ans.version, w.record
 		c.versionSeen, c.lastRead = now, now
-		c.hold(f)
+		c.hold(w)
 	case errors.As(ans.err, &conflict):
 		c.inFlight, c.held, c.read = nil, false, false
-		if f.unresolved {
-			c.conflictedWrite = f
+		if w.unresolved {
+			c.conflictedWrite = w
 		}
-	case hasNoEffect(ans.err) && !f.unresolved:
+	case hasNoEffect(ans.err) && !w.unresolved:
 		c.inFlight = nil
 		c.backOff(now)
 	default:
-		f.unresolved = f.unresolved || !hasNoEffect(ans.err)
+		w.unresolved = w.unresolved || !hasNoEffect(ans.err)
 		c.backOff(now)
 	}
 }
--- a/ferry/ferryplacement/plan.go
+++ b/ferry/ferryplacement/plan.go
@@ -66,11 +66,11 @@
 // first layers: the engine that receives a request is the only one of its path that cannot be replaced
 // during the run, so its loss should affect few requests. Engines that join later fill the gaps. Lost layers
 // are covered by the engines whose own layers are best covered by others.
-func Plan(s Input) []Order {
-	if s.Model.Layers <= 0 {
+func Plan(in Input) []Order {
+	if in.Model.Layers <= 0 {
 		return nil
 	}
-	p := newPlan(s)
+	p := newPlan(in)
 	for _, pool := range p.pools() {
 		if pool.fresh() {
 			p.distribute(pool)
@@ -93,11 +93,11 @@
 	ordered     map[ferryid.UpstreamName]bool
 }
 
-func newPlan(s Input) *plan {
-	m := s.Model
-	p := &plan{Input: s, model: m, cover: newCoverage(m.Layers), live: newCoverage(m.Layers), ordered: map[ferryid.UpstreamName]bool{}}
-	for i := range s.Engines {
-		e := s.Engines[i]
+func newPlan(in Input) *plan {
+	m := in.Model
+	p := &plan{Input: in, model: m, cover: newCoverage(m.Layers), live: newCoverage(m.Layers), ordered: map[ferryid.UpstreamName]bool{}}
+	for i := range in.Engines {
+		e := in.Engines[i]
 		if Capacity(m, e.Accelerator) == 0 {
 			continue
 		}
--- a/ferry/ferryrelay/mirror.go
+++ b/ferry/ferryrelay/mirror.go
@@ -160,12 +160,12 @@
 	timer := m.clock.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		c, v, moved := m.since(after)
-		if v != statusOK || len(c.Objects) > 0 {
-			return c, v
+		c, st, changed := m.since(after)
+		if st != statusOK || len(c.Objects) > 0 {
+			return c, st
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-timer.Chan():
 			return c, statusOK
 		case <-ctx.Done():
