--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// units converts a value to whole units, limited to the range from 0 to most; NaN gives 0.
-func units(v, unit, most float64) uint64 {
+// toUnits converts a value to whole units, limited to the range from 0 to most; NaN gives 0.
+func toUnits(v, unit, most float64) uint64 {
 	if math.IsNaN(v) {
 		return 0
 	}
@@ -147,7 +147,7 @@
 		}
 	}
 	wg.Wait()
-	list = plausible(list)
+	list = filterSilent(list)
 	for i := 0; i < len(list); i += maxEnginesPerItem {
 		part := list[i:min(i+maxEnginesPerItem, len(list))]
 		e.conditions.Set(fmt.Sprintf("%s/%d", e.cfg.Domain, i/maxEnginesPerItem), conditions{List: part}, conditionTTL)
@@ -162,15 +162,15 @@
 		c.Silent = true
 		return c
 	}
-	c.Pace = uint32(units(s.Pace, paceUnit, maxPace))
-	c.Running = uint32(units(float64(s.Running+s.Waiting), 1, maxPace))
-	c.Used, c.Room = units(float64(s.Used), roomUnit, maxRoom), units(float64(s.Room), roomUnit, maxRoom)
+	c.Pace = uint32(toUnits(s.Pace, paceUnit, maxPace))
+	c.Running = uint32(toUnits(float64(s.Running+s.Waiting), 1, maxPace))
+	c.Used, c.Room = toUnits(float64(s.Used), roomUnit, maxRoom), toUnits(float64(s.Room), roomUnit, maxRoom)
 	return c
 }
 
-// plausible drops the silent engines if most are silent, since then the fault is probably on
+// filterSilent drops the silent engines if most are silent, since then the fault is probably on
 // this entry's side.
-func plausible(list []engineCondition) []engineCondition {
+func filterSilent(list []engineCondition) []engineCondition {
 	silent := 0
 	for _, c := range list {
 		if c.Silent {
--- a/ferryd/ferryedge/edge.go
+++ b/ferryd/ferryedge/edge.go
@@ -50,22 +50,22 @@
 
 // Edge is an entry for routed services.
 type Edge struct {
-	cfg            Config
-	self           ferryid.Incarnation
-	state          atomic.Int32
-	listed         atomic.Bool // set once the upstreams are known
-	holder         *ferryconfig.Holder
-	upstreams      *ferrydiscovery.Table
-	services       *ferryforward.Services
-	client         *ferryexchange.Client
-	forwarder      *ferryforward.Forwarder
-	ingress        *ferryingress.Server
-	callerListener net.Listener
-	events         *ferryevent.Log
-	peer           *ferrypeer.Node
-	placement      *placement
-	states         *ferrypeer.Latest[entryState]
-	relay          *ferryrelay.Relay
+	cfg             Config
+	self            ferryid.Incarnation
+	state           atomic.Int32
+	upstreamsListed atomic.Bool // set once the upstreams are known
+	holder          *ferryconfig.Holder
+	upstreams       *ferrydiscovery.Table
+	services        *ferryforward.Services
+	client          *ferryexchange.Client
+	forwarder       *ferryforward.Forwarder
+	ingress         *ferryingress.Server
+	callerListener  net.Listener
+	events          *ferryevent.Log
+	peer            *ferrypeer.Node
+	placement       *placement
+	states          *ferrypeer.Latest[entryState]
+	relay           *ferryrelay.Relay
 	// started is closed when requests can be served.
 	started   chan struct{}
 	startOnce sync.Once
@@ -130,7 +130,7 @@
 
 // setReadyIfListed makes the edge ready if the configuration and the list of upstreams are known.
 func (e *Edge) setReadyIfListed() {
-	if e.holder.Current() != nil && e.listed.Load() {
+	if e.holder.Current() != nil && e.upstreamsListed.Load() {
 		e.setState(StateReady)
 	}
 	e.startIfProved()
@@ -140,7 +140,7 @@
 // known and keys are proved valid.
 func (e *Edge) startIfProved() {
 	s := e.holder.Current()
-	if s == nil || !e.listed.Load() {
+	if s == nil || !e.upstreamsListed.Load() {
 		return
 	}
 	if _, proved := e.holder.Age(e.cfg.Steady.Now()); proved || !s.Keyed() || e.cfg.Objectives.KeyAge <= 0 {
--- a/ferryd/ferryedge/state_test.go
+++ b/ferryd/ferryedge/state_test.go
@@ -67,7 +67,7 @@
 	}{
 		{0, 1, 0}, {-3, 1, 0}, {1.5, paceUnit, 96}, {640, roomUnit, 10}, {math.NaN(), 1, 0}, {math.Inf(1), 1, 100}, {500, 1, 100},
 	} {
-		assert.Equal(t, units(tt.v, tt.unit, 100), tt.want, "%v", tt)
+		assert.Equal(t, toUnits(tt.v, tt.unit, 100), tt.want, "%v", tt)
 	}
 	cond := engineCondition{Pace: 96, Running: 3, Used: 10, Room: 20}.chooserCondition()
 	assert.Equal(t, cond.Pace, 1.5)
@@ -85,9 +85,9 @@
 		}
 		return append(out, make([]engineCondition, answering)...)
 	}
-	assert.Equal(t, len(plausible(list(1, 5))), 6)
-	assert.Equal(t, len(plausible(list(3, 3))), 6)
-	assert.Equal(t, len(plausible(list(4, 2))), 2)
+	assert.Equal(t, len(filterSilent(list(1, 5))), 6)
+	assert.Equal(t, len(filterSilent(list(3, 3))), 6)
+	assert.Equal(t, len(filterSilent(list(4, 2))), 2)
 }
 
 func TestHashesIncarnationsAndIntervals(t *testing.T) {
--- a/ferryd/ferryedge/upstream.go
+++ b/ferryd/ferryedge/upstream.go
@@ -27,7 +27,7 @@
 		}
 	}
 	w.upstreams.Replace(list, c.Version)
-	w.listed.Store(true)
+	w.upstreamsListed.Store(true)
 	w.setReadyIfListed()
 }
 
