--- a/ferryd/ferryedge/condition.go
+++ b/ferryd/ferryedge/condition.go
@@ -187,8 +187,8 @@
 // engine is short of memory.
 func (e *Edge) applyConditions(ctx context.Context) (short bool) {
 	known := e.enginesByHash()
-	for _, item := range e.conditions.All() {
-		for _, c := range item.Value.List {
+	for _, published := range e.conditions.All() {
+		for _, c := range published.Value.List {
 			u := known[c.Engine]
 			if u == nil {
 				continue
@@ -200,7 +200,7 @@
 				e.probeSilent(ctx, ch, u.Name)
 			default:
 				short = short || float64(c.Used) > memoryPressureShare*float64(c.Room)
-				ch.Report(u.Name, c.chooserCondition(), item.At.Time())
+				ch.Report(u.Name, c.chooserCondition(), published.At.Time())
 			}
 		}
 	}
--- a/ferryd/ferryedge/placement.go
+++ b/ferryd/ferryedge/placement.go
@@ -87,7 +87,7 @@
 		return true
 	}
 	for _, m := range ms.List {
-		if item, ok := p.states.Get(string(m.Name)); ok && item.Value.Orders && m.Usable() && p.reachesPlatform(m.Name) {
+		if published, ok := p.states.Get(string(m.Name)); ok && published.Value.Orders && m.Usable() && p.reachesPlatform(m.Name) {
 			return false
 		}
 	}
--- a/ferryd/ferryedge/share.go
+++ b/ferryd/ferryedge/share.go
@@ -85,11 +85,11 @@
 
 func (e *Edge) reportedRetryUsage() map[ferryid.ServiceName][]ferrybudget.Usage {
 	out := map[ferryid.ServiceName][]ferrybudget.Usage{}
-	for _, item := range e.states.All() {
-		if item.Origin == e.cfg.Name {
+	for _, published := range e.states.All() {
+		if published.Origin == e.cfg.Name {
 			continue
 		}
-		for name, v := range item.Value.RetryUsage {
+		for name, v := range published.Value.RetryUsage {
 			out[name] = append(out[name], v)
 		}
 	}
@@ -101,8 +101,8 @@
 	if name == e.cfg.Name {
 		return e.configStale.Load()
 	}
-	item, ok := e.states.Get(string(name))
-	return ok && item.Value.ConfigStale
+	published, ok := e.states.Get(string(name))
+	return ok && published.Value.ConfigStale
 }
 
 // reachesPlatform reports whether an entry's direct calls to the platform succeed, as far as known.
@@ -110,8 +110,8 @@
 	if name == e.cfg.Name {
 		return e.relay.PlatformReachable()
 	}
-	item, ok := e.states.Get(string(name))
-	return !ok || !item.Value.PlatformLost
+	published, ok := e.states.Get(string(name))
+	return !ok || !published.Value.PlatformLost
 }
 
 // differs reports whether the newer state must be published at once. A lower use of
