--- a/ferry/ferryrelay/mirror.go
+++ b/ferry/ferryrelay/mirror.go
@@ -63,8 +63,8 @@
 	return m.complete
 }
 
-// appliesAfter reports whether the answer to a watch after a version can be applied to the objects.
-func (m *mirror) appliesAfter(after ferryplatform.Version) bool {
+// canApply reports whether the answer to a watch after the given version can be applied to the objects.
+func (m *mirror) canApply(after ferryplatform.Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.complete && after <= m.version
@@ -160,12 +160,12 @@
 	timer := m.clock.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		c, v, moved := m.since(after)
-		if v != statusOK || len(c.Objects) > 0 {
-			return c, v
+		c, st, changed := m.since(after)
+		if st != statusOK || len(c.Objects) > 0 {
+			return c, st
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-timer.Chan():
 			return c, statusOK
 		case <-ctx.Done():
