--- a/ferry/ferrypeer/ask.go
+++ b/ferry/ferrypeer/ask.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("peer %s (%s) is gone", e.Name, e.Incarnation)
 }
 
-// RefusedError is returned when the peer did not serve an Ask.
+// RefusedError is returned when the peer did not serve an Ask, or when the Ask was too large to be sent.
 type RefusedError struct {
 	Name   ferryid.EntryName
 	Status AnswerStatus
--- a/ferry/ferrypeer/choose.go
+++ b/ferry/ferrypeer/choose.go
@@ -9,6 +9,8 @@
 	"cactusferry.dev/ferry/ferryid"
 )
 
+// An entry aims at linksPerDomainFew links to each other failure domain if there are at most maxFewDomains others,
+// and at linksPerDomainMany otherwise. Links within its own domain fill up the rest of targetLinks.
 const (
 	targetLinks         = 8
 	ringLinks           = 2
@@ -179,6 +181,7 @@
 	return mix(mix(min(a, b)) ^ max(a, b))
 }
 
+// mix scrambles the bits of a hash, as the final step of a 64-bit hash function does.
 func mix(x uint64) uint64 {
 	x ^= x >> 32
 	x *= fibonacciMultiplier
--- a/ferry/ferrypeer/input.go
+++ b/ferry/ferrypeer/input.go
@@ -13,18 +13,30 @@
 
 // The reasons for closing or refusing a connection.
 const (
-	CloseSilent          CloseReason = "Silent"
-	CloseDuplicate       CloseReason = "Duplicate"
-	CloseUnwanted        CloseReason = "Unwanted"
-	CloseFull            CloseReason = "Full"
-	CloseMalformed       CloseReason = "Malformed"
+	// CloseSilent means that the peer sent nothing for too long, or that a dial or handshake timed out.
+	CloseSilent CloseReason = "Silent"
+	// CloseDuplicate means that another link to the same peer was kept.
+	CloseDuplicate CloseReason = "Duplicate"
+	// CloseUnwanted means that neither end wants the link, or that a connection for asks was idle.
+	CloseUnwanted CloseReason = "Unwanted"
+	// CloseFull means that a limit on links, connections for asks or concurrent handshakes was reached.
+	CloseFull CloseReason = "Full"
+	// CloseMalformed means that a message could not be decoded or was not allowed.
+	CloseMalformed CloseReason = "Malformed"
+	// CloseUnauthenticated means that the client certificate was missing or the proof was wrong.
 	CloseUnauthenticated CloseReason = "Unauthenticated"
-	CloseVersion         CloseReason = "Version"
-	CloseNotThere        CloseReason = "NotThere"
-	CloseReplaced        CloseReason = "Replaced"
-	CloseSlow            CloseReason = "Slow"
-	CloseLeaving         CloseReason = "Leaving"
-	CloseUnreachable     CloseReason = "Unreachable"
+	// CloseVersion means that the ends have no protocol version in common.
+	CloseVersion CloseReason = "Version"
+	// CloseNotThere means that the entry at the address is not the expected one, or is the dialling entry itself.
+	CloseNotThere CloseReason = "NotThere"
+	// CloseReplaced means that a later incarnation of one of the ends is known.
+	CloseReplaced CloseReason = "Replaced"
+	// CloseSlow means that the outbox of the connection was full.
+	CloseSlow CloseReason = "Slow"
+	// CloseLeaving means that one of the ends is stopping.
+	CloseLeaving CloseReason = "Leaving"
+	// CloseUnreachable means that a dial, read or write failed.
+	CloseUnreachable CloseReason = "Unreachable"
 )
 
 // Input is an event processed by Overlay.Step.
--- a/ferry/ferrypeer/link.go
+++ b/ferry/ferrypeer/link.go
@@ -37,8 +37,10 @@
 	upSince       time.Time
 	lastReceived  time.Time
 	nextHeartbeat time.Time
-	eager         bool
-	wantedByPeer  bool
+	// eager is set if new items are pushed on the link; a lazy link only gets them as answers to digests.
+	eager        bool
+	wantedByPeer bool
+	// mismatches counts the consecutive heartbeats whose hash differed from the local one.
 	mismatches    int
 	unwantedSince time.Time
 	pending       map[TopicName][]Item
--- a/ferry/ferrypeer/overlay.go
+++ b/ferry/ferrypeer/overlay.go
@@ -41,7 +41,7 @@
 	Topics []Topic
 }
 
-// Overlay is the overlay's state machine: it maps inputs and the time to actions and performs no I/O.
+// Overlay is the core of a Node: a state machine that maps inputs and the time to actions and performs no I/O.
 // It is not safe for concurrent use.
 type Overlay struct {
 	cfg        OverlayConfig
@@ -52,8 +52,10 @@
 	sortedIDs  []LinkID
 	byName     map[ferryid.EntryName]*link
 	listed     map[ferryid.EntryName]listedEntry
-	wanted     map[ferryid.EntryName]time.Time
-	dials      map[string]*dialState
+	// wanted holds the entries that ChooseLinks selected, each with the time since when.
+	wanted map[ferryid.EntryName]time.Time
+	// dials is keyed by Dial.Key: an entry's name, or a seed or a link to verify with a prefix.
+	dials map[string]*dialState
 
 	now             time.Time
 	lastStep        time.Time
--- a/ferry/ferrypeer/table.go
+++ b/ferry/ferrypeer/table.go
@@ -10,8 +10,10 @@
 )
 
 const (
-	maxMembers     = 4096
-	tombstoneTTL   = 10 * time.Minute
+	maxMembers = 4096
+	// tombstoneTTL is how long the record of a dead or left member is kept.
+	tombstoneTTL = 10 * time.Minute
+	// tombstoneGrace is the remaining lifetime below which such a record is neither added nor included in digests.
 	tombstoneGrace = time.Minute
 	digestMaxAge   = 10 * time.Second
 	joinGrace      = 5 * time.Second
@@ -25,9 +27,10 @@
 type Record struct {
 	Tag    Tag     `cbor:"1,keyasint"`
 	Member *Member `cbor:"2,keyasint,omitempty"`
-	Beat   uint64  `cbor:"3,keyasint"`
-	Status Status  `cbor:"4,keyasint"`
-	State  State   `cbor:"5,keyasint"`
+	// Beat is the heartbeat count, which the member increments with each record that it publishes of itself.
+	Beat   uint64 `cbor:"3,keyasint"`
+	Status Status `cbor:"4,keyasint"`
+	State  State  `cbor:"5,keyasint"`
 	// Until is the expiry of a dead or left member's record, in Unix seconds.
 	Until int64 `cbor:"6,keyasint,omitempty"`
 	Load  Load  `cbor:"7,keyasint"`
@@ -82,6 +85,7 @@
 	rows        map[ferryid.EntryName]*row
 	byTag       map[Tag]ferryid.EntryName
 
+	// structure and detail are the change counters that Overlay.Changes returns.
 	structure uint64
 	detail    uint64
 
@@ -235,8 +239,9 @@
 }
 
 // mergeSelf processes records with this process's name.
-// A suspicion is refuted later, and a later incarnation replaces this process. While joining, a later start must
-// be that of an earlier incarnation whose clock was ahead, so Started is moved past it.
+// A suspicion is noted for Overlay.refute, and a later incarnation replaces this process. While this process joins,
+// a record with a later start must be that of an earlier incarnation whose clock was ahead, so Started is moved
+// past it.
 func (t *table) mergeSelf(r Record) {
 	if r.Tag == t.self.Tag {
 		if r.Status != Alive && t.self.Status != Left && r.Beat >= t.self.Beat {
