--- a/ferry/ferryclaim/attempt.go
+++ b/ferry/ferryclaim/attempt.go
@@ -50,10 +50,10 @@
 	t       *table
 	call    Call
 	key     Digest
-	claimed op
-	holder  Record
+	claimed op     // this incarnation's last try to claim the key
+	holder  Record // the record of the claim that holds the key
 	ticket  *Ticket
-	heirs   []ferryid.Incarnation
+	heirs   []ferryid.Incarnation // heirs of the holder or ticket issuer that were not asked yet
 	tries   int
 	stage   stage
 	heirsOf func(ferryid.Incarnation) []ferryid.Incarnation
--- a/ferry/ferryclaim/claims.go
+++ b/ferry/ferryclaim/claims.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// releaseAbandoned releases a claim that was granted after its caller had left.
+// releaseAbandoned releases a claim that was granted after its caller had stopped waiting.
 func (c *Claims) releaseAbandoned(r request, v verdict) {
 	if r.op != opClaim || !c.table.revoked(r.rec.Ref) {
 		return
--- a/ferry/ferryclaim/forward.go
+++ b/ferry/ferryclaim/forward.go
@@ -31,7 +31,7 @@
 	Kind DecisionKind `cbor:"1,keyasint"`
 	// Held is the current record of the key, set with DecisionHeld.
 	Held Record `cbor:"2,keyasint"`
-	// Sent is true with DecisionRefused if the record may have been written nevertheless.
+	// MayBeWritten is true with DecisionRefused if the record may have been written nevertheless.
 	MayBeWritten bool `cbor:"3,keyasint"`
 	// RetryAfter is set with DecisionRefused if the owner's request budget is exhausted for that long.
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
--- a/ferry/ferryclaim/planner.go
+++ b/ferry/ferryclaim/planner.go
@@ -7,11 +7,11 @@
 	slot     *slot
 	now      time.Time
 	changed  map[Digest]Record
-	order    []Digest
-	batch    []request
-	deferred []request
+	order    []Digest  // keys of changed, by first change
+	batch    []request // requests granted once the planned write succeeds
+	deferred []request // requests that wait for a later plan
 	resolved []decided
-	reload   bool
+	reload   bool // the tail must be read again before the deferred requests are decided
 }
 
 func (p *planner) current(k Digest) (rec Record, planned bool) {
--- a/ferry/ferryclaim/request.go
+++ b/ferry/ferryclaim/request.go
@@ -58,7 +58,7 @@
 	v   verdict
 }
 
-// action is one call to the object API; a slot has at most one in progress.
+// action is one operation on the slot's object, the tail, or on a segment; a slot has at most one in progress.
 type action interface{ isAction() }
 
 type getTail struct{}
--- a/ferry/ferryclaim/slot.go
+++ b/ferry/ferryclaim/slot.go
@@ -54,13 +54,13 @@
 	size          int
 	refBytes      int
 	records       map[Digest]Record
-	segKeys       map[string][]Digest
-	missing       []segmentRef
+	segKeys       map[string][]Digest // keys in each segment, by segment name
+	missing       []segmentRef        // segments of the tail that were not read yet
 	waiting       []request
-	waitingAtRead int
+	waitingAtRead int // number of waiting requests when the last read of the tail began
 	inFlight      *tailWrite
 	segment       *segmentWrite
-	garbage       []string
+	garbage       []string // names of segments to delete
 
 	mergeAfter time.Time
 	notBefore  time.Time
