--- a/ferry/ferrydocument/delta.go
+++ b/ferry/ferrydocument/delta.go
@@ -19,7 +19,7 @@
 	minDeltaSaving = 0.25
 )
 
-// Update is an accepted document as sent to a peer: whole, or as a delta to the version in force at the peer.
+// Update is an accepted document as sent to a peer: whole, or as a delta against the version in force at the peer.
 type Update struct {
 	ferryservice.Accepted
 	// Base is the hash of the version that Delta applies to; it is empty for a whole document.
@@ -80,7 +80,7 @@
 	return string(out), nil
 }
 
-// cachedDelta is the delta of a version in force to its predecessor. It is computed when a peer first needs
+// cachedDelta is the delta of a version in force against its predecessor. It is computed when a peer first needs
 // it, unless the version arrived as a delta.
 type cachedDelta struct {
 	base  string // hash of the predecessor, empty if there is none
@@ -130,7 +130,7 @@
 	return whole
 }
 
-// OfferUpdate offers an update to the holder. It returns NoBase for a delta to a version that is not in force.
+// OfferUpdate offers an update to the holder. It returns NoBase for a delta whose base is not in force.
 // An error is a *DeltaError.
 func (h *Holder) OfferUpdate(u Update, source string) (Verdict, error) {
 	if len(u.Delta) == 0 {
--- a/ferry/ferrydocument/digest.go
+++ b/ferry/ferrydocument/digest.go
@@ -14,7 +14,7 @@
 	Service    ferryid.ServiceName `json:"Service" cbor:"1,keyasint"`
 	Generation ferryid.Generation  `json:"Generation" cbor:"2,keyasint"`
 	Hash       string              `json:"Hash" cbor:"3,keyasint"`
-	// AcceptsDeltas is set if the sender of the digest accepts deltas to this version.
+	// AcceptsDeltas is set if the sender of the digest accepts deltas against this version.
 	AcceptsDeltas bool `json:"-" cbor:"4,keyasint,omitempty"`
 }
 
--- a/ferry/ferrydocument/holder.go
+++ b/ferry/ferrydocument/holder.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxServices bounds the documents of one holder; subscription rings have this capacity and so never drop
-	// one.
+	// maxServices bounds the documents of one holder. Subscription rings have the same capacity, so that they
+	// never drop a service.
 	maxServices = 4096
 	// maxAlarms bounds the alarms remembered for deduplication.
 	maxAlarms = 256
@@ -47,7 +47,8 @@
 	From string
 
 	customers ferryservice.CustomerIndex
-	previous  *cachedDelta
+	// previous is the delta from the version that was in force before, for peers that still have that version.
+	previous *cachedDelta
 }
 
 // Customer returns the customer of the service with the given API key.
