--- a/ferry/ferryorder/core.go
+++ b/ferry/ferryorder/core.go
@@ -18,7 +18,7 @@
 	sentAt   time.Time
 	sent     Target
 	group    int
-	turn     turn // of the last order or accepted report
+	turn     turn // of the last order or accepted report; earlier reads are ignored
 	nextRead time.Time
 	interval time.Duration
 }
@@ -131,7 +131,7 @@
 const (
 	// ReasonLastCopy means that the engine is the only one in service for some of its layers.
 	ReasonLastCopy Reason = "LastCopy"
-	// ReasonPace means that the load rate limit of the weight store is exhausted.
+	// ReasonPace means that the limit on the rate of loading weights from the store is exhausted.
 	ReasonPace Reason = "Pace"
 	// ReasonUnread means that the engine has not reported under this fencing number.
 	ReasonUnread Reason = "Unread"
--- a/ferry/ferryorder/group.go
+++ b/ferry/ferryorder/group.go
@@ -15,11 +15,11 @@
 // GroupSize is the maximum number of engines in a group; each group is read by one entry.
 const GroupSize = 16
 
-// members is a bit set of a group's engines by their index in the group.
-type members uint16
+// engineSet is a bit set of a group's engines by their index in the group.
+type engineSet uint16
 
-func (m members) has(i int) bool {
-	return m&(1<<i) != 0
+func (s engineSet) has(i int) bool {
+	return s&(1<<i) != 0
 }
 
 // turn is a logical clock that orders the reads and orders of a Core.
@@ -31,8 +31,8 @@
 	// Group is the index of the group: GroupSize consecutive engines each, in the order of the document.
 	Group int `cbor:"2,keyasint"`
 	// Sum is the checksum of the group's wanted state; the reader must have the same wanted state.
-	Sum     uint64  `cbor:"3,keyasint"`
-	Engines members `cbor:"4,keyasint"`
+	Sum     uint64    `cbor:"3,keyasint"`
+	Engines engineSet `cbor:"4,keyasint"`
 	turn    turn
 }
 
@@ -40,7 +40,7 @@
 //
 // Engines that are neither in Differ nor in Unread are ready and in their wanted state.
 type GroupAnswer struct {
-	Unread members       `cbor:"1,keyasint,omitempty"`
+	Unread engineSet     `cbor:"1,keyasint,omitempty"`
 	Differ []GroupReport `cbor:"2,keyasint,omitempty"`
 }
 
--- a/ferry/ferryorder/wanted.go
+++ b/ferry/ferryorder/wanted.go
@@ -18,7 +18,7 @@
 	Generation ferryid.Generation
 	Layers     ferryid.Layer
 	Engines    []WantedEngine
-	// Pace limits the load rate of the engines; if it is unset, that of the Config applies.
+	// Pace limits the rate at which the engines load weights; if it is unset, that of the Config applies.
 	Pace Pace
 }
 
