--- a/ferry/ferrysteer/steer.go
+++ b/ferry/ferrysteer/steer.go
@@ -15,11 +15,14 @@
 const (
 	minShardSize     = 16
 	minShardFraction = 2.0 / 3
-	shardFactor      = 4
-	minLifetime      = 20 * time.Second
-	maxLifetime      = 30 * time.Second
-	idlePermille     = 100
-	maxLoadFactor    = 3
+	// shardFactor is the ratio of a large customer's fraction of the entries to its fraction of the work.
+	shardFactor = 4
+	minLifetime = 20 * time.Second
+	maxLifetime = 30 * time.Second
+	// idlePermille is added to all loads, so that small differences between nearly idle entries hardly matter.
+	idlePermille = 100
+	// maxLoadFactor is the highest weight of a member, and its inverse the lowest.
+	maxLoadFactor = 3
 )
 
 // Target is one entry that a caller may use.
@@ -129,6 +132,7 @@
 	return (float64(mix(h)>>11) + 0.5) / (1 << 53)
 }
 
+// mix is the finalizer of the SplitMix64 generator.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xBF58476D1CE4E5B9
