--- a/ferryd/ferrynode/claim.go
+++ b/ferryd/ferrynode/claim.go
@@ -13,7 +13,7 @@
 	"cactusferry.dev/ferry/ferrypeer"
 )
 
-// The kinds of claim requests between entries.
+// The kinds of requests between entries about claims; askLimit and askOrders are the other kinds.
 const (
 	askClaim    ferrypeer.AskKind = 1
 	askWrites   ferrypeer.AskKind = 2
@@ -33,11 +33,12 @@
 	}
 }
 
-// claimPeers sends claim requests to other incarnations over the overlay.
-type claimPeers struct{ node *Node }
+// peerClient sends requests to other incarnations over the overlay.
+// It implements ferryclaim.Asker and ferryclaim.Forwarder.
+type peerClient struct{ node *Node }
 
 // askPeer sends a request to an incarnation and decodes its answer.
-func (c claimPeers) askPeer(ctx context.Context, id ferryid.Incarnation, kind ferrypeer.AskKind, in, out any) error {
+func (c peerClient) askPeer(ctx context.Context, id ferryid.Incarnation, kind ferrypeer.AskKind, in, out any) error {
 	m, ok := c.node.memberOf(id)
 	if !ok {
 		return fmt.Errorf("incarnation %s is not a member", id)
@@ -50,14 +51,14 @@
 }
 
 // Ask asks the incarnation for its record of a claim.
-func (c claimPeers) Ask(ctx context.Context, id ferryid.Incarnation, q ferryclaim.Question) (ferryclaim.Answer, error) {
+func (c peerClient) Ask(ctx context.Context, id ferryid.Incarnation, q ferryclaim.Question) (ferryclaim.Answer, error) {
 	var a ferryclaim.Answer
 	err := c.askPeer(ctx, id, askClaim, q, &a)
 	return a, merry.Prepend(err, "ask about a claim")
 }
 
 // Forward sends writes to the owner of their slot and returns its decisions.
-func (c claimPeers) Forward(ctx context.Context, owner ferryid.Incarnation, ws []ferryclaim.Write) ([]ferryclaim.Decision, error) {
+func (c peerClient) Forward(ctx context.Context, owner ferryid.Incarnation, ws []ferryclaim.Write) ([]ferryclaim.Decision, error) {
 	var ds []ferryclaim.Decision
 	err := c.askPeer(ctx, owner, askWrites, ws, &ds)
 	return ds, merry.Prepend(err, "forward claims")
--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -118,7 +118,7 @@
 	var grants []ferrylimit.Grant
 	if id == n.self {
 		grants = n.grantLimits(asks)
-	} else if err := (claimPeers{n}).askPeer(ctx, id, askLimit, asks, &grants); err != nil {
+	} else if err := (peerClient{n}).askPeer(ctx, id, askLimit, asks, &grants); err != nil {
 		n.log.Debug().Err(err).Msg("request for shares of customers' limits failed")
 		return
 	}
--- a/ferryd/ferrynode/node.go
+++ b/ferryd/ferrynode/node.go
@@ -43,7 +43,7 @@
 
 // The states of a node, in lifecycle order.
 const (
-	// StateStarting means that the node has no configuration yet.
+	// StateStarting means that the node waits until a document is in force or the platform reports that there is none.
 	StateStarting State = iota
 	// StateReady means that the node accepts calls.
 	StateReady
@@ -149,7 +149,7 @@
 		return err
 	}
 	n.claims = ferryclaim.New(ferryclaim.Config{
-		Self: n.self, Store: n.platform, Seal: seal, Clock: n.clock, Asker: claimPeers{n}, Forwarder: claimPeers{n}, Live: n.liveIncarnations,
+		Self: n.self, Store: n.platform, Seal: seal, Clock: n.clock, Asker: peerClient{n}, Forwarder: peerClient{n}, Live: n.liveIncarnations,
 	})
 	n.callers = &ferrycaller.Server{
 		Clock: n.clock, Log: n.log, Events: n.events, Metrics: ferrycaller.NewMetrics(n.metrics.Scope), Documents: callerDocuments{n.services, n.holder}, Plain: n.plain, Claims: n.claims, Sealer: sealer,
@@ -163,7 +163,7 @@
 	}
 	n.operators = &ferryoperator.Server{
 		Token: n.cfg.Keys.OperatorToken, Log: n.log, Events: n.events, Documents: n.holder, Store: n.platform,
-		Status: n.status, Leave: n.setLeaving, Claim: n.claim, SetLevel: zerolog.SetGlobalLevel,
+		Status: n.status, Leave: n.setLeaving, Claim: n.lookupKey, SetLevel: zerolog.SetGlobalLevel,
 	}
 	return nil
 }
--- a/ferryd/ferrynode/order.go
+++ b/ferryd/ferrynode/order.go
@@ -36,7 +36,7 @@
 }
 
 // dutyGroup returns the duty of reading one group of a service's engines.
-// The first group is read by the entry that gives the orders.
+// The first group is read by the entry that sends the orders.
 func dutyGroup(s ferryid.ServiceName, group int) ferryduty.Duty {
 	if group == 0 {
 		return dutyOrders(s)
@@ -44,7 +44,7 @@
 	return ferryduty.Slot(dutyOrders(s), group)
 }
 
-// startOrders starts the orders of a service; only the holder of the lease gives orders.
+// startOrders starts the orders of a service; only the holder of the lease sends orders.
 func (n *Node) startOrders(ctx context.Context, s ferryid.ServiceName) *serviceOrders {
 	lease := ferrylease.New(ferrylease.Config{Name: "orders-" + string(s), Self: n.self, Store: n.platform, Clock: n.clock})
 	o := &serviceOrders{lease: lease, orders: ferryorder.New(ferryorder.Config{
@@ -88,7 +88,7 @@
 	}
 	i := slices.IndexFunc(ms.List, func(m ferrypeer.MemberInfo) bool { return m.Name == names[0] })
 	var out ferryorder.GroupAnswer
-	err := claimPeers{n}.askPeer(ctx, ms.List[i].Incarnation, askOrders, a, &out)
+	err := peerClient{n}.askPeer(ctx, ms.List[i].Incarnation, askOrders, a, &out)
 	return out, merry.Prepend(err, "read engines by "+string(names[0]))
 }
 
@@ -100,7 +100,7 @@
 	return sv.orders.Load().orders.Read(ctx, a)
 }
 
-// answerOrders reads a group of engines for the entry that gives the orders.
+// answerOrders reads a group of engines for the entry that sends the orders.
 func (n *Node) answerOrders(ctx context.Context, _ ferrypeer.Member, body []byte) ([]byte, error) {
 	var a ferryorder.GroupAsk
 	if err := cbor.Unmarshal(body, &a); err != nil {
--- a/ferryd/ferrynode/random.go
+++ b/ferryd/ferrynode/random.go
@@ -8,7 +8,7 @@
 	"cactusferry.dev/ferry/ferrypipeline"
 )
 
-const randomWork = 1 << 20
+const randomLoadRange = 1 << 20
 
 // randomPicker selects a random chain of engines regardless of load; it is the baseline for measurements of the pool.
 type randomPicker struct {
@@ -33,7 +33,7 @@
 	excluded := make([]bool, len(r.loads))
 	for i, c := range r.cfg.Candidates {
 		r.loads[i].Rate = 1
-		r.loads[i].Outstanding = ferryid.Tokens(rand.IntN(randomWork))
+		r.loads[i].Outstanding = ferryid.Tokens(rand.IntN(randomLoadRange))
 		for _, name := range exclude {
 			excluded[i] = excluded[i] || name == c.Name
 		}
--- a/ferryd/ferrynode/service.go
+++ b/ferryd/ferrynode/service.go
@@ -24,7 +24,8 @@
 
 // service is the runtime state of one service on this entry.
 type service struct {
-	name      ferryid.ServiceName
+	name ferryid.ServiceName
+	// accepted is the document in force; doc adds the upstreams of the instance list and the leaving marks.
 	accepted  *ferryservice.Document
 	doc       atomic.Pointer[ferryservice.Document]
 	table     *ferryroute.Table
@@ -42,18 +43,20 @@
 	clock   clockwork.Clock
 	engines *ferryengine.Client
 	// onLeaving is called for engines that announce their planned stop.
-	onLeaving    func(ferryid.ServiceName, ferryid.UpstreamName)
-	events       *ferryevent.Log
-	mu           sync.Mutex
-	byName       map[ferryid.ServiceName]*service
-	snapshot     atomic.Pointer[map[ferryid.ServiceName]*service]
-	list         ferryplatform.Instances
-	marks        *ferrydrain.Marks
+	onLeaving func(ferryid.ServiceName, ferryid.UpstreamName)
+	events    *ferryevent.Log
+	mu        sync.Mutex
+	byName    map[ferryid.ServiceName]*service
+	snapshot  atomic.Pointer[map[ferryid.ServiceName]*service]
+	list      ferryplatform.Instances
+	marks     *ferrydrain.Marks
+	// leavingKeys and incarnations are keyed by upstreamKey.
 	leavingKeys  map[string]bool
 	incarnations map[string]ferryid.Incarnation
-	index        int
-	entries      int
-	self         ferryid.EntryName
+	// index is the index of this entry among the usable entries, and entries their number; see setShare.
+	index   int
+	entries int
+	self    ferryid.EntryName
 	// members holds the usable entries.
 	members []ferryid.EntryName
 	// unanswered holds the engines that did not answer their last load read, by service and upstream.
--- a/ferryd/ferrynode/status.go
+++ b/ferryd/ferrynode/status.go
@@ -31,8 +31,8 @@
 	return map[string]int64{"Get": c.Get, "Put": c.Put, "Delete": c.Delete, "List": c.List, "Watch": c.Watch, "Instances": c.Instances}
 }
 
-// claim looks up an idempotency key for every customer of the service.
-func (n *Node) claim(ctx context.Context, service ferryid.ServiceName, key string) (any, error) {
+// lookupKey looks up an idempotency key for every customer of the service.
+func (n *Node) lookupKey(ctx context.Context, service ferryid.ServiceName, key string) (any, error) {
 	f, ok := n.holder.Get(service)
 	if !ok {
 		return nil, ferryoutcome.New(ferryoutcome.KindNotFound, ferryoutcome.NotRun, "There is no service %.80q here.", service)
