--- a/ferryd/ferrycaller/events.go
+++ b/ferryd/ferrycaller/events.go
@@ -11,7 +11,8 @@
 
 const (
 	// maxWriteBytes is the size of buffered events at which they are sent.
-	maxWriteBytes   = 32 << 10
+	maxWriteBytes = 32 << 10
+	// eventBytes is the initial capacity of the event buffer.
 	eventBytes      = 512
 	eventStreamType = "text/event-stream; charset=utf-8"
 )
--- a/ferryd/ferrycaller/plain.go
+++ b/ferryd/ferrycaller/plain.go
@@ -105,7 +105,7 @@
 }
 
 // sendWithRetries sends the call to one upstream after another until one answers or no retry is allowed.
-func (s *Server) sendWithRetries(ctx context.Context, c *caller, call ferryplain.Call, dispatching func() *ferryoutcome.Problem) (*ferryplain.Answer, *ferryoutcome.Problem) {
+func (s *Server) sendWithRetries(ctx context.Context, c *caller, call ferryplain.Call, beforeSend func() *ferryoutcome.Problem) (*ferryplain.Answer, *ferryoutcome.Problem) {
 	worst := ferryoutcome.NotRun
 	var tried []ferryid.UpstreamName
 	for {
@@ -113,7 +113,7 @@
 		if !ok {
 			return nil, noUpstream(c, worst, len(tried))
 		}
-		if p := dispatching(); p != nil {
+		if p := beforeSend(); p != nil {
 			dispatch.Cancel(s.Clock.Now())
 			return nil, p
 		}
@@ -122,7 +122,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		s.logCall(c, up, err)
+		s.logUpstreamFailure(c, up, err)
 		o := outcomeOf(err)
 		if o != ferryoutcome.NotRun {
 			worst = o
--- a/ferryd/ferrycaller/server.go
+++ b/ferryd/ferrycaller/server.go
@@ -175,7 +175,7 @@
 	lookedUp bool
 }
 
-// setScope marks a refusal that says nothing about earlier attempts.
+// setScope limits a refusal to this attempt if earlier attempts with the key or ticket were not looked up.
 func (info *callInfo) setScope(p *ferryoutcome.Problem) {
 	switch p.Kind {
 	case ferryoutcome.KindKeyReused, ferryoutcome.KindConflict:
@@ -215,7 +215,7 @@
 	e.Str("RequestID", p.RequestID).Str("Customer", string(info.customer)).Str("StreamID", string(info.stream)).Str("Kind", string(p.Kind)).Str("Outcome", string(p.Outcome)).AnErr("Cause", p.Cause).Msg("call failed")
 }
 
-func (s *Server) logCall(c *caller, u ferryservice.Upstream, err error) {
+func (s *Server) logUpstreamFailure(c *caller, u ferryservice.Upstream, err error) {
 	s.Log.Info().Str("RequestID", string(c.id)).Str("Customer", string(c.customer.Name)).Str("Upstream", string(u.Name)).Err(err).Msg("upstream call failed")
 	s.Events.Add("UpstreamFailed", string(u.Name), "request %s: %v", c.id, err)
 }
