--- a/ferry/ferrypeer/envelope_test.go
+++ b/ferry/ferrypeer/envelope_test.go
@@ -158,7 +158,7 @@
 
 // FuzzEntry checks that a Latest accepts no entry from a peer that is out of bounds.
 func FuzzEntry(f *testing.F) {
-	e := Entry[shortText]{Key: "a", Value: "v", At: ferryevent.Timestamp{Micros: 10000e6}, Origin: "entry-1", TTLSeconds: 60}
+	e := LatestEntry[shortText]{Key: "a", Value: "v", At: ferryevent.Timestamp{Micros: 10000e6}, Origin: "entry-1", TTLSeconds: 60}
 	f.Add([]byte(encodeEntry(e)))
 	e.At.Micros = 1 << 62
 	f.Add([]byte(encodeEntry(e)))
@@ -177,7 +177,7 @@
 	l, clock := newTestLatest(2)
 	at := clock.Now().UnixMicro()
 	apply := func(key, v, origin string, micros int64, ttl uint32) bool {
-		e := Entry[shortText]{Key: key, Value: shortText(v), Origin: testMember.Name, At: ferryevent.Timestamp{Micros: micros}, TTLSeconds: ttl}
+		e := LatestEntry[shortText]{Key: key, Value: shortText(v), Origin: testMember.Name, At: ferryevent.Timestamp{Micros: micros}, TTLSeconds: ttl}
 		if origin != "" {
 			e.Origin = "entry-9"
 		}
--- a/ferry/ferrypeer/latest.go
+++ b/ferry/ferrypeer/latest.go
@@ -27,8 +27,8 @@
 // Checker is a value that can be validated after decoding.
 type Checker interface{ Check() error }
 
-// Entry is a value of a Latest with its origin and timestamp.
-type Entry[V Checker] struct {
+// LatestEntry is a value of a Latest with its origin and timestamp.
+type LatestEntry[V Checker] struct {
 	Key    string               `cbor:"1,keyasint"`
 	Value  V                    `cbor:"2,keyasint"`
 	At     ferryevent.Timestamp `cbor:"3,keyasint"`
@@ -37,12 +37,12 @@
 	TTLSeconds uint32 `cbor:"5,keyasint"`
 }
 
-func (e Entry[V]) expires() time.Time {
+func (e LatestEntry[V]) expires() time.Time {
 	return e.At.Time().Add(time.Duration(e.TTLSeconds) * time.Second)
 }
 
 // supersedes orders entries of one key by timestamp, then by origin.
-func (e Entry[V]) supersedes(o Entry[V]) bool {
+func (e LatestEntry[V]) supersedes(o LatestEntry[V]) bool {
 	return cmp.Or(e.At.Compare(o.At), cmp.Compare(e.Origin, o.Origin)) > 0
 }
 
@@ -59,7 +59,7 @@
 	onChange func(TopicName)
 
 	mu          sync.Mutex
-	entries     map[string]Entry[V]
+	entries     map[string]LatestEntry[V]
 	changedKeys map[string]bool
 	digest      []byte
 	dirty       bool
@@ -84,7 +84,7 @@
 func NewLatest[V Checker](cfg LatestConfig) *Latest[V] {
 	return &Latest[V]{
 		name: cfg.Name, self: cfg.Self, size: max(1, cfg.Size), volatile: cfg.Volatile, clock: cfg.Clock, events: cfg.Events,
-		onChange: func(TopicName) {}, entries: map[string]Entry[V]{}, changedKeys: map[string]bool{}, dirty: true,
+		onChange: func(TopicName) {}, entries: map[string]LatestEntry[V]{}, changedKeys: map[string]bool{}, dirty: true,
 	}
 }
 
@@ -95,7 +95,7 @@
 //
 // The TTL is truncated to whole seconds and limited to between one second and one day.
 func (l *Latest[V]) Set(key string, v V, ttl time.Duration) bool {
-	e := Entry[V]{Key: key, Value: v, At: l.events.Now(), Origin: l.self}
+	e := LatestEntry[V]{Key: key, Value: v, At: l.events.Now(), Origin: l.self}
 	e.TTLSeconds = uint32(max(1, min(ttl, maxTTL)/time.Second))
 	l.mu.Lock()
 	ok := l.put(e)
@@ -105,28 +105,28 @@
 }
 
 // Get returns the entry of a key and reports whether it exists and has not expired.
-func (l *Latest[V]) Get(key string) (Entry[V], bool) {
+func (l *Latest[V]) Get(key string) (LatestEntry[V], bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.entries[key]
 	if !ok || !l.clock.Now().Before(e.expires()) {
-		return Entry[V]{}, false
+		return LatestEntry[V]{}, false
 	}
 	return e, true
 }
 
 // All returns the entries that have not expired, ordered by key.
-func (l *Latest[V]) All() []Entry[V] {
+func (l *Latest[V]) All() []LatestEntry[V] {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeExpired()
-	out := make([]Entry[V], 0, len(l.entries))
+	out := make([]LatestEntry[V], 0, len(l.entries))
 	for _, e := range l.entries {
 		if l.clock.Now().Before(e.expires()) {
 			out = append(out, e)
 		}
 	}
-	slices.SortFunc(out, func(a, b Entry[V]) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b LatestEntry[V]) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
@@ -144,7 +144,7 @@
 }
 
 // put stores an entry if it supersedes the current one and there is room; the caller holds l.mu.
-func (l *Latest[V]) put(e Entry[V]) bool {
+func (l *Latest[V]) put(e LatestEntry[V]) bool {
 	l.removeExpired()
 	now := l.clock.Now()
 	if e.At.Time().After(now.Add(maxClockSkew)) {
@@ -167,7 +167,7 @@
 	return true
 }
 
-func (l *Latest[V]) evictFirstExpiring(e Entry[V]) bool {
+func (l *Latest[V]) evictFirstExpiring(e LatestEntry[V]) bool {
 	first := e
 	for _, o := range l.entries {
 		c := cmp.Or(o.expires().Compare(first.expires()), cmp.Compare(o.Key, first.Key))
@@ -196,13 +196,13 @@
 	l.dirty = true
 }
 
-func entryPair[V Checker](e Entry[V]) pair {
+func entryPair[V Checker](e LatestEntry[V]) pair {
 	version := mix(uint64(e.At.Micros)) ^ uint64(e.At.Logical)<<32 ^ xxhash.Sum64String(string(e.Origin))
 	return pairOf(e.Key, version)
 }
 
 // inDigest reports whether an entry is included in digests. An entry about to expire is not, since clocks differ.
-func (l *Latest[V]) inDigest(e Entry[V]) bool {
+func (l *Latest[V]) inDigest(e LatestEntry[V]) bool {
 	return l.clock.Now().Add(expiryGrace).Before(e.expires())
 }
 
@@ -238,7 +238,7 @@
 	return out
 }
 
-func encodeEntry[V Checker](e Entry[V]) Item {
+func encodeEntry[V Checker](e LatestEntry[V]) Item {
 	b, err := encMode.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -246,8 +246,8 @@
 	return b
 }
 
-func decodeEntry[V Checker](it Item) (Entry[V], error) {
-	var e Entry[V]
+func decodeEntry[V Checker](it Item) (LatestEntry[V], error) {
+	var e LatestEntry[V]
 	if len(it) > maxKeyBytes+maxValueBytes {
 		return e, fmt.Errorf("entry of %d bytes", len(it))
 	}
--- a/ferry/ferrypeer/member.go
+++ b/ferry/ferrypeer/member.go
@@ -127,7 +127,7 @@
 // Live reports whether the member is alive or suspect.
 func (m MemberInfo) Live() bool { return m.Status == Alive || m.Status == Suspect }
 
-// Usable reports whether new callers and roles can be assigned to the member.
+// Usable reports whether new callers and duties can be assigned to the member.
 func (m MemberInfo) Usable() bool {
 	return m.Status == Alive && m.State == Ready
 }
--- a/ferry/ferrypeer/node.go
+++ b/ferry/ferrypeer/node.go
@@ -95,7 +95,8 @@
 	snapshotAt time.Time
 }
 
-// ReplacedError is returned by Run when a later incarnation of this process's name has joined.
+// ReplacedError is returned by Run when a later incarnation of this process's name has joined, so that this one
+// must stop.
 type ReplacedError struct {
 	Name ferryid.EntryName
 }
