--- a/ferryd/ferrynode/document.go
+++ b/ferryd/ferrynode/document.go
@@ -9,7 +9,8 @@
 	"cactusferry.dev/ferry/ferryservice"
 )
 
-// callerDocuments provides the callers' handlers with the documents, current upstreams and customers.
+// callerDocuments provides the callers' handlers with the documents and their current upstreams, and looks up
+// customers in the index of the document.
 type callerDocuments struct {
 	*services
 	holder *ferrydocument.Holder
--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -27,7 +27,8 @@
 	rates   map[ferrylimit.Key]ferrylimit.Units
 	shares  *ferrylimit.Shares
 	counter *ferrylimit.Counter
-	demand  chan struct{}
+	// demand is signalled by each call of a customer with a limit; it wakes awaitDemand.
+	demand chan struct{}
 }
 
 func newLimits() *limits {
--- a/ferryd/ferrynode/service.go
+++ b/ferryd/ferrynode/service.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// refreshModel updates the pool's engines; a set that does not cover all layers of the model is refused.
+// refreshModel updates the pool's engines; if the set does not cover all layers of the model,
+// the last one stays in use.
 func (s *services) refreshModel(sv *service, d *ferryservice.Document) {
 	cfg, loads := s.planner(sv, d)
 	if md := sv.model.Load(); md != nil && !md.needsRebuild(d, cfg) {
