--- a/ferryd/ferrynode/limit.go
+++ b/ferryd/ferrynode/limit.go
@@ -27,7 +27,8 @@
 	rates   map[ferrylimit.Key]ferrylimit.Units
 	shares  *ferrylimit.Shares
 	counter *ferrylimit.Counter
-	demand  chan struct{}
+	// demand is signalled by each call of a customer with a limit; it wakes awaitDemand.
+	demand chan struct{}
 }
 
 func newLimits() *limits {
@@ -118,7 +119,7 @@
 	var grants []ferrylimit.Grant
 	if id == n.self {
 		grants = n.grantLimits(asks)
-	} else if err := (claimPeers{n}).askPeer(ctx, id, askLimit, asks, &grants); err != nil {
+	} else if err := (peerClient{n}).askPeer(ctx, id, askLimit, asks, &grants); err != nil {
 		n.log.Debug().Err(err).Msg("request for shares of customers' limits failed")
 		return
 	}
