--- a/ferry/ferryrelay/message.go
+++ b/ferry/ferryrelay/message.go
@@ -48,7 +48,7 @@
 	case statusNotRead:
 		return "NotRead"
 	}
-	return fmt.Sprintf("status %d", uint8(v))
+	return fmt.Sprintf("verdict %d", uint8(v))
 }
 
 // question is the request for objects to a reader.
