--- a/ferrystand/ferryproof/answers.go
+++ b/ferrystand/ferryproof/answers.go
@@ -24,32 +24,32 @@
 	Guarantee: "each caller receives the complete answer to its own request",
 	Faults:    "one entry killed and one frozen and resumed mid-stream; a caller's connection permanently silent; two customers, one tries to resume the other's streams",
 	size:      ferrydemo.Config{Engines: 6, Entries: 3},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithTimeout(ctx, answersLoadTime)
 		defer end()
 		var t, other tally
 		ids := &eventIDs{}
-		wg := w.streams(load, ctx, loadCallers, loadTokens, &t)
-		w.streamAsOtherCustomer(load, ctx, wg, ids, &other)
+		wg := h.startStreams(load, ctx, loadCallers, loadTokens, &t)
+		h.streamAsOtherCustomer(load, ctx, wg, ids, &other)
 		time.Sleep(answersLoadTime / 8)
-		w.Entries[0].Process.Kill()
-		w.note("%s killed", w.Entries[0].Name)
+		h.Entries[0].Process.Kill()
+		h.note("%s killed", h.Entries[0].Name)
 		time.Sleep(answersLoadTime / 8)
-		if err := w.StartEntry(ctx, w.Entries[0]); err != nil {
+		if err := h.StartEntry(ctx, h.Entries[0]); err != nil {
 			return err
 		}
-		if err := w.freeze(w.Entries[1].Process, answersLoadTime/2); err != nil {
+		if err := h.freeze(h.Entries[1].Process, answersLoadTime/2); err != nil {
 			return err
 		}
-		if err := w.streamOverSilentConnection(ctx, &t); err != nil {
+		if err := h.streamOverSilentConnection(ctx, &t); err != nil {
 			return err
 		}
-		if err := w.resumeForeignStreams(ctx, ids); err != nil {
+		if err := h.resumeForeignStreams(ctx, ids); err != nil {
 			return err
 		}
 		wg.Wait()
-		w.note("%s", &t)
-		w.note("the other customer: %s", &other)
+		h.note("%s", &t)
+		h.note("the other customer: %s", &other)
 		if t.resumed == 0 || other.complete == 0 {
 			return fmt.Errorf("inconclusive: no stream was resumed, or the other customer received no answer")
 		}
@@ -74,20 +74,20 @@
 
 // streamAsOtherCustomer sends the same requests as the first customer
 // with another customer's key, which starts separate streams.
-func (w *harness) streamAsOtherCustomer(load, ctx context.Context, wg *sync.WaitGroup, ids *eventIDs, t *tally) {
+func (h *harness) streamAsOtherCustomer(load, ctx context.Context, wg *sync.WaitGroup, ids *eventIDs, t *tally) {
 	wg.Go(func() {
 		for n := 0; load.Err() == nil; n++ {
 			q := completion{key: ferrydemo.OtherCustomerKey, index: n, prompt: fmt.Sprintf("caller 0 asks question %d", n), tokens: loadTokens}
 			own := q
 			q.onChunk = func(p ferrydemo.Chunk) { ids.add(p.ID, own) }
-			w.requestCompletion(ctx, q, t)
+			h.requestCompletion(ctx, q, t)
 		}
 	})
 }
 
 // resumeForeignStreams tries to resume the other customer's streams
 // with the first customer's key; each attempt must be refused.
-func (w *harness) resumeForeignStreams(ctx context.Context, ids *eventIDs) error {
+func (h *harness) resumeForeignStreams(ctx context.Context, ids *eventIDs) error {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
 	tries := 0
@@ -96,7 +96,7 @@
 			break
 		}
 		tries++
-		c := ferrydemo.Caller{Entry: w.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
+		c := ferrydemo.Caller{Entry: h.Entries[0].CallerAddress, Key: ferrydemo.CustomerKey}
 		got := 0
 		err := c.Stream(ctx, q.body(), id, func(ferrydemo.Chunk) { got++ })
 		var s *ferrydemo.StatusError
@@ -107,14 +107,14 @@
 	if tries == 0 {
 		return fmt.Errorf("inconclusive: no stream of the other customer to resume")
 	}
-	w.note("%d attempts to resume another customer's stream, all refused", tries)
+	h.note("%d attempts to resume another customer's stream, all refused", tries)
 	return nil
 }
 
 // streamOverSilentConnection reads a stream over a connection that goes
 // silent, and resumes it at another entry after the idle timeout.
-func (w *harness) streamOverSilentConnection(ctx context.Context, t *tally) error {
-	proxy, err := ferryproxy.New(ferryproxy.Config{Target: w.Entries[2].CallerAddress})
+func (h *harness) streamOverSilentConnection(ctx context.Context, t *tally) error {
+	proxy, err := ferryproxy.New(ferryproxy.Config{Target: h.Entries[2].CallerAddress})
 	if err != nil {
 		return err
 	}
@@ -127,8 +127,8 @@
 			silenced = proxy.Silence()
 		}
 	}
-	w.requestCompletion(ctx, q, t)
-	w.note("a caller's connection went silent after %d chunks (%d connections); the caller received %d chunks in total", silentAfterChunks, silenced, chunks)
+	h.requestCompletion(ctx, q, t)
+	h.note("a caller's connection went silent after %d chunks (%d connections); the caller received %d chunks in total", silentAfterChunks, silenced, chunks)
 	if silenced == 0 {
 		return fmt.Errorf("inconclusive: no connection was silenced")
 	}
@@ -141,11 +141,11 @@
 }
 
 // freeze sends SIGSTOP to a process, and SIGCONT after d.
-func (w *harness) freeze(p signaler, d time.Duration) error {
+func (h *harness) freeze(p signaler, d time.Duration) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	time.AfterFunc(d, func() { _ = p.Signal(syscall.SIGCONT) })
-	w.note("a process is frozen for %s", d)
+	h.note("a process is frozen for %s", d)
 	return nil
 }
--- a/ferrystand/ferryproof/claims.go
+++ b/ferrystand/ferryproof/claims.go
@@ -35,57 +35,57 @@
 	Guarantee: "a non-idempotent call runs at most once while its key is retained",
 	Faults:    "an entry that owns slots is frozen with claims and calls in progress until it is declared dead, while its keys are retried at the others, and then resumed; claims that expire during retries at all entries",
 	size:      ferrydemo.Config{Engines: 2, Entries: 3},
-	run: func(ctx context.Context, w *harness) error {
-		if err := w.applyRetention(ctx, 1, claimDeadline, claimRetention); err != nil {
+	run: func(ctx context.Context, h *harness) error {
+		if err := h.applyRetention(ctx, 1, claimDeadline, claimRetention); err != nil {
 			return err
 		}
-		if err := w.freezeOwner(ctx); err != nil {
+		if err := h.freezeOwner(ctx); err != nil {
 			return err
 		}
-		if err := w.applyRetention(ctx, 2, shortDeadline, shortRetention); err != nil {
+		if err := h.applyRetention(ctx, 2, shortDeadline, shortRetention); err != nil {
 			return err
 		}
-		return w.expireClaims(ctx)
+		return h.expireClaims(ctx)
 	},
 }
 
 // applyRetention applies a document of the plain service with the given deadline and claim retention.
-func (w *harness) applyRetention(ctx context.Context, base int, deadline, retention time.Duration) error {
+func (h *harness) applyRetention(ctx context.Context, base int, deadline, retention time.Duration) error {
 	limits := fmt.Sprintf("[Limits]\nDeadline = %q\nClaimRetention = %q\n\n[[Upstreams]]", deadline, retention)
-	text := strings.Replace(w.PlainDocument(), "[[Upstreams]]", limits, 1)
-	if err := w.apply(ctx, ferrydemo.PlainService, text, base, "morning"); err != nil {
+	text := strings.Replace(h.PlainDocument(), "[[Upstreams]]", limits, 1)
+	if err := h.apply(ctx, ferrydemo.PlainService, text, base, "morning"); err != nil {
 		return err
 	}
-	return w.WaitInForce(ctx, ferrydemo.PlainService, base+1)
+	return h.WaitInForce(ctx, ferrydemo.PlainService, base+1)
 }
 
 // freezeOwner freezes an entry while its claims are being written,
 // retries the keys at the other entries, and resumes it.
-func (w *harness) freezeOwner(ctx context.Context) error {
+func (h *harness) freezeOwner(ctx context.Context) error {
 	l := newCallLog()
-	frozen, others := w.Entries[0], []int{1, 2}
-	w.sendClaims(ctx, l, "warm", []int{0, 1, 2}, nil)
-	if err := w.platformFaults(ctx, map[string]any{"DelayMS": claimDelay.Milliseconds()}); err != nil {
+	frozen, others := h.Entries[0], []int{1, 2}
+	h.sendClaims(ctx, l, "warm", []int{0, 1, 2}, nil)
+	if err := h.platformFaults(ctx, map[string]any{"DelayMS": claimDelay.Milliseconds()}); err != nil {
 		return err
 	}
-	if err := w.plainFaults(ctx, map[string]any{"DelayMS": claimRunTime.Milliseconds()}); err != nil {
+	if err := h.plainFaults(ctx, map[string]any{"DelayMS": claimRunTime.Milliseconds()}); err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.sendClaims(ctx, l, "running", []int{0}, nil) })
+	wg.Go(func() { h.sendClaims(ctx, l, "running", []int{0}, nil) })
 	time.Sleep(claimRunTime / 2)
-	wg.Go(func() { w.sendClaims(ctx, l, "frozen", []int{0}, nil) })
+	wg.Go(func() { h.sendClaims(ctx, l, "frozen", []int{0}, nil) })
 	time.Sleep(claimDelay / 2)
 	if err := frozen.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	resumed := make(chan struct{})
-	if err := w.plainFaults(ctx, map[string]any{}); err != nil {
+	if err := h.plainFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	wg.Go(func() { w.sendClaims(ctx, l, "running", others, resumed) })
-	wg.Go(func() { w.sendClaims(ctx, l, "frozen", others, resumed) })
-	wg.Go(func() { w.sendClaims(ctx, l, "others", others, resumed) })
+	wg.Go(func() { h.sendClaims(ctx, l, "running", others, resumed) })
+	wg.Go(func() { h.sendClaims(ctx, l, "frozen", others, resumed) })
+	wg.Go(func() { h.sendClaims(ctx, l, "others", others, resumed) })
 	time.Sleep(claimFreezeTime)
 	if err := frozen.Process.Signal(syscall.SIGCONT); err != nil {
 		return err
@@ -93,38 +93,38 @@
 	time.Sleep(claimInterval)
 	close(resumed)
 	wg.Wait()
-	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
+	if err := h.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	w.sendClaims(ctx, l, "frozen", []int{0, 1, 2}, nil)
-	return w.checkClaims(ctx, l, claimRetention, fmt.Sprintf("an entry with claims in progress frozen for %s", claimFreezeTime))
+	h.sendClaims(ctx, l, "frozen", []int{0, 1, 2}, nil)
+	return h.checkClaims(ctx, l, claimRetention, fmt.Sprintf("an entry with claims in progress frozen for %s", claimFreezeTime))
 }
 
 // expireClaims cuts connections after the run and retries
 // the keys at all entries until the claims have expired.
-func (w *harness) expireClaims(ctx context.Context) error {
+func (h *harness) expireClaims(ctx context.Context) error {
 	l := newCallLog()
-	if err := w.plainFaults(ctx, map[string]any{"CutAfterRun": claimKeys}); err != nil {
+	if err := h.plainFaults(ctx, map[string]any{"CutAfterRun": claimKeys}); err != nil {
 		return err
 	}
-	if err := w.platformFaults(ctx, map[string]any{"DelayMS": claimDelay.Milliseconds() / 2}); err != nil {
+	if err := h.platformFaults(ctx, map[string]any{"DelayMS": claimDelay.Milliseconds() / 2}); err != nil {
 		return err
 	}
 	over := make(chan struct{})
 	time.AfterFunc(expiryRounds*shortRetention+2*retentionRounding, func() { close(over) })
-	w.sendClaims(ctx, l, "expiring", []int{0, 1, 2}, over)
-	return w.checkClaims(ctx, l, shortRetention, fmt.Sprintf("keys retained for %s retried for %s", shortRetention, expiryRounds*shortRetention+2*retentionRounding))
+	h.sendClaims(ctx, l, "expiring", []int{0, 1, 2}, over)
+	return h.checkClaims(ctx, l, shortRetention, fmt.Sprintf("keys retained for %s retried for %s", shortRetention, expiryRounds*shortRetention+2*retentionRounding))
 }
 
 // sendClaims sends each key to the entries concurrently, and
 // repeats that until end is closed; a nil end sends once.
-func (w *harness) sendClaims(ctx context.Context, l *callLog, name string, entries []int, end <-chan struct{}) {
+func (h *harness) sendClaims(ctx context.Context, l *callLog, name string, entries []int, end <-chan struct{}) {
 	var wg sync.WaitGroup
 	for n := range claimKeys {
 		for _, e := range entries {
 			wg.Go(func() {
 				for {
-					l.add(w.post(ctx, e, fmt.Sprintf("%s-%d", name, n)))
+					l.add(h.post(ctx, e, fmt.Sprintf("%s-%d", name, n)))
 					if end == nil || ctx.Err() != nil {
 						return
 					}
@@ -142,12 +142,12 @@
 
 // checkClaims checks that no key ran twice within its retention
 // time, and counts the outcomes that callers received.
-func (w *harness) checkClaims(ctx context.Context, l *callLog, retention time.Duration, what string) error {
+func (h *harness) checkClaims(ctx context.Context, l *callLog, retention time.Duration, what string) error {
 	var records []struct {
 		IdempotencyKey string
 		AtMillis       int64
 	}
-	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
+	if err := h.GetJSON(ctx, "http://"+h.PlainAddress+"/admin/records", &records); err != nil {
 		return err
 	}
 	runs := map[string][]int64{}
@@ -178,7 +178,7 @@
 			once++
 		}
 	}
-	w.note("%s: %d of %d keys ran, %d further runs after their retention, outcomes %v", what, once, len(l.calls), again, outcomes)
+	h.note("%s: %d of %d keys ran, %d further runs after their retention, outcomes %v", what, once, len(l.calls), again, outcomes)
 	if once == 0 {
 		return fmt.Errorf("inconclusive: no key ran")
 	}
--- a/ferrystand/ferryproof/config.go
+++ b/ferrystand/ferryproof/config.go
@@ -28,64 +28,64 @@
 	Guarantee: "accepted configuration is in force everywhere within seconds and never reverts",
 	Faults:    "concurrent edits by two operators, lost answers, stale watches and lists, an entry restarted during an outage, a store restored to an older state, nine entries",
 	size:      ferrydemo.Config{Engines: 2, Entries: 9},
-	run: func(ctx context.Context, w *harness) error {
-		if err := w.applyAndMeasure(ctx, 1); err != nil {
+	run: func(ctx context.Context, h *harness) error {
+		if err := h.applyAndMeasure(ctx, 1); err != nil {
 			return err
 		}
-		if err := w.raceOperators(ctx, 2); err != nil {
+		if err := h.raceOperators(ctx, 2); err != nil {
 			return err
 		}
-		if err := w.platformFaults(ctx, map[string]any{"LoseAnswers": 1, "LateEffectMS": 500}); err != nil {
+		if err := h.platformFaults(ctx, map[string]any{"LoseAnswers": 1, "LateEffectMS": 500}); err != nil {
 			return err
 		}
-		if err := w.applyAndMeasure(ctx, 3); err != nil {
+		if err := h.applyAndMeasure(ctx, 3); err != nil {
 			return err
 		}
-		if err := w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/snapshot", nil); err != nil {
+		if err := h.PutJSON(ctx, "http://"+h.PlatformAddress+"/admin/snapshot", nil); err != nil {
 			return err
 		}
-		if err := w.applyAndMeasure(ctx, 4); err != nil {
+		if err := h.applyAndMeasure(ctx, 4); err != nil {
 			return err
 		}
-		if err := w.serveStaleReads(ctx, 5); err != nil {
+		if err := h.serveStaleReads(ctx, 5); err != nil {
 			return err
 		}
-		if err := w.restartInOutage(ctx, 6); err != nil {
+		if err := h.restartInOutage(ctx, 6); err != nil {
 			return err
 		}
-		if err := w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/restore", nil); err != nil {
+		if err := h.PutJSON(ctx, "http://"+h.PlatformAddress+"/admin/restore", nil); err != nil {
 			return err
 		}
-		if err := w.waitRestored(ctx, 6); err != nil {
+		if err := h.waitRestored(ctx, 6); err != nil {
 			return err
 		}
-		if err := w.applyAndMeasure(ctx, 6); err != nil {
+		if err := h.applyAndMeasure(ctx, 6); err != nil {
 			return err
 		}
-		return w.checkNoRevert(ctx)
+		return h.checkNoRevert(ctx)
 	},
 }
 
 // serveStaleReads makes watches report an older generation as a change, and then
 // makes lists and watches return an older state while a document is applied.
-func (w *harness) serveStaleReads(ctx context.Context, base int) error {
-	if err := w.platformFaults(ctx, map[string]any{"OldWatches": staleWatches}); err != nil {
+func (h *harness) serveStaleReads(ctx context.Context, base int) error {
+	if err := h.platformFaults(ctx, map[string]any{"OldWatches": staleWatches}); err != nil {
 		return err
 	}
 	time.Sleep(inForceLimit / 2)
-	if err := w.platformFaults(ctx, map[string]any{"OldReads": true}); err != nil {
+	if err := h.platformFaults(ctx, map[string]any{"OldReads": true}); err != nil {
 		return err
 	}
-	if err := w.applyAndMeasure(ctx, base); err != nil {
+	if err := h.applyAndMeasure(ctx, base); err != nil {
 		return err
 	}
 	time.Sleep(inForceLimit / 2)
-	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
+	if err := h.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
 	detected := 0
-	for _, e := range w.Entries {
-		events, err := w.Events(ctx, e)
+	for _, e := range h.Entries {
+		events, err := h.Events(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 			detected++
 		}
 	}
-	w.note("stale watches and lists returned generation 4: detected by %d entries", detected)
+	h.note("stale watches and lists returned generation 4: detected by %d entries", detected)
 	if detected == 0 {
 		return fmt.Errorf("inconclusive: no entry detected the stale reads")
 	}
@@ -102,34 +102,34 @@
 
 // waitRestored waits until the entries have written the generation
 // in force to a store that was restored to an older state.
-func (w *harness) waitRestored(ctx context.Context, generation int) error {
+func (h *harness) waitRestored(ctx context.Context, generation int) error {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, restoreLimit)
 	defer cancel()
 	err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
 		var stored struct{ Generation int }
-		err := w.GetJSON(ctx, "http://"+w.PlatformAddress+documentObject, &stored)
+		err := h.GetJSON(ctx, "http://"+h.PlatformAddress+documentObject, &stored)
 		if err == nil && stored.Generation != generation {
 			err = fmt.Errorf("store has generation %d, expected %d", stored.Generation, generation)
 		}
 		return err
 	})
-	w.note("the store was restored to generation 4 and held generation %d again after %s", generation, time.Since(began).Round(time.Millisecond))
+	h.note("the store was restored to generation 4 and held generation %d again after %s", generation, time.Since(began).Round(time.Millisecond))
 	return err
 }
 
 // applyAndMeasure applies a document on top of a base generation
 // and measures the time until it is in force everywhere.
-func (w *harness) applyAndMeasure(ctx context.Context, base int) error {
-	if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(100+base), base, "morning"); err != nil {
+func (h *harness) applyAndMeasure(ctx context.Context, base int) error {
+	if err := h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(100+base), base, "morning"); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := w.WaitInForce(ctx, ferrydemo.ModelService, base+1); err != nil {
+	if err := h.WaitInForce(ctx, ferrydemo.ModelService, base+1); err != nil {
 		return err
 	}
 	took := time.Since(began)
-	w.note("generation %d in force at %d entries after %s", base+1, len(w.Entries), took.Round(time.Millisecond))
+	h.note("generation %d in force at %d entries after %s", base+1, len(h.Entries), took.Round(time.Millisecond))
 	if took > inForceLimit {
 		return fmt.Errorf("generation %d was in force after %s, limit %s", base+1, took, inForceLimit)
 	}
@@ -137,44 +137,44 @@
 }
 
 // raceOperators makes two concurrent edits of the same generation; exactly one must be accepted.
-func (w *harness) raceOperators(ctx context.Context, base int) error {
+func (h *harness) raceOperators(ctx context.Context, base int) error {
 	errs := make(chan error, 2)
 	for i, operator := range []string{"morning", "afternoon"} {
-		go func() { errs <- w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(200+i), base, operator) }()
+		go func() { errs <- h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(200+i), base, operator) }()
 	}
 	first, second := <-errs, <-errs
 	if (first == nil) == (second == nil) {
 		return fmt.Errorf("two concurrent edits of generation %d: expected one error, got %v and %v", base, first, second)
 	}
-	w.note("two concurrent edits of generation %d: one accepted, one refused", base)
-	return w.WaitInForce(ctx, ferrydemo.ModelService, base+1)
+	h.note("two concurrent edits of generation %d: one accepted, one refused", base)
+	return h.WaitInForce(ctx, ferrydemo.ModelService, base+1)
 }
 
 // restartInOutage restarts an entry while the platform is down; it must load the document from its peers.
-func (w *harness) restartInOutage(ctx context.Context, generation int) error {
-	if err := w.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
+func (h *harness) restartInOutage(ctx context.Context, generation int) error {
+	if err := h.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
 		return err
 	}
-	w.Entries[0].Process.Kill()
+	h.Entries[0].Process.Kill()
 	began := time.Now()
-	if err := w.StartEntry(ctx, w.Entries[0]); err != nil {
+	if err := h.StartEntry(ctx, h.Entries[0]); err != nil {
 		return err
 	}
-	if err := w.WaitInForce(ctx, ferrydemo.ModelService, generation); err != nil {
+	if err := h.WaitInForce(ctx, ferrydemo.ModelService, generation); err != nil {
 		return err
 	}
-	w.note("an entry started during the outage loaded generation %d from its peers after %s", generation, time.Since(began).Round(time.Millisecond))
-	if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(300), generation, "afternoon"); err == nil {
+	h.note("an entry started during the outage loaded generation %d from its peers after %s", generation, time.Since(began).Round(time.Millisecond))
+	if err := h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(300), generation, "afternoon"); err == nil {
 		return fmt.Errorf("a document was accepted while the platform was down")
 	}
-	return w.platformFaults(ctx, map[string]any{})
+	return h.platformFaults(ctx, map[string]any{})
 }
 
 // checkNoRevert checks on the time line of every entry that generations only increased.
-func (w *harness) checkNoRevert(ctx context.Context) error {
+func (h *harness) checkNoRevert(ctx context.Context) error {
 	steps := 0
-	for _, e := range w.Entries {
-		events, err := w.Events(ctx, e)
+	for _, e := range h.Entries {
+		events, err := h.Events(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -194,8 +194,8 @@
 			steps++
 		}
 	}
-	w.note("%d changes of generation at %d entries, all increasing", steps, len(w.Entries))
-	if steps < len(w.Entries) {
+	h.note("%d changes of generation at %d entries, all increasing", steps, len(h.Entries))
+	if steps < len(h.Entries) {
 		return fmt.Errorf("inconclusive: the time lines are incomplete")
 	}
 	return nil
@@ -208,53 +208,53 @@
 	Guarantee: "accepted configuration is in force at every reachable entry in time and never reverts, also with cut links and a slow platform",
 	Faults:    "two halves of eight entries partitioned by cut links, then by silent links, then rejoined; platform calls delayed by 1 s; its watches by 3 s",
 	size:      ferrydemo.Config{Engines: 2, Entries: 8, PeerProxies: true},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		generation := 1
-		near, far := w.halves()
+		near, far := h.halves()
 		for _, f := range []ferryproxy.Fault{ferryproxy.Cut{}, ferryproxy.Silent{}} {
-			w.setLinks(near, far, f)
-			took, err := w.waitSplit(ctx, near[0], silentLinkLimit)
+			h.setLinks(near, far, f)
+			took, err := h.waitSplit(ctx, near[0], silentLinkLimit)
 			if err != nil {
 				return err
 			}
-			w.note("links %T: %s no longer sees the other half as alive after %s", f, near[0].Name, took.Round(time.Millisecond))
-			if err := w.applyWithin(ctx, near, generation, inForceLimit, fmt.Sprintf("half that received the change, links %T", f)); err != nil {
+			h.note("links %T: %s no longer sees the other half as alive after %s", f, near[0].Name, took.Round(time.Millisecond))
+			if err := h.applyWithin(ctx, near, generation, inForceLimit, fmt.Sprintf("half that received the change, links %T", f)); err != nil {
 				return err
 			}
 			generation++
-			took, err = w.waitGeneration(ctx, far, generation, silentLinkLimit)
+			took, err = h.waitGeneration(ctx, far, generation, silentLinkLimit)
 			if err != nil {
 				return fmt.Errorf("other half, which still reaches the platform: %w", err)
 			}
-			w.note("other half, which still reaches the platform: %s later", took.Round(time.Millisecond))
-			if err := w.applyWithin(ctx, near, generation, inForceLimit, "second change in the same half"); err != nil {
+			h.note("other half, which still reaches the platform: %s later", took.Round(time.Millisecond))
+			if err := h.applyWithin(ctx, near, generation, inForceLimit, "second change in the same half"); err != nil {
 				return err
 			}
 			generation++
-			w.restoreLinks()
-			took, err = w.waitGeneration(ctx, w.Entries, generation, silentLinkLimit)
+			h.restoreLinks()
+			took, err = h.waitGeneration(ctx, h.Entries, generation, silentLinkLimit)
 			if err != nil {
 				return err
 			}
-			rejoined, err := w.waitMembership(ctx, rejoinLimit)
+			rejoined, err := h.waitMembership(ctx, rejoinLimit)
 			if err != nil {
 				return err
 			}
-			w.note("rejoined: in force everywhere after %s, membership complete %s later", took.Round(time.Millisecond), rejoined.Round(time.Millisecond))
+			h.note("rejoined: in force everywhere after %s, membership complete %s later", took.Round(time.Millisecond), rejoined.Round(time.Millisecond))
 		}
 		for _, slow := range []struct {
 			faults map[string]any
 			limit  time.Duration
 		}{{map[string]any{"DelayMS": 1000}, slowLimit}, {map[string]any{"WatchLagMS": 3000}, inForceLimit}} {
-			if err := w.platformFaults(ctx, slow.faults); err != nil {
+			if err := h.platformFaults(ctx, slow.faults); err != nil {
 				return err
 			}
-			if err := w.applyWithin(ctx, w.Entries, generation, slow.limit, fmt.Sprintf("platform %v", slow.faults)); err != nil {
+			if err := h.applyWithin(ctx, h.Entries, generation, slow.limit, fmt.Sprintf("platform %v", slow.faults)); err != nil {
 				return err
 			}
 			generation++
 		}
-		return w.platformFaults(ctx, map[string]any{})
+		return h.platformFaults(ctx, map[string]any{})
 	},
 }
 
@@ -263,14 +263,14 @@
 const rejoinLimit = 30 * time.Second
 
 // applyWithin applies a document and checks that it is in force at the given entries within the limit.
-func (w *harness) applyWithin(ctx context.Context, entries []*ferrydemo.Entry, base int, limit time.Duration, where string) error {
-	if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(100+base), base, "morning"); err != nil {
+func (h *harness) applyWithin(ctx context.Context, entries []*ferrydemo.Entry, base int, limit time.Duration, where string) error {
+	if err := h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(100+base), base, "morning"); err != nil {
 		return err
 	}
-	took, err := w.waitGeneration(ctx, entries, base+1, limit)
+	took, err := h.waitGeneration(ctx, entries, base+1, limit)
 	if err != nil {
 		return fmt.Errorf("%s: %w", where, err)
 	}
-	w.note("%s: generation %d in force at %d entries after %s", where, base+1, len(entries), took.Round(time.Millisecond))
+	h.note("%s: generation %d in force at %d entries after %s", where, base+1, len(entries), took.Round(time.Millisecond))
 	return nil
 }
--- a/ferrystand/ferryproof/halves.go
+++ b/ferrystand/ferryproof/halves.go
@@ -11,13 +11,13 @@
 )
 
 // halves returns the first and the second half of the entries.
-func (w *harness) halves() (a, b []*ferrydemo.Entry) {
-	n := len(w.Entries) / 2
-	return w.Entries[:n], w.Entries[n:]
+func (h *harness) halves() (a, b []*ferrydemo.Entry) {
+	n := len(h.Entries) / 2
+	return h.Entries[:n], h.Entries[n:]
 }
 
 // setLinks sets the fault on all links between two sets of entries.
-func (w *harness) setLinks(as, bs []*ferrydemo.Entry, f ferryproxy.Fault) {
+func (h *harness) setLinks(as, bs []*ferrydemo.Entry, f ferryproxy.Fault) {
 	for _, a := range as {
 		for _, b := range bs {
 			a.Proxy.Set(b.Name, f)
@@ -27,8 +27,8 @@
 }
 
 // restoreLinks removes the faults from all links.
-func (w *harness) restoreLinks() {
-	for _, e := range w.Entries {
+func (h *harness) restoreLinks() {
+	for _, e := range h.Entries {
 		if e.Proxy != nil {
 			e.Proxy.SetAll(ferryproxy.Pass{})
 		}
@@ -37,13 +37,13 @@
 
 // waitGeneration waits until a generation, or a later one, is
 // in force at the given entries, and returns the time taken.
-func (w *harness) waitGeneration(ctx context.Context, entries []*ferrydemo.Entry, generation int, limit time.Duration) (time.Duration, error) {
+func (h *harness) waitGeneration(ctx context.Context, entries []*ferrydemo.Entry, generation int, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for _, e := range entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-			g, err := w.generation(ctx, e)
+			g, err := h.generation(ctx, e)
 			if err == nil && g < generation {
 				err = fmt.Errorf("%s is at generation %d", e.Name, g)
 			}
@@ -56,9 +56,10 @@
 	return time.Since(began), nil
 }
 
-// generation returns the generation of the model service's document in force at an entry, 0 if there is none.
-func (w *harness) generation(ctx context.Context, e *ferrydemo.Entry) (int, error) {
-	s, err := w.Status(ctx, e)
+// generation returns the generation of the model service's
+// document in force at an entry, or 0 if there is none.
+func (h *harness) generation(ctx context.Context, e *ferrydemo.Entry) (int, error) {
+	s, err := h.Status(ctx, e)
 	if err != nil {
 		return 0, err
 	}
@@ -70,13 +71,14 @@
 	return 0, nil
 }
 
-// waitMembership waits until every entry sees all entries as alive and has links, and returns the time taken.
-func (w *harness) waitMembership(ctx context.Context, limit time.Duration) (time.Duration, error) {
+// waitMembership waits until every entry sees all entries as alive
+// and has links, and returns the time taken.
+func (h *harness) waitMembership(ctx context.Context, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	for _, e := range w.Entries {
-		err := ferryprocess.Poll(ctx, func(ctx context.Context) error { return w.checkMembership(ctx, e) })
+	for _, e := range h.Entries {
+		err := ferryprocess.Poll(ctx, func(ctx context.Context) error { return h.checkMembership(ctx, e) })
 		if err != nil {
 			return time.Since(began), fmt.Errorf("membership incomplete after %s: %w", limit, err)
 		}
@@ -86,13 +88,13 @@
 
 // waitSplit waits until an entry sees at most half of the entries,
 // rounded up, as alive, and returns the time taken.
-func (w *harness) waitSplit(ctx context.Context, e *ferrydemo.Entry, limit time.Duration) (time.Duration, error) {
+func (h *harness) waitSplit(ctx context.Context, e *ferrydemo.Entry, limit time.Duration) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-		alive, err := w.countAlive(ctx, e)
-		if err == nil && alive > (len(w.Entries)+1)/2 {
+		alive, err := h.countAlive(ctx, e)
+		if err == nil && alive > (len(h.Entries)+1)/2 {
 			err = fmt.Errorf("%s still sees %d entries as alive", e.Name, alive)
 		}
 		return err
@@ -101,8 +103,8 @@
 }
 
 // countAlive returns the number of entries that an entry sees as alive.
-func (w *harness) countAlive(ctx context.Context, e *ferrydemo.Entry) (int, error) {
-	s, err := w.Status(ctx, e)
+func (h *harness) countAlive(ctx context.Context, e *ferrydemo.Entry) (int, error) {
+	s, err := h.Status(ctx, e)
 	n := 0
 	for _, m := range s.Entries {
 		if m.Status == "Alive" {
@@ -112,17 +114,17 @@
 	return n, err
 }
 
-func (w *harness) checkMembership(ctx context.Context, e *ferrydemo.Entry) error {
-	s, err := w.Status(ctx, e)
+func (h *harness) checkMembership(ctx context.Context, e *ferrydemo.Entry) error {
+	s, err := h.Status(ctx, e)
 	if err != nil {
 		return err
 	}
-	alive, err := w.countAlive(ctx, e)
+	alive, err := h.countAlive(ctx, e)
 	if err != nil {
 		return err
 	}
-	if alive < len(w.Entries) || len(s.Peers) == 0 {
-		return fmt.Errorf("%s sees %d of %d entries as alive and has %d links", e.Name, alive, len(w.Entries), len(s.Peers))
+	if alive < len(h.Entries) || len(s.Peers) == 0 {
+		return fmt.Errorf("%s sees %d of %d entries as alive and has %d links", e.Name, alive, len(h.Entries), len(s.Peers))
 	}
 	return nil
 }
--- a/ferrystand/ferryproof/keys.go
+++ b/ferrystand/ferryproof/keys.go
@@ -33,8 +33,8 @@
 func newAuthorities() (authorities, error) {
 	old, err1 := ferrydemo.NewAuthority("old")
 	next, err2 := ferrydemo.NewAuthority("next")
-	stranger, err3 := ferrydemo.NewAuthority("stranger")
-	return authorities{old, next, stranger}, errors.Join(err1, err2, err3)
+	untrusted, err3 := ferrydemo.NewAuthority("stranger")
+	return authorities{old, next, untrusted}, errors.Join(err1, err2, err3)
 }
 
 var keys = Case{
@@ -42,66 +42,67 @@
 	Guarantee: "a fleet with TLS on all connections serves as without, rejects peers and operators without a trusted certificate, and reloads keys without a restart",
 	Faults:    "an entry and an operator with an untrusted certificate, connections without TLS or without a certificate; certificates and authorities rotated",
 	size:      ferrydemo.Config{Engines: 4, Entries: 3},
-	prepare: func(w *harness) error {
+	prepare: func(h *harness) error {
 		a, err := newAuthorities()
 		if err != nil {
 			return err
 		}
-		w.authorities = a
+		h.authorities = a
 		k, err := ferrydemo.NewKeys(a.old, a.old, a.next)
 		if err != nil {
 			return err
 		}
-		return w.UseKeys(k)
+		return h.UseKeys(k)
 	},
-	run: func(ctx context.Context, w *harness) error {
-		defer w.Keys.Remove()
-		if err := w.serveOverTLS(ctx); err != nil {
+	run: func(ctx context.Context, h *harness) error {
+		defer h.Keys.Remove()
+		if err := h.serveOverTLS(ctx); err != nil {
 			return err
 		}
-		s, err := w.startUntrusted(ctx)
+		s, err := h.startUntrusted(ctx)
 		if err != nil {
 			return err
 		}
 		defer s.keys.Remove()
-		if err := w.rotateKeys(ctx); err != nil {
+		if err := h.rotateKeys(ctx); err != nil {
 			return err
 		}
-		if err := w.serveOverTLS(ctx); err != nil {
+		if err := h.serveOverTLS(ctx); err != nil {
 			return err
 		}
-		return w.checkUntrusted(ctx, s)
+		return h.checkUntrusted(ctx, s)
 	},
 }
 
-// serveOverTLS requests a stream at each entry, sends one claimed call to all of them, and applies a document.
-func (w *harness) serveOverTLS(ctx context.Context) error {
-	w.tlsRounds++
+// serveOverTLS requests a stream at each entry, sends one
+// claimed call to all of them, and applies a document.
+func (h *harness) serveOverTLS(ctx context.Context) error {
+	h.tlsRounds++
 	var t tally
-	for n := range w.Entries {
-		w.stream(ctx, n, fmt.Sprintf("over TLS %d", w.tlsRounds), keysTokens, &t)
+	for n := range h.Entries {
+		h.stream(ctx, n, fmt.Sprintf("over TLS %d", h.tlsRounds), keysTokens, &t)
 	}
 	if err := t.err(); err != nil {
 		return err
 	}
-	if t.complete != len(w.Entries) || t.refused+t.unreached+t.resumed > 0 {
-		return fmt.Errorf("streams over TLS: not every entry gave a complete answer at once: %s", &t)
+	if t.complete != len(h.Entries) || t.refused+t.unreached+t.resumed > 0 {
+		return fmt.Errorf("streams over TLS: expected a complete answer from every entry without a retry, got %s", &t)
 	}
-	key := fmt.Sprintf("tls-%d", w.tlsRounds)
-	for n := range w.Entries {
-		if c := w.post(ctx, n, key); c.reported() != "Ran" {
+	key := fmt.Sprintf("tls-%d", h.tlsRounds)
+	for n := range h.Entries {
+		if c := h.post(ctx, n, key); c.reported() != "Ran" {
 			return fmt.Errorf("claimed call over TLS: expected outcome Ran, got %s: %s %v", c.reported(), c.detail, c.err)
 		}
 	}
-	runs, err := w.runs(ctx)
+	runs, err := h.runsByKey(ctx)
 	if err != nil {
 		return err
 	}
 	if runs[key] != 1 {
 		return fmt.Errorf("key %s ran %d times, expected 1", key, runs[key])
 	}
-	w.note("over TLS: %s; a claimed call at %d entries ran once", &t, len(w.Entries))
-	return w.applyAndMeasure(ctx, w.tlsRounds)
+	h.note("over TLS: %s; a claimed call at %d entries ran once", &t, len(h.Entries))
+	return h.applyAndMeasure(ctx, h.tlsRounds)
 }
 
 // untrustedEntry is an entry that trusts the fleet's authorities
@@ -114,59 +115,59 @@
 
 // startUntrusted starts the untrusted entry with the fleet's
 // addresses and shared key, and lists it as an entry.
-func (w *harness) startUntrusted(ctx context.Context) (untrustedEntry, error) {
-	k, err := ferrydemo.NewKeys(w.authorities.untrusted, w.authorities.untrusted, w.authorities.old, w.authorities.next)
+func (h *harness) startUntrusted(ctx context.Context) (untrustedEntry, error) {
+	k, err := ferrydemo.NewKeys(h.authorities.untrusted, h.authorities.untrusted, h.authorities.old, h.authorities.next)
 	if err != nil {
 		return untrustedEntry{}, err
 	}
-	good := w.Keys
-	if err := w.UseKeys(k); err != nil {
+	good := h.Keys
+	if err := h.UseKeys(k); err != nil {
 		return untrustedEntry{}, err
 	}
 	addresses, err := ferryprocess.FreeAddresses(2)
 	if err != nil {
 		return untrustedEntry{}, err
 	}
-	e := &ferrydemo.Entry{Name: untrustedName, Domain: w.Entries[0].Domain, CallerAddress: addresses[0], PeerAddress: addresses[1]}
-	if err := w.StartEntry(ctx, e); err != nil {
+	e := &ferrydemo.Entry{Name: untrustedName, Domain: h.Entries[0].Domain, CallerAddress: addresses[0], PeerAddress: addresses[1]}
+	if err := h.StartEntry(ctx, e); err != nil {
 		return untrustedEntry{}, err
 	}
-	return untrustedEntry{entry: e, keys: k, began: time.Now()}, w.UseKeys(good)
+	return untrustedEntry{entry: e, keys: k, began: time.Now()}, h.UseKeys(good)
 }
 
 // checkUntrusted checks that the untrusted entry has no links,
 // and that no client without a trusted certificate is accepted.
-func (w *harness) checkUntrusted(ctx context.Context, s untrustedEntry) error {
-	good := w.Keys
-	if err := w.UseKeys(s.keys); err != nil {
+func (h *harness) checkUntrusted(ctx context.Context, s untrustedEntry) error {
+	good := h.Keys
+	if err := h.UseKeys(s.keys); err != nil {
 		return err
 	}
-	status, err := w.Status(ctx, s.entry)
+	status, err := h.Status(ctx, s.entry)
 	if err != nil {
 		return err
 	}
 	if len(status.Peers) > 0 {
 		return fmt.Errorf("the entry with an untrusted certificate has links: %v", status.Peers)
 	}
-	if out, err := w.Ctl(ctx, "status"); err == nil {
+	if out, err := h.Ctl(ctx, "status"); err == nil {
 		return fmt.Errorf("an operator with an untrusted certificate was accepted: %s", out)
 	}
-	if err := w.UseKeys(good); err != nil {
+	if err := h.UseKeys(good); err != nil {
 		return err
 	}
-	for _, e := range w.Entries {
-		if err := w.checkRejects(ctx, e); err != nil {
+	for _, e := range h.Entries {
+		if err := h.checkRejects(ctx, e); err != nil {
 			return err
 		}
 	}
-	w.note("an entry with an untrusted certificate had no link after %s and was not a member; operators without a trusted certificate were rejected", time.Since(s.began).Round(time.Second))
+	h.note("an entry with an untrusted certificate had no link after %s and was not a member; operators without a trusted certificate were rejected", time.Since(s.began).Round(time.Second))
 	return nil
 }
 
 // checkRejects checks that an entry does not list the untrusted
 // one as a member and rejects clients without a certificate.
-func (w *harness) checkRejects(ctx context.Context, e *ferrydemo.Entry) error {
-	s, err := w.Status(ctx, e)
+func (h *harness) checkRejects(ctx context.Context, e *ferrydemo.Entry) error {
+	s, err := h.Status(ctx, e)
 	if err != nil {
 		return err
 	}
@@ -175,14 +176,14 @@
 			return fmt.Errorf("%s lists the untrusted entry as %s", e.Name, m.Status)
 		}
 	}
-	if len(s.Peers) != len(w.Entries)-1 {
-		return fmt.Errorf("%s has links to %v", e.Name, s.Peers)
+	if len(s.Peers) != len(h.Entries)-1 {
+		return fmt.Errorf("%s has links to %v, expected one to every other entry", e.Name, s.Peers)
 	}
 	var v any
-	if err := w.GetJSON(ctx, "http://"+e.PeerAddress+"/admin/status", &v); err == nil {
+	if err := h.GetJSON(ctx, "http://"+e.PeerAddress+"/admin/status", &v); err == nil {
 		return fmt.Errorf("%s answered an operator's request without TLS", e.Name)
 	}
-	cfg, err := w.Keys.Config()
+	cfg, err := h.Keys.Config()
 	if err != nil {
 		return err
 	}
@@ -218,20 +219,20 @@
 
 // rotateKeys replaces the certificates by ones of another authority
 // and then removes the first from the trusted ones, without a restart.
-func (w *harness) rotateKeys(ctx context.Context) error {
-	before, err := w.incarnations(ctx)
+func (h *harness) rotateKeys(ctx context.Context) error {
+	before, err := h.incarnations(ctx)
 	if err != nil {
 		return err
 	}
-	old, err := w.Keys.Config()
+	old, err := h.Keys.Config()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := w.Keys.Issue(w.authorities.next); err != nil {
+	if err := h.Keys.Issue(h.authorities.next); err != nil {
 		return err
 	}
-	if err := w.eachListener(ctx, func(address string) error {
+	if err := h.eachListener(ctx, func(address string) error {
 		cert, err := dialTLS(address, old)
 		if err == nil && cert.Issuer.CommonName != "next" {
 			err = fmt.Errorf("%s still presents a certificate issued by %q", address, cert.Issuer.CommonName)
@@ -240,48 +241,48 @@
 	}); err != nil {
 		return err
 	}
-	w.note("every listener presented the new certificate after %s", time.Since(began).Round(time.Millisecond))
+	h.note("every listener presented the new certificate after %s", time.Since(began).Round(time.Millisecond))
 	began = time.Now()
-	if err := w.Keys.Trust(w.authorities.next); err != nil {
+	if err := h.Keys.Trust(h.authorities.next); err != nil {
 		return err
 	}
-	for _, e := range w.Entries {
-		if err := w.waitRejects(ctx, e, old); err != nil {
+	for _, e := range h.Entries {
+		if err := h.waitRejects(ctx, e, old); err != nil {
 			return err
 		}
 	}
-	w.note("every peer listener rejected the old certificate after %s", time.Since(began).Round(time.Millisecond))
-	if err := w.UseKeys(w.Keys); err != nil {
+	h.note("every peer listener rejected the old certificate after %s", time.Since(began).Round(time.Millisecond))
+	if err := h.UseKeys(h.Keys); err != nil {
 		return err
 	}
-	after, err := w.incarnations(ctx)
+	after, err := h.incarnations(ctx)
 	if err != nil {
 		return err
 	}
 	for i := range before {
 		if before[i] != after[i] {
-			return fmt.Errorf("%s was restarted during the key rotation", w.Entries[i].Name)
+			return fmt.Errorf("%s was restarted during the key rotation", h.Entries[i].Name)
 		}
 	}
-	if err := w.restart(ctx, w.Entries[len(w.Entries)-1]); err != nil {
+	if err := h.restart(ctx, h.Entries[len(h.Entries)-1]); err != nil {
 		return err
 	}
-	if _, err := w.waitMembership(ctx, rejoinLimit); err != nil {
+	if _, err := h.waitMembership(ctx, rejoinLimit); err != nil {
 		return err
 	}
-	return w.waitLinked(ctx)
+	return h.waitLinked(ctx)
 }
 
 // waitLinked waits until each entry has a link to every other one.
-func (w *harness) waitLinked(ctx context.Context) error {
+func (h *harness) waitLinked(ctx context.Context) error {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, linkLimit)
 	defer cancel()
-	for _, e := range w.Entries {
+	for _, e := range h.Entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-			s, err := w.Status(ctx, e)
-			if err == nil && len(s.Peers) != len(w.Entries)-1 {
-				err = fmt.Errorf("%s has links to %v", e.Name, s.Peers)
+			s, err := h.Status(ctx, e)
+			if err == nil && len(s.Peers) != len(h.Entries)-1 {
+				err = fmt.Errorf("%s has links to %v, expected one to every other entry", e.Name, s.Peers)
 			}
 			return err
 		})
@@ -289,11 +290,11 @@
 			return fmt.Errorf("links incomplete %s after the membership was complete: %w", linkLimit, err)
 		}
 	}
-	w.note("all links were open %s after the membership was complete", time.Since(began).Round(time.Millisecond))
+	h.note("all links were open %s after the membership was complete", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-func (w *harness) waitRejects(ctx context.Context, e *ferrydemo.Entry, old *tls.Config) error {
+func (h *harness) waitRejects(ctx context.Context, e *ferrydemo.Entry, old *tls.Config) error {
 	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
 	return ferryprocess.Poll(ctx, func(context.Context) error {
@@ -305,10 +306,10 @@
 }
 
 // eachListener waits until the check passes for both listeners of every entry.
-func (w *harness) eachListener(ctx context.Context, check func(address string) error) error {
+func (h *harness) eachListener(ctx context.Context, check func(address string) error) error {
 	ctx, cancel := context.WithTimeout(ctx, reloadLimit)
 	defer cancel()
-	for _, e := range w.Entries {
+	for _, e := range h.Entries {
 		for _, address := range []string{e.CallerAddress, e.PeerAddress} {
 			if err := ferryprocess.Poll(ctx, func(context.Context) error { return check(address) }); err != nil {
 				return err
@@ -318,10 +319,10 @@
 	return nil
 }
 
-func (w *harness) incarnations(ctx context.Context) ([]string, error) {
+func (h *harness) incarnations(ctx context.Context) ([]string, error) {
 	var out []string
-	for _, e := range w.Entries {
-		s, err := w.Status(ctx, e)
+	for _, e := range h.Entries {
+		s, err := h.Status(ctx, e)
 		if err != nil {
 			return nil, err
 		}
--- a/ferrystand/ferryproof/kinds.go
+++ b/ferrystand/ferryproof/kinds.go
@@ -41,7 +41,7 @@
 	Faults:    "rates and link delays that differ by a factor of 100; of the busiest engines one killed and restarted empty, one frozen and resumed, one that loses its streams; links cut during streams with 300 tokens",
 	size:      ferrydemo.Config{Engines: 16, Entries: 3, EightKinds: true, EngineProxies: true},
 	journals:  true,
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithTimeout(ctx, kindsLoadTime)
 		defer end()
 		var t tally
@@ -49,21 +49,21 @@
 		if err != nil {
 			return err
 		}
-		wg := w.startRecordedStreams(load, ctx, d, &t)
-		if err := w.injectEngineFaults(ctx); err != nil {
+		wg := h.startRecordedStreams(load, ctx, d, &t)
+		if err := h.injectEngineFaults(ctx); err != nil {
 			return err
 		}
 		wg.Wait()
-		w.note("%s", &t)
+		h.note("%s", &t)
 		if err := t.err(); err != nil {
 			return err
 		}
-		return w.checkDeliveries(d)
+		return h.checkDeliveries(d)
 	},
 }
 
 // startRecordedStreams runs callers that request long completions and record the ID of every event.
-func (w *harness) startRecordedStreams(load, ctx context.Context, d *deliveries, t *tally) *sync.WaitGroup {
+func (h *harness) startRecordedStreams(load, ctx context.Context, d *deliveries, t *tally) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range kindsCallers {
 		wg.Go(func() {
@@ -73,10 +73,10 @@
 				q.onChunk = func(p ferrydemo.Chunk) {
 					ids = append(ids, p.ID)
 					if len(ids) == kindsCutAt {
-						w.cutLastEngine(ctx, delivery{q, ids[len(ids)-1:]}, d.sealer)
+						h.cutLastEngine(ctx, delivery{q, ids[len(ids)-1:]}, d.sealer)
 					}
 				}
-				w.requestCompletion(ctx, q, t)
+				h.requestCompletion(ctx, q, t)
 				d.add(delivery{q, ids})
 			}
 		})
@@ -85,40 +85,41 @@
 }
 
 // injectEngineFaults injects the faults, each into the engine that currently runs the most streams.
-func (w *harness) injectEngineFaults(ctx context.Context) error {
+func (h *harness) injectEngineFaults(ctx context.Context) error {
 	faulted := map[*ferrydemo.Engine]bool{}
 	time.Sleep(kindsFirstFault)
-	killed := w.busiest(ctx, faulted)
+	killed := h.busiest(ctx, faulted)
 	killed.Process.Kill()
-	frozen := w.busiest(ctx, faulted)
-	if err := w.freeze(frozen.Process, 2*kindsDownTime); err != nil {
+	frozen := h.busiest(ctx, faulted)
+	if err := h.freeze(frozen.Process, 2*kindsDownTime); err != nil {
 		return err
 	}
 	time.Sleep(kindsDownTime)
-	if err := w.StartEngine(ctx, killed); err != nil {
+	if err := h.StartEngine(ctx, killed); err != nil {
 		return err
 	}
-	emptied := w.busiest(ctx, faulted)
+	emptied := h.busiest(ctx, faulted)
 	for _, on := range []bool{true, false} {
-		if err := w.PutJSON(ctx, "http://"+emptied.Address+"/admin/faults", map[string]any{"Empty": on}); err != nil {
+		if err := h.PutJSON(ctx, "http://"+emptied.Address+"/admin/faults", map[string]any{"Empty": on}); err != nil {
 			return err
 		}
 	}
-	w.note("%s (%s) killed and restarted, %s (%s) frozen, %s (%s) lost its streams",
+	h.note("%s (%s) killed and restarted, %s (%s) frozen, %s (%s) lost its streams",
 		killed.Name, killed.Accelerator, frozen.Name, frozen.Accelerator, emptied.Name, emptied.Accelerator)
 	return nil
 }
 
-// cutLastEngine cuts the links of the engine that produced the stream's last token; its KV cache stays intact.
-func (w *harness) cutLastEngine(ctx context.Context, d delivery, s *ferrystream.Sealer) {
+// cutLastEngine cuts the links of the engine that produced
+// the stream's last token; its KV cache stays intact.
+func (h *harness) cutLastEngine(ctx context.Context, d delivery, s *ferrystream.Sealer) {
 	stream, tokens, err := d.tokens(s)
 	if err != nil {
 		return
 	}
-	for _, e := range w.Engines {
+	for _, e := range h.Engines {
 		var records []ferrypipeline.Applied
 		short, cancel := context.WithTimeout(ctx, kindsRecordsTimeout)
-		err := w.GetJSON(short, "http://"+e.Address+"/admin/records?stream="+string(stream), &records)
+		err := h.GetJSON(short, "http://"+e.Address+"/admin/records?stream="+string(stream), &records)
 		cancel()
 		if err != nil || len(records) == 0 {
 			continue
@@ -133,15 +134,15 @@
 }
 
 // busiest returns the engine without a fault so far that runs the most streams, and adds it to faulted.
-func (w *harness) busiest(ctx context.Context, faulted map[*ferrydemo.Engine]bool) *ferrydemo.Engine {
+func (h *harness) busiest(ctx context.Context, faulted map[*ferrydemo.Engine]bool) *ferrydemo.Engine {
 	var out *ferrydemo.Engine
 	most := -1
-	for _, e := range w.Engines {
+	for _, e := range h.Engines {
 		if faulted[e] {
 			continue
 		}
 		var load struct{ RunningStreams int }
-		if err := w.GetJSON(ctx, "http://"+e.Address+"/v1/load", &load); err != nil {
+		if err := h.GetJSON(ctx, "http://"+e.Address+"/v1/load", &load); err != nil {
 			continue
 		}
 		if load.RunningStreams > most {
@@ -199,8 +200,8 @@
 
 // checkDeliveries checks every token that a caller received
 // against the layers that the engines recorded as applied.
-func (w *harness) checkDeliveries(d *deliveries) error {
-	records, total, err := w.readJournals()
+func (h *harness) checkDeliveries(d *deliveries) error {
+	records, total, err := h.readJournals()
 	if err != nil {
 		return err
 	}
@@ -219,18 +220,18 @@
 		}
 		tokens += len(delivered)
 	}
-	w.note("%d streams, %d tokens, %d layer applications, each token's %d layers once and in order; %d wasted, %d for rebuilding KV caches",
+	h.note("%d streams, %d tokens, %d layer applications, each token's %d layers once and in order; %d wasted, %d for rebuilding KV caches",
 		len(d.all), tokens, total, ferrydemo.Layers, c.Wasted, c.Prefill)
-	return w.countRecoveries(records)
+	return h.countRecoveries(records)
 }
 
 // readJournals returns the applied layers by stream from the journals
 // of all engines, including killed ones, and their number.
-func (w *harness) readJournals() (map[ferryid.StreamID][]ferrypipeline.Applied, int, error) {
+func (h *harness) readJournals() (map[ferryid.StreamID][]ferrypipeline.Applied, int, error) {
 	out := map[ferryid.StreamID][]ferrypipeline.Applied{}
 	total := 0
-	for _, e := range w.Engines {
-		b, err := os.ReadFile(filepath.Join(w.Journals, e.Name))
+	for _, e := range h.Engines {
+		b, err := os.ReadFile(filepath.Join(h.Journals, e.Name))
 		if err != nil {
 			return nil, 0, err
 		}
@@ -249,7 +250,7 @@
 
 // countRecoveries counts the later epochs that continued from
 // a moved KV cache and those that rebuilt it from the history.
-func (w *harness) countRecoveries(records map[ferryid.StreamID][]ferrypipeline.Applied) error {
+func (h *harness) countRecoveries(records map[ferryid.StreamID][]ferrypipeline.Applied) error {
 	moved, rebuilt := 0, 0
 	for _, rs := range records {
 		first := map[ferryid.Epoch]ferryid.Position{}
@@ -267,7 +268,7 @@
 			}
 		}
 	}
-	w.note("recoveries: %d by moving the KV cache, %d by rebuilding it", moved, rebuilt)
+	h.note("recoveries: %d by moving the KV cache, %d by rebuilding it", moved, rebuilt)
 	if moved == 0 || rebuilt == 0 {
 		return fmt.Errorf("inconclusive: only one of the two ways of recovery occurred")
 	}
--- a/ferrystand/ferryproof/layers.go
+++ b/ferrystand/ferryproof/layers.go
@@ -20,38 +20,38 @@
 	Guarantee: "every layer runs once for each token, in order",
 	Faults:    "one engine killed, one frozen and resumed, one restarted empty, under load",
 	size:      ferrydemo.Config{Engines: 8, Entries: 3},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithTimeout(ctx, loadTime)
 		defer end()
 		var t tally
-		wg := w.streams(load, ctx, loadCallers, loadTokens, &t)
-		w.Engines[0].Process.Kill()
+		wg := h.startStreams(load, ctx, loadCallers, loadTokens, &t)
+		h.Engines[0].Process.Kill()
 		time.Sleep(loadTime / 6)
-		if err := w.Engines[3].Process.Signal(syscall.SIGSTOP); err != nil {
+		if err := h.Engines[3].Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 		time.Sleep(loadTime / 2)
-		if err := w.Engines[3].Process.Signal(syscall.SIGCONT); err != nil {
+		if err := h.Engines[3].Process.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
-		if err := w.StartEngine(ctx, w.Engines[0]); err != nil {
+		if err := h.StartEngine(ctx, h.Engines[0]); err != nil {
 			return err
 		}
 		wg.Wait()
-		w.note("%s", &t)
+		h.note("%s", &t)
 		if err := t.err(); err != nil {
 			return err
 		}
 		if t.complete == 0 {
 			return fmt.Errorf("inconclusive: no answer was complete")
 		}
-		return w.checkRecords(ctx)
+		return h.checkRecords(ctx)
 	},
 }
 
 // checkRecords checks the records of all engines: within one
 // epoch of a stream no layer is applied twice at a position.
-func (w *harness) checkRecords(ctx context.Context) error {
+func (h *harness) checkRecords(ctx context.Context) error {
 	type record struct {
 		Stream   string
 		Epoch    int
@@ -65,9 +65,9 @@
 	}
 	total := 0
 	seen := map[at]map[int]string{}
-	for _, e := range w.Engines {
+	for _, e := range h.Engines {
 		var records []record
-		if err := w.GetJSON(ctx, "http://"+e.Address+"/admin/records", &records); err != nil {
+		if err := h.GetJSON(ctx, "http://"+e.Address+"/admin/records", &records); err != nil {
 			return err
 		}
 		for _, r := range records {
@@ -82,6 +82,6 @@
 			total++
 		}
 	}
-	w.note("%d layer applications recorded, none twice in an epoch", total)
+	h.note("%d layer applications recorded, none twice in an epoch", total)
 	return nil
 }
--- a/ferrystand/ferryproof/load.go
+++ b/ferrystand/ferryproof/load.go
@@ -58,23 +58,24 @@
 	return errors.New(t.failures[0])
 }
 
-// streams starts callers that request one completion after another
+// startStreams starts callers that request one completion after another
 // until the load context ends; requests in progress are completed.
-func (w *harness) streams(load, ctx context.Context, callers, tokens int, t *tally) *sync.WaitGroup {
+func (h *harness) startStreams(load, ctx context.Context, callers, tokens int, t *tally) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
 			for n := 0; load.Err() == nil; n++ {
-				w.stream(ctx, i+n, fmt.Sprintf("caller %d asks question %d", i, n), tokens, t)
+				h.stream(ctx, i+n, fmt.Sprintf("caller %d asks question %d", i, n), tokens, t)
 			}
 		})
 	}
 	return &wg
 }
 
-// stream requests one completion as the first customer and resumes it at the next entry until it is complete.
-func (w *harness) stream(ctx context.Context, at int, prompt string, tokens int, t *tally) {
-	w.requestCompletion(ctx, completion{key: ferrydemo.CustomerKey, index: at, prompt: prompt, tokens: tokens}, t)
+// stream requests one completion as the first customer
+// and resumes it at the next entry until it is complete.
+func (h *harness) stream(ctx context.Context, at int, prompt string, tokens int, t *tally) {
+	h.requestCompletion(ctx, completion{key: ferrydemo.CustomerKey, index: at, prompt: prompt, tokens: tokens}, t)
 }
 
 // completion is one completion request of a customer.
@@ -99,11 +100,11 @@
 
 // requestCompletion sends a request, resumes it at the next entry whenever its
 // stream breaks or goes silent, and compares the text with the expected one.
-func (w *harness) requestCompletion(ctx context.Context, q completion, t *tally) {
+func (h *harness) requestCompletion(ctx context.Context, q completion, t *tally) {
 	var text strings.Builder
 	last := ""
 	for try := 0; ctx.Err() == nil; try++ {
-		c := w.Caller(w.Entries[(q.index+try)%len(w.Entries)].CallerAddress, q.key)
+		c := h.Caller(h.Entries[(q.index+try)%len(h.Entries)].CallerAddress, q.key)
 		if try == 0 && q.firstAddress != "" {
 			c.Entry = q.firstAddress
 		}
@@ -197,35 +198,35 @@
 const ration = `{"Kilograms":2}`
 
 // post sends one ration change with an idempotency key to an entry.
-func (w *harness) post(ctx context.Context, entry int, key string) plainCall {
-	return w.send(ctx, entry, key, ration, http.Header{"Idempotency-Key": {key}})
+func (h *harness) post(ctx context.Context, entry int, key string) plainCall {
+	return h.send(ctx, entry, key, ration, http.Header{"Idempotency-Key": {key}})
 }
 
 // send sends one ration change with the given headers to an entry.
-func (w *harness) send(ctx context.Context, entry int, key, body string, header http.Header) plainCall {
-	return w.sendTo(ctx, entry, "417", key, body, header)
+func (h *harness) send(ctx context.Context, entry int, key, body string, header http.Header) plainCall {
+	return h.sendTo(ctx, entry, "417", key, body, header)
 }
 
 // sendTo sends a change of one cow's ration to an entry, with a time limit of postTimeout.
-func (w *harness) sendTo(ctx context.Context, entry int, cow, key, body string, header http.Header) plainCall {
+func (h *harness) sendTo(ctx context.Context, entry int, cow, key, body string, header http.Header) plainCall {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
-	c := w.Caller(w.Entries[entry%len(w.Entries)].CallerAddress, ferrydemo.CustomerKey)
-	status, h, body, err := c.Do(ctx, http.MethodPost, "/v1/services/"+ferrydemo.PlainService+"/rations/"+cow, body, header)
+	c := h.Caller(h.Entries[entry%len(h.Entries)].CallerAddress, ferrydemo.CustomerKey)
+	status, answerHeader, body, err := c.Do(ctx, http.MethodPost, "/v1/services/"+ferrydemo.PlainService+"/rations/"+cow, body, header)
 	out := plainCall{key: key, status: status, err: err, body: body}
 	if status >= http.StatusBadRequest {
 		out.detail = problemText(body)
 	}
-	if h != nil {
-		out.outcome = h.Get("Outcome")
+	if answerHeader != nil {
+		out.outcome = answerHeader.Get("Outcome")
 	}
 	return out
 }
 
-// runs returns the number of runs of each key at the plain service.
-func (w *harness) runs(ctx context.Context) (map[string]int, error) {
+// runsByKey returns the number of runs of each key at the plain service.
+func (h *harness) runsByKey(ctx context.Context) (map[string]int, error) {
 	var records []struct{ IdempotencyKey string }
-	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
+	if err := h.GetJSON(ctx, "http://"+h.PlainAddress+"/admin/records", &records); err != nil {
 		return nil, err
 	}
 	out := map[string]int{}
--- a/ferrystand/ferryproof/marks.go
+++ b/ferrystand/ferryproof/marks.go
@@ -14,12 +14,12 @@
 const leaveLimit = 5 * time.Second
 
 // waitLeaving waits until the entries report an engine as leaving, or no longer as leaving.
-func (w *harness) waitLeaving(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, leaving bool, limit time.Duration) error {
+func (h *harness) waitLeaving(ctx context.Context, entries []*ferrydemo.Entry, e *ferrydemo.Engine, leaving bool, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for _, entry := range entries {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
-			got, err := w.reportsLeaving(ctx, entry, e)
+			got, err := h.reportsLeaving(ctx, entry, e)
 			if err == nil && got != leaving {
 				err = fmt.Errorf("%s reports engine %s as leaving: %t", entry.Name, e.Name, got)
 			}
@@ -33,8 +33,8 @@
 }
 
 // reportsLeaving reports whether an entry's status shows an engine as leaving.
-func (w *harness) reportsLeaving(ctx context.Context, entry *ferrydemo.Entry, e *ferrydemo.Engine) (bool, error) {
-	s, err := w.Status(ctx, entry)
+func (h *harness) reportsLeaving(ctx context.Context, entry *ferrydemo.Entry, e *ferrydemo.Engine) (bool, error) {
+	s, err := h.Status(ctx, entry)
 	if err != nil {
 		return false, err
 	}
@@ -49,12 +49,12 @@
 }
 
 // setDrain drains or undrains an engine with ferryctl, at the first entry that answers.
-func (w *harness) setDrain(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
+func (h *harness) setDrain(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
 	command := "drain"
 	if !leaving {
 		command = "undrain"
 	}
-	out, err := w.Ctl(ctx, command, ferrydemo.ModelService, e.Name, "--operator", "morning")
+	out, err := h.Ctl(ctx, command, ferrydemo.ModelService, e.Name, "--operator", "morning")
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
--- a/ferrystand/ferryproof/once.go
+++ b/ferrystand/ferryproof/once.go
@@ -42,87 +42,87 @@
 	Guarantee: "a non-idempotent call runs at most once",
 	Faults:    "the same key at all entries concurrently, entries killed, platform answers lost and late, platform down before, during and after calls, tickets of stopped and killed entries",
 	size:      ferrydemo.Config{Engines: 2, Entries: 3},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		l := newCallLog()
-		w.burst(ctx, l, "plain")
-		if err := w.platformFaults(ctx, map[string]any{"LoseAnswers": 5, "LateEffectMS": 300}); err != nil {
+		h.burst(ctx, l, "plain")
+		if err := h.platformFaults(ctx, map[string]any{"LoseAnswers": 5, "LateEffectMS": 300}); err != nil {
 			return err
 		}
-		w.burst(ctx, l, "lost")
+		h.burst(ctx, l, "lost")
 		for n := range killBursts {
-			if err := w.killInBurst(ctx, l, fmt.Sprintf("killed-%d", n)); err != nil {
+			if err := h.killInBurst(ctx, l, fmt.Sprintf("killed-%d", n)); err != nil {
 				return err
 			}
 		}
-		if err := w.outageBursts(ctx, l); err != nil {
+		if err := h.outageBursts(ctx, l); err != nil {
 			return err
 		}
-		if err := w.reuseKey(ctx); err != nil {
+		if err := h.reuseKey(ctx); err != nil {
 			return err
 		}
-		if err := w.tickets(ctx); err != nil {
+		if err := h.checkTickets(ctx); err != nil {
 			return err
 		}
-		return w.settle(ctx, l)
+		return h.settle(ctx, l)
 	},
 }
 
 // burst sends each of burstKeys keys to all entries concurrently.
-func (w *harness) burst(ctx context.Context, l *callLog, name string) {
+func (h *harness) burst(ctx context.Context, l *callLog, name string) {
 	var wg sync.WaitGroup
 	for n := range burstKeys {
-		for e := range w.Entries {
-			wg.Go(func() { l.add(w.post(ctx, e, fmt.Sprintf("%s-%d", name, n))) })
+		for e := range h.Entries {
+			wg.Go(func() { l.add(h.post(ctx, e, fmt.Sprintf("%s-%d", name, n))) })
 		}
 	}
 	wg.Wait()
 }
 
 // killInBurst kills an entry at a random time during a burst and restarts it.
-func (w *harness) killInBurst(ctx context.Context, l *callLog, name string) error {
-	e := w.Entries[w.rand.IntN(len(w.Entries))]
-	after := time.Duration(w.rand.Int64N(int64(killWindow)))
+func (h *harness) killInBurst(ctx context.Context, l *callLog, name string) error {
+	e := h.Entries[h.rand.IntN(len(h.Entries))]
+	after := time.Duration(h.rand.Int64N(int64(killWindow)))
 	killed := make(chan struct{})
 	time.AfterFunc(after, func() {
 		e.Process.Kill()
 		close(killed)
 	})
-	w.burst(ctx, l, name)
+	h.burst(ctx, l, name)
 	<-killed
-	w.note("%s killed %s into a burst", e.Name, after.Round(time.Millisecond))
-	return w.StartEntry(ctx, e)
+	h.note("%s killed %s into a burst", e.Name, after.Round(time.Millisecond))
+	return h.StartEntry(ctx, e)
 }
 
 // outageBursts sends bursts with a platform outage before, during and after the calls.
-func (w *harness) outageBursts(ctx context.Context, l *callLog) error {
-	if err := w.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
+func (h *harness) outageBursts(ctx context.Context, l *callLog) error {
+	if err := h.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
 		return err
 	}
-	w.burst(ctx, l, "down-before")
-	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
+	h.burst(ctx, l, "down-before")
+	if err := h.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
 	errs := make(chan error, 1)
-	time.AfterFunc(outageDelay, func() { errs <- w.platformFaults(ctx, map[string]any{"Outage": true}) })
-	w.burst(ctx, l, "down-during")
+	time.AfterFunc(outageDelay, func() { errs <- h.platformFaults(ctx, map[string]any{"Outage": true}) })
+	h.burst(ctx, l, "down-during")
 	if err := <-errs; err != nil {
 		return err
 	}
-	if err := w.platformFaults(ctx, map[string]any{}); err != nil {
+	if err := h.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	w.burst(ctx, l, "down-after")
-	if err := w.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
+	h.burst(ctx, l, "down-after")
+	if err := h.platformFaults(ctx, map[string]any{"Outage": true}); err != nil {
 		return err
 	}
 	// A retry during the outage is answered from the entries' own state and must not run a call again.
-	w.burst(ctx, l, "down-after")
-	return w.platformFaults(ctx, map[string]any{})
+	h.burst(ctx, l, "down-after")
+	return h.platformFaults(ctx, map[string]any{})
 }
 
 // retryPastOutage repeats a call while it is refused because the entry
 // still considers the platform down, as it may shortly after an outage.
-func (w *harness) retryPastOutage(ctx context.Context, call func() plainCall) (plainCall, error) {
+func (h *harness) retryPastOutage(ctx context.Context, call func() plainCall) (plainCall, error) {
 	ctx, cancel := context.WithTimeout(ctx, outageLimit)
 	defer cancel()
 	for {
@@ -139,14 +139,14 @@
 }
 
 // reuseKey sends a used key with another body, which must be refused.
-func (w *harness) reuseKey(ctx context.Context) error {
+func (h *harness) reuseKey(ctx context.Context) error {
 	const key = "reused"
-	if _, err := w.retryUntil(ctx, "Ran", func(n int) plainCall { return w.post(ctx, n, key) }); err != nil {
+	if _, err := h.retryUntil(ctx, "Ran", func(n int) plainCall { return h.post(ctx, n, key) }); err != nil {
 		return err
 	}
-	for e := range w.Entries {
-		c, err := w.retryPastOutage(ctx, func() plainCall {
-			return w.send(ctx, e, key, `{"Kilograms":9}`, http.Header{"Idempotency-Key": {key}})
+	for e := range h.Entries {
+		c, err := h.retryPastOutage(ctx, func() plainCall {
+			return h.send(ctx, e, key, `{"Kilograms":9}`, http.Header{"Idempotency-Key": {key}})
 		})
 		if err != nil {
 			return err
@@ -155,16 +155,16 @@
 			return fmt.Errorf("key reused with another body: expected 422 and NotRun, got %d %s %s", c.status, c.reported(), c.detail)
 		}
 	}
-	runs, err := w.runs(ctx)
+	runs, err := h.runsByKey(ctx)
 	if err == nil && runs[key] != 1 {
 		err = fmt.Errorf("key %s ran %d times, expected 1", key, runs[key])
 	}
-	w.note("a key reused with another body: refused at %d entries", len(w.Entries))
+	h.note("a key reused with another body: refused at %d entries", len(h.Entries))
 	return err
 }
 
-// ticket requests a ticket for the plain service from an entry.
-func (w *harness) ticket(ctx context.Context, e *ferrydemo.Entry) (string, error) {
+// requestTicket requests a ticket for the plain service from an entry.
+func (h *harness) requestTicket(ctx context.Context, e *ferrydemo.Entry) (string, error) {
 	c := ferrydemo.Caller{Entry: e.CallerAddress, Key: ferrydemo.CustomerKey}
 	status, _, body, err := c.Do(ctx, http.MethodPost, "/v1/tickets?service="+ferrydemo.PlainService, "", nil)
 	if err != nil {
@@ -177,8 +177,8 @@
 	return t.Ticket, nil
 }
 
-// tickets uses tickets issued by an entry that then had a planned stop, and by one that was killed.
-func (w *harness) tickets(ctx context.Context) error {
+// checkTickets uses tickets issued by an entry that then had a planned stop, and by one that was killed.
+func (h *harness) checkTickets(ctx context.Context) error {
 	for _, tt := range []struct {
 		name string
 		stop func(e *ferrydemo.Entry) error
@@ -188,8 +188,8 @@
 		{"stopped", func(e *ferrydemo.Entry) error { return e.Process.Terminate(ctx) }, "Ran", 1},
 		{"killed", func(e *ferrydemo.Entry) error { e.Process.Kill(); return nil }, "Unknown", 0},
 	} {
-		e := w.Entries[0]
-		t, err := w.ticket(ctx, e)
+		e := h.Entries[0]
+		t, err := h.requestTicket(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -198,20 +198,20 @@
 		}
 		key := "ticket-of-" + tt.name
 		header := http.Header{"Ticket": {t}}
-		c, err := w.retryUntil(ctx, tt.want, func(n int) plainCall { return w.sendTo(ctx, 1+n%2, key, key, ration, header) })
+		c, err := h.retryUntil(ctx, tt.want, func(n int) plainCall { return h.sendTo(ctx, 1+n%2, key, key, ration, header) })
 		if err != nil {
 			return fmt.Errorf("ticket of a %s entry: %w", tt.name, err)
 		}
-		again := w.sendTo(ctx, 2, key, key, ration, header)
-		runs, err := w.runsOf(ctx, key)
+		again := h.sendTo(ctx, 2, key, key, ration, header)
+		runs, err := h.runsOfCow(ctx, key)
 		if err != nil {
 			return err
 		}
-		w.note("a ticket of a %s entry: %s, on a retry %s, %d executions", tt.name, c.reported(), again.reported(), runs)
+		h.note("a ticket of a %s entry: %s, on a retry %s, %d runs", tt.name, c.reported(), again.reported(), runs)
 		if runs != tt.runs {
 			return fmt.Errorf("ticket of a %s entry ran %d times, expected %d", tt.name, runs, tt.runs)
 		}
-		if err := w.StartEntry(ctx, e); err != nil {
+		if err := h.StartEntry(ctx, e); err != nil {
 			return err
 		}
 	}
@@ -219,7 +219,7 @@
 }
 
 // retryUntil repeats a call until it reports the expected outcome.
-func (w *harness) retryUntil(ctx context.Context, want string, call func(n int) plainCall) (plainCall, error) {
+func (h *harness) retryUntil(ctx context.Context, want string, call func(n int) plainCall) (plainCall, error) {
 	var c plainCall
 	limit := time.Now().Add(settleTime)
 	for n := 0; time.Now().Before(limit) && ctx.Err() == nil; n++ {
@@ -232,10 +232,10 @@
 	return c, fmt.Errorf("expected outcome %s, got %s: %d %s %v", want, c.reported(), c.status, c.detail, c.err)
 }
 
-// runsOf returns the number of runs for one cow's ration.
-func (w *harness) runsOf(ctx context.Context, cow string) (int, error) {
+// runsOfCow returns the number of runs for one cow's ration.
+func (h *harness) runsOfCow(ctx context.Context, cow string) (int, error) {
 	var records []struct{ Path string }
-	if err := w.GetJSON(ctx, "http://"+w.PlainAddress+"/admin/records", &records); err != nil {
+	if err := h.GetJSON(ctx, "http://"+h.PlainAddress+"/admin/records", &records); err != nil {
 		return 0, err
 	}
 	n := 0
@@ -249,12 +249,12 @@
 
 // settle retries every key until its outcome is final, Ran or Unknown,
 // and checks all reported outcomes against the recorded runs.
-func (w *harness) settle(ctx context.Context, l *callLog) error {
-	first, err := w.checkOutcomes(ctx, l)
+func (h *harness) settle(ctx context.Context, l *callLog) error {
+	first, err := h.checkOutcomes(ctx, l)
 	if err != nil {
 		return err
 	}
-	w.note("%d keys at %d entries, before retries: %v", len(l.calls), len(w.Entries), first)
+	h.note("%d keys at %d entries, before retries: %v", len(l.calls), len(h.Entries), first)
 	ends := map[string]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -263,7 +263,7 @@
 		n++
 		at := n
 		wg.Go(func() {
-			end := w.settleKey(ctx, l, at, key)
+			end := h.settleKey(ctx, l, at, key)
 			mu.Lock()
 			defer mu.Unlock()
 			ends[end]++
@@ -273,18 +273,18 @@
 		}
 	}
 	wg.Wait()
-	if _, err := w.checkOutcomes(ctx, l); err != nil {
+	if _, err := h.checkOutcomes(ctx, l); err != nil {
 		return err
 	}
-	w.note("after retries: %d keys ran, %d refused as NotRun, %d Unknown, %d without a final outcome; none ran twice", ends["Ran"], ends["NotRun"], ends["Unknown"], ends["no answer"])
+	h.note("after retries: %d keys ran, %d refused as NotRun, %d Unknown, %d without a final outcome; none ran twice", ends["Ran"], ends["NotRun"], ends["Unknown"], ends["no answer"])
 	return nil
 }
 
-func (w *harness) settleKey(ctx context.Context, l *callLog, at int, key string) string {
+func (h *harness) settleKey(ctx context.Context, l *callLog, at int, key string) string {
 	last := plainCall{}
 	limit := time.Now().Add(settleTime)
 	for n := at; time.Now().Before(limit) && ctx.Err() == nil; n++ {
-		last = w.post(ctx, n, key)
+		last = h.post(ctx, n, key)
 		l.add(last)
 		inProgress := last.reported() == "Unknown" && last.status == http.StatusConflict
 		if last.reported() == "Ran" || (last.reported() == "Unknown" && !inProgress) {
@@ -296,10 +296,10 @@
 }
 
 // checkOutcomes checks all outcomes reported for each key against the recorded runs, and counts them.
-func (w *harness) checkOutcomes(ctx context.Context, l *callLog) (map[string]int, error) {
+func (h *harness) checkOutcomes(ctx context.Context, l *callLog) (map[string]int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	runs, err := w.runs(ctx)
+	runs, err := h.runsByKey(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/ferrystand/ferryproof/order.go
+++ b/ferrystand/ferryproof/order.go
@@ -23,27 +23,27 @@
 	Guarantee: "no engine ends in a state other than that of the current document",
 	Faults:    "the lease holder frozen past the end of its lease, its successor acts on a newer document, the old holder resumed; one engine ignores fencing numbers",
 	size:      ferrydemo.Config{Engines: 4, Entries: 3},
-	run: func(ctx context.Context, w *harness) error {
-		err := w.PutJSON(ctx, "http://"+w.Engines[0].Address+"/admin/faults", map[string]any{"IgnoreFencing": true})
+	run: func(ctx context.Context, h *harness) error {
+		err := h.PutJSON(ctx, "http://"+h.Engines[0].Address+"/admin/faults", map[string]any{"IgnoreFencing": true})
 		if err != nil {
 			return err
 		}
-		if err := w.waitVersion(ctx, "1"); err != nil {
+		if err := h.waitVersion(ctx, "1"); err != nil {
 			return err
 		}
-		holder, err := w.leaseHolder(ctx)
+		holder, err := h.leaseHolder(ctx)
 		if err != nil {
 			return err
 		}
-		w.note("%s holds the lease and is frozen", holder.Name)
+		h.note("%s holds the lease and is frozen", holder.Name)
 		if err := holder.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 		frozen := time.Now()
-		if err := w.applyVersion(ctx, holder, "2"); err != nil {
+		if err := h.applyVersion(ctx, holder, "2"); err != nil {
 			return err
 		}
-		if err := w.waitVersion(ctx, "2"); err != nil {
+		if err := h.waitVersion(ctx, "2"); err != nil {
 			return err
 		}
 		if rest := holderFreezeTime - time.Since(frozen); rest > 0 {
@@ -52,20 +52,20 @@
 		if err := holder.Process.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
-		w.note("%s resumed", holder.Name)
+		h.note("%s resumed", holder.Name)
 		time.Sleep(holderResumedTime)
-		return w.waitVersion(ctx, "2")
+		return h.waitVersion(ctx, "2")
 	},
 }
 
 // leaseHolder returns the entry whose incarnation is the holder in the lease object.
-func (w *harness) leaseHolder(ctx context.Context) (*ferrydemo.Entry, error) {
+func (h *harness) leaseHolder(ctx context.Context) (*ferrydemo.Entry, error) {
 	var record struct{ Holder string }
-	if err := w.GetJSON(ctx, "http://"+w.PlatformAddress+leaseObject, &record); err != nil {
+	if err := h.GetJSON(ctx, "http://"+h.PlatformAddress+leaseObject, &record); err != nil {
 		return nil, err
 	}
-	for _, e := range w.Entries {
-		s, err := w.Status(ctx, e)
+	for _, e := range h.Entries {
+		s, err := h.Status(ctx, e)
 		if err == nil && s.Incarnation == record.Holder {
 			return e, nil
 		}
@@ -74,28 +74,28 @@
 }
 
 // applyVersion applies a document with another model version, through an entry that is not frozen.
-func (w *harness) applyVersion(ctx context.Context, frozen *ferrydemo.Entry, version string) error {
-	text := strings.Replace(w.ModelDocument(128), `Version = "1"`, fmt.Sprintf("Version = %q", version), 1)
-	all := w.Entries
-	defer func() { w.Entries = all }()
-	w.Entries = nil
+func (h *harness) applyVersion(ctx context.Context, frozen *ferrydemo.Entry, version string) error {
+	text := strings.Replace(h.ModelDocument(128), `Version = "1"`, fmt.Sprintf("Version = %q", version), 1)
+	all := h.Entries
+	defer func() { h.Entries = all }()
+	h.Entries = nil
 	for _, e := range all {
 		if e != frozen {
-			w.Entries = append(w.Entries, e)
+			h.Entries = append(h.Entries, e)
 		}
 	}
-	return w.apply(ctx, ferrydemo.ModelService, text, 1, "afternoon")
+	return h.apply(ctx, ferrydemo.ModelService, text, 1, "afternoon")
 }
 
 // waitVersion waits until every engine has loaded the version.
-func (w *harness) waitVersion(ctx context.Context, version string) error {
+func (h *harness) waitVersion(ctx context.Context, version string) error {
 	ctx, cancel := context.WithTimeout(ctx, orderLimit)
 	defer cancel()
 	began := time.Now()
-	for _, e := range w.Engines {
+	for _, e := range h.Engines {
 		err := ferryprocess.Poll(ctx, func(ctx context.Context) error {
 			var load struct{ Version string }
-			if err := w.GetJSON(ctx, "http://"+e.Address+"/v1/load", &load); err != nil {
+			if err := h.GetJSON(ctx, "http://"+e.Address+"/v1/load", &load); err != nil {
 				return err
 			}
 			if load.Version != version {
@@ -107,6 +107,6 @@
 			return err
 		}
 	}
-	w.note("all %d engines have loaded version %s after %s", len(w.Engines), version, time.Since(began).Round(time.Millisecond))
+	h.note("all %d engines have loaded version %s after %s", len(h.Engines), version, time.Since(began).Round(time.Millisecond))
 	return nil
 }
--- a/ferrystand/ferryproof/proof.go
+++ b/ferrystand/ferryproof/proof.go
@@ -24,12 +24,12 @@
 	Guarantee string
 	// Faults describes the injected faults.
 	Faults string
-	run    func(ctx context.Context, w *harness) error
+	run    func(ctx context.Context, h *harness) error
 	size   ferrydemo.Config
 	// journals makes engines write their steps to files that remain readable after a kill.
 	journals bool
 	// prepare, if set, runs before any process is started.
-	prepare func(w *harness) error
+	prepare func(h *harness) error
 }
 
 // Cases are all cases, in the order of the guarantees in the requirements.
@@ -52,15 +52,15 @@
 	rand  *rand.Rand
 	dir   string
 	notes []string
-	// authorities and served are used by the TLS case only.
+	// authorities and tlsRounds are used by the TLS case only.
 	authorities authorities
 	tlsRounds   int
 }
 
-func (w *harness) note(format string, args ...any) {
+func (h *harness) note(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
-	w.notes = append(w.notes, line)
-	fmt.Fprintln(w.out, "   ", line)
+	h.notes = append(h.notes, line)
+	fmt.Fprintln(h.out, "   ", line)
 }
 
 // Run runs one case with a new fleet, with the programs of the given directory.
@@ -68,59 +68,59 @@
 	ctx, cancel := context.WithTimeout(ctx, caseTimeout)
 	defer cancel()
 	began := time.Now()
-	w := &harness{out: out, rand: rand.New(rand.NewPCG(seed, 0))}
-	err := c.runWithFleet(ctx, w, programs)
-	return Report{Case: c, Took: time.Since(began), Notes: w.notes, Err: err}
+	h := &harness{out: out, rand: rand.New(rand.NewPCG(seed, 0))}
+	err := c.runWithFleet(ctx, h, programs)
+	return Report{Case: c, Took: time.Since(began), Notes: h.notes, Err: err}
 }
 
-func (c Case) runWithFleet(ctx context.Context, w *harness, programs string) (err error) {
+func (c Case) runWithFleet(ctx context.Context, h *harness, programs string) (err error) {
 	size := c.size
 	size.Dir = programs
-	w.Fleet, err = ferrydemo.New(size)
+	h.Fleet, err = ferrydemo.New(size)
 	if err != nil {
 		return err
 	}
-	defer w.KillAll()
-	w.dir, err = os.MkdirTemp("", "cactusferry-proof")
+	defer h.KillAll()
+	h.dir, err = os.MkdirTemp("", "cactusferry-proof")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(w.dir)
+	defer os.RemoveAll(h.dir)
 	if c.journals {
-		w.Journals = w.dir
+		h.Journals = h.dir
 	}
 	if c.prepare != nil {
-		if err := c.prepare(w); err != nil {
+		if err := c.prepare(h); err != nil {
 			return err
 		}
 	}
-	if err := w.startFleet(ctx); err != nil {
+	if err := h.startFleet(ctx); err != nil {
 		return err
 	}
-	return c.run(ctx, w)
+	return c.run(ctx, h)
 }
 
 // startFleet starts all processes, applies both documents and waits until they are in force.
-func (w *harness) startFleet(ctx context.Context) error {
-	if err := w.StartUpstreams(ctx); err != nil {
+func (h *harness) startFleet(ctx context.Context) error {
+	if err := h.StartUpstreams(ctx); err != nil {
 		return err
 	}
-	for _, e := range w.Entries {
-		if err := w.StartEntry(ctx, e); err != nil {
+	for _, e := range h.Entries {
+		if err := h.StartEntry(ctx, e); err != nil {
 			return err
 		}
 	}
-	if err := w.WaitMembers(ctx); err != nil {
+	if err := h.WaitMembers(ctx); err != nil {
 		return err
 	}
-	if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(128), 0, "morning"); err != nil {
+	if err := h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(128), 0, "morning"); err != nil {
 		return err
 	}
-	if err := w.apply(ctx, ferrydemo.PlainService, w.PlainDocument(), 0, "morning"); err != nil {
+	if err := h.apply(ctx, ferrydemo.PlainService, h.PlainDocument(), 0, "morning"); err != nil {
 		return err
 	}
 	for _, s := range []string{ferrydemo.ModelService, ferrydemo.PlainService} {
-		if err := w.WaitInForce(ctx, s, 1); err != nil {
+		if err := h.WaitInForce(ctx, s, 1); err != nil {
 			return err
 		}
 	}
@@ -128,21 +128,21 @@
 }
 
 // apply applies a document with ferryctl.
-func (w *harness) apply(ctx context.Context, service, text string, base int, operator string) error {
-	file := filepath.Join(w.dir, fmt.Sprintf("%s-%s-%d.toml", service, operator, base))
+func (h *harness) apply(ctx context.Context, service, text string, base int, operator string) error {
+	file := filepath.Join(h.dir, fmt.Sprintf("%s-%s-%d.toml", service, operator, base))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	out, err := w.Ctl(ctx, "apply", file, "--base", fmt.Sprint(base), "--operator", operator)
+	out, err := h.Ctl(ctx, "apply", file, "--base", fmt.Sprint(base), "--operator", operator)
 	return merry.Prepend(err, strings.TrimSpace(out))
 }
 
 // platformFaults sets the platform stand-in's faults.
-func (w *harness) platformFaults(ctx context.Context, faults map[string]any) error {
-	return w.PutJSON(ctx, "http://"+w.PlatformAddress+"/admin/faults", faults)
+func (h *harness) platformFaults(ctx context.Context, faults map[string]any) error {
+	return h.PutJSON(ctx, "http://"+h.PlatformAddress+"/admin/faults", faults)
 }
 
 // plainFaults sets the plain service's faults.
-func (w *harness) plainFaults(ctx context.Context, faults map[string]any) error {
-	return w.PutJSON(ctx, "http://"+w.PlainAddress+"/admin/faults", faults)
+func (h *harness) plainFaults(ctx context.Context, faults map[string]any) error {
+	return h.PutJSON(ctx, "http://"+h.PlainAddress+"/admin/faults", faults)
 }
--- a/ferrystand/ferryproof/silence.go
+++ b/ferrystand/ferryproof/silence.go
@@ -23,33 +23,33 @@
 	Guarantee: "permanently silent links are replaced, and accepted configuration still reaches every entry",
 	Faults:    "every open link between seven entries permanently silent, three times, while new connections work",
 	size:      ferrydemo.Config{Engines: 2, Entries: 7, PeerProxies: true},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		for n := range silenceRounds {
 			links := 0
-			for _, e := range w.Entries {
+			for _, e := range h.Entries {
 				links += e.Proxy.Silence()
 			}
-			if links < len(w.Entries)-1 {
+			if links < len(h.Entries)-1 {
 				return fmt.Errorf("inconclusive: only %d connections were open", links)
 			}
-			if err := w.apply(ctx, ferrydemo.ModelService, w.ModelDocument(100+n), n+1, "morning"); err != nil {
+			if err := h.apply(ctx, ferrydemo.ModelService, h.ModelDocument(100+n), n+1, "morning"); err != nil {
 				return err
 			}
-			took, err := w.waitGeneration(ctx, w.Entries, n+2, inForceLimit)
+			took, err := h.waitGeneration(ctx, h.Entries, n+2, inForceLimit)
 			if err != nil {
 				return err
 			}
 			mark := time.Now()
-			if err := w.drainAndWait(ctx, w.Engines[n%2], n < 2); err != nil {
+			if err := h.drainAndWait(ctx, h.Engines[n%2], n < 2); err != nil {
 				return err
 			}
-			w.note("%d links silent: a document in force everywhere after %s, an operator's drain after %s", links, took.Round(time.Millisecond), time.Since(mark).Round(time.Millisecond))
-			membership, err := w.waitMembership(ctx, silentLinkLimit)
+			h.note("%d links silent: a document in force everywhere after %s, an operator's drain after %s", links, took.Round(time.Millisecond), time.Since(mark).Round(time.Millisecond))
+			membership, err := h.waitMembership(ctx, silentLinkLimit)
 			if err != nil {
 				return err
 			}
-			w.note("membership complete %s later", membership.Round(time.Millisecond))
-			if err := w.waitSilentClosed(ctx); err != nil {
+			h.note("membership complete %s later", membership.Round(time.Millisecond))
+			if err := h.waitSilentClosed(ctx); err != nil {
 				return err
 			}
 		}
@@ -58,13 +58,13 @@
 }
 
 // waitSilentClosed waits until both ends have closed every silent connection.
-func (w *harness) waitSilentClosed(ctx context.Context) error {
+func (h *harness) waitSilentClosed(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, silentClosedLimit)
 	defer cancel()
 	began := time.Now()
 	err := ferryprocess.Poll(ctx, func(context.Context) error {
 		n := 0
-		for _, e := range w.Entries {
+		for _, e := range h.Entries {
 			n += e.Proxy.Silenced()
 		}
 		if n > 0 {
@@ -72,15 +72,15 @@
 		}
 		return nil
 	})
-	w.note("all silent connections closed by both ends %s later", time.Since(began).Round(time.Millisecond))
+	h.note("all silent connections closed by both ends %s later", time.Since(began).Round(time.Millisecond))
 	return err
 }
 
 // drainAndWait drains or undrains an engine at one entry and waits
 // until the others have learned of it, which only links can carry.
-func (w *harness) drainAndWait(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
-	if err := w.setDrain(ctx, e, leaving); err != nil {
+func (h *harness) drainAndWait(ctx context.Context, e *ferrydemo.Engine, leaving bool) error {
+	if err := h.setDrain(ctx, e, leaving); err != nil {
 		return err
 	}
-	return w.waitLeaving(ctx, w.Entries, e, leaving, silentLinkLimit)
+	return h.waitLeaving(ctx, h.Entries, e, leaving, silentLinkLimit)
 }
--- a/ferrystand/ferryproof/stale.go
+++ b/ferrystand/ferryproof/stale.go
@@ -27,10 +27,10 @@
 	Guarantee: "a planned stop causes no errors for callers that cache an entry list for its lifetime",
 	Faults:    "an entry stopped with the default grace period, while callers use only the first entry of lists fetched before and after, to the end of their lifetime",
 	size:      ferrydemo.Config{Engines: 4, Entries: 3, DefaultGrace: true},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithCancel(ctx)
 		defer end()
-		s := &staleLoad{harness: w, stopped: w.Entries[0]}
+		s := &staleLoad{harness: h, stopped: h.Entries[0]}
 		var wg sync.WaitGroup
 		for i := range staleCallers {
 			wg.Go(func() { s.run(load, ctx, i) })
@@ -47,7 +47,7 @@
 		time.Sleep(staleTailTime)
 		end()
 		wg.Wait()
-		w.note("the entry exited %s after its stop began; %s", took.Round(time.Millisecond), s)
+		h.note("the entry exited %s after its stop began; %s", took.Round(time.Millisecond), s)
 		return s.err()
 	},
 }
--- a/ferrystand/ferryproof/stops.go
+++ b/ferrystand/ferryproof/stops.go
@@ -16,23 +16,23 @@
 	Guarantee: "a planned stop interrupts no request",
 	Faults:    "each of nine entries stopped and restarted under load, then the three of one failure domain concurrently; stops of an entry with a long stream open, the second while the platform is down",
 	size:      ferrydemo.Config{Engines: 6, Entries: 9},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithCancel(ctx)
 		defer end()
 		var t tally
-		wg := w.streams(load, ctx, loadCallers, loadTokens, &t)
-		for _, e := range w.Entries {
-			if err := w.restart(ctx, e); err != nil {
+		wg := h.startStreams(load, ctx, loadCallers, loadTokens, &t)
+		for _, e := range h.Entries {
+			if err := h.restart(ctx, e); err != nil {
 				return err
 			}
 		}
-		w.note("nine entries restarted one after another: %s", &t)
-		errs := make(chan error, len(w.Entries))
+		h.note("nine entries restarted one after another: %s", &t)
+		errs := make(chan error, len(h.Entries))
 		n := 0
-		for _, e := range w.Entries {
-			if e.Domain == w.Entries[0].Domain {
+		for _, e := range h.Entries {
+			if e.Domain == h.Entries[0].Domain {
 				n++
-				go func() { errs <- w.restart(ctx, e) }()
+				go func() { errs <- h.restart(ctx, e) }()
 			}
 		}
 		for range n {
@@ -42,21 +42,22 @@
 		}
 		end()
 		wg.Wait()
-		w.note("then %d of one failure domain concurrently: %s", n, &t)
+		h.note("then %d of one failure domain concurrently: %s", n, &t)
 		if t.resumed > 0 {
 			return fmt.Errorf("planned stops interrupted %d streams", t.resumed)
 		}
 		if err := t.err(); err != nil {
 			return err
 		}
-		return w.stopStragglers(ctx)
+		return h.stopStragglers(ctx)
 	},
 }
 
-// stopStragglers stops an entry that runs a long stream, first with the platform up and then during an outage.
-func (w *harness) stopStragglers(ctx context.Context) error {
+// stopStragglers stops an entry that runs a long stream,
+// first with the platform up and then during an outage.
+func (h *harness) stopStragglers(ctx context.Context) error {
 	for n, outage := range []bool{false, true} {
-		if err := w.platformFaults(ctx, map[string]any{"Outage": outage}); err != nil {
+		if err := h.platformFaults(ctx, map[string]any{"Outage": outage}); err != nil {
 			return err
 		}
 		var t tally
@@ -72,7 +73,7 @@
 		}
 		go func() {
 			defer close(ended)
-			w.requestCompletion(ctx, q, &t)
+			h.requestCompletion(ctx, q, &t)
 		}()
 		select {
 		case <-started:
@@ -80,29 +81,29 @@
 			return ctx.Err()
 		}
 		began := time.Now()
-		if err := w.Entries[n].Process.Terminate(ctx); err != nil {
+		if err := h.Entries[n].Process.Terminate(ctx); err != nil {
 			return err
 		}
 		took := time.Since(began)
 		<-ended
-		w.note("stop with a straggler of %d tokens open, platform down %t: entry exited after %s; %s", stragglerTokens, outage, took.Round(time.Millisecond), &t)
+		h.note("stop with a straggler of %d tokens open, platform down %t: entry exited after %s; %s", stragglerTokens, outage, took.Round(time.Millisecond), &t)
 		if t.resumed > 0 {
 			return fmt.Errorf("planned stop interrupted the straggler's stream")
 		}
 		if err := t.err(); err != nil {
 			return err
 		}
-		if err := w.StartEntry(ctx, w.Entries[n]); err != nil {
+		if err := h.StartEntry(ctx, h.Entries[n]); err != nil {
 			return err
 		}
 	}
-	return w.platformFaults(ctx, map[string]any{})
+	return h.platformFaults(ctx, map[string]any{})
 }
 
 // restart makes a planned stop of an entry and starts it again.
-func (w *harness) restart(ctx context.Context, e *ferrydemo.Entry) error {
+func (h *harness) restart(ctx context.Context, e *ferrydemo.Entry) error {
 	if err := e.Process.Terminate(ctx); err != nil {
 		return err
 	}
-	return w.StartEntry(ctx, e)
+	return h.StartEntry(ctx, e)
 }
--- a/ferrystand/ferryproof/together.go
+++ b/ferrystand/ferryproof/together.go
@@ -29,39 +29,39 @@
 	Guarantee: "all guarantees hold together",
 	Faults:    "random combinations of killed, frozen, stopped and partitioned processes, platform faults and document changes under load",
 	size:      ferrydemo.Config{Engines: 6, Entries: 6, PeerProxies: true, EngineProxies: true, PlainProxy: true},
-	run: func(ctx context.Context, w *harness) error {
+	run: func(ctx context.Context, h *harness) error {
 		load, end := context.WithTimeout(ctx, togetherLoadTime)
 		defer end()
 		var t tally
 		l := newCallLog()
-		wg := w.streams(load, ctx, togetherCallers, togetherTokens, &t)
-		w.posts(load, ctx, wg, l)
-		d := &faultInjector{harness: w, accepted: 1, faults: map[string]int{}}
-		if err := d.inject(load, ctx); err != nil {
+		wg := h.startStreams(load, ctx, togetherCallers, togetherTokens, &t)
+		h.startPosts(load, ctx, wg, l)
+		inj := &faultInjector{harness: h, accepted: 1, faults: map[string]int{}}
+		if err := inj.inject(load, ctx); err != nil {
 			return err
 		}
-		if err := d.repair(ctx); err != nil {
+		if err := inj.repair(ctx); err != nil {
 			return err
 		}
 		wg.Wait()
-		w.note("faults %v", d.faults)
-		w.note("%s", &t)
-		err := errors.Join(t.err(), w.checkRecords(ctx), w.settle(ctx, l))
+		h.note("faults %v", inj.faults)
+		h.note("%s", &t)
+		err := errors.Join(t.err(), h.checkRecords(ctx), h.settle(ctx, l))
 		if err != nil {
 			return err
 		}
-		took, err := w.waitGeneration(ctx, w.Entries, d.accepted, togetherRepairLimit)
-		w.note("generation %d in force at all %d entries, %s after the other checks", d.accepted, len(w.Entries), took.Round(time.Millisecond))
+		took, err := h.waitGeneration(ctx, h.Entries, inj.accepted, togetherRepairLimit)
+		h.note("generation %d in force at all %d entries, %s after the other checks", inj.accepted, len(h.Entries), took.Round(time.Millisecond))
 		return err
 	},
 }
 
-// posts starts callers that send ration changes, each key to two entries, until the load ends.
-func (w *harness) posts(load, ctx context.Context, wg *sync.WaitGroup, l *callLog) {
+// startPosts starts callers that send ration changes, each key to two entries, until the load ends.
+func (h *harness) startPosts(load, ctx context.Context, wg *sync.WaitGroup, l *callLog) {
 	for c := range 2 {
 		wg.Go(func() {
 			for n := 0; load.Err() == nil; n++ {
-				l.add(w.post(ctx, c+n, fmt.Sprintf("together-%d", n)))
+				l.add(h.post(ctx, c+n, fmt.Sprintf("together-%d", n)))
 				time.Sleep(postInterval)
 			}
 		})
@@ -81,109 +81,109 @@
 }
 
 // inject injects faults until the load ends; each choice comes from the seeded generator.
-func (d *faultInjector) inject(load, ctx context.Context) error {
-	d.busy = map[string]bool{}
+func (inj *faultInjector) inject(load, ctx context.Context) error {
+	inj.busy = map[string]bool{}
 	actions := []struct {
 		name string
 		run  func(ctx context.Context)
 	}{
-		{"entry killed", func(ctx context.Context) { d.entry(ctx, "killed") }},
-		{"entry stopped", func(ctx context.Context) { d.entry(ctx, "stopped") }},
-		{"entry frozen", func(ctx context.Context) { d.entry(ctx, "frozen") }},
-		{"engine killed", func(ctx context.Context) { d.engine(ctx, true) }},
-		{"engine frozen", func(ctx context.Context) { d.engine(ctx, false) }},
-		{"links", func(context.Context) { d.changeLinks() }},
-		{"engine links silent", func(context.Context) { d.Engines[d.rand.IntN(len(d.Engines))].Proxy.Silence() }},
-		{"plain links cut", func(context.Context) { d.plainLinks() }},
-		{"platform", d.platform},
-		{"change", d.change},
+		{"entry killed", func(ctx context.Context) { inj.disruptEntry(ctx, "killed") }},
+		{"entry stopped", func(ctx context.Context) { inj.disruptEntry(ctx, "stopped") }},
+		{"entry frozen", func(ctx context.Context) { inj.disruptEntry(ctx, "frozen") }},
+		{"engine killed", func(ctx context.Context) { inj.disruptEngine(ctx, true) }},
+		{"engine frozen", func(ctx context.Context) { inj.disruptEngine(ctx, false) }},
+		{"links", func(context.Context) { inj.changeLinks() }},
+		{"engine links silent", func(context.Context) { inj.Engines[inj.rand.IntN(len(inj.Engines))].Proxy.Silence() }},
+		{"plain links cut", func(context.Context) { inj.changePlainLinks() }},
+		{"platform", inj.disruptPlatform},
+		{"change", inj.change},
 	}
 	for load.Err() == nil {
-		s := actions[d.rand.IntN(len(actions))]
-		d.faults[s.name]++
+		s := actions[inj.rand.IntN(len(actions))]
+		inj.faults[s.name]++
 		s.run(ctx)
 		time.Sleep(faultInterval)
 	}
 	return nil
 }
 
-func (d *faultInjector) fail(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.err == nil {
-		d.err = err
+func (inj *faultInjector) fail(err error) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if inj.err == nil {
+		inj.err = err
 	}
 }
 
-// reserve marks a process as busy, and reports false if it
-// is busy already or if the limit for its kind is reached.
-func (d *faultInjector) reserve(name, kind string, most int) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// reserve marks a process as busy. It returns false if the process is busy already, or
+// as many of its kind as allowed are. Callers allow at most half of a kind at once.
+func (inj *faultInjector) reserve(name, kind string, most int) bool {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
 	n := 0
-	for other := range d.busy {
+	for other := range inj.busy {
 		if len(other) > len(kind) && other[:len(kind)] == kind {
 			n++
 		}
 	}
-	if d.busy[name] || n >= most {
+	if inj.busy[name] || n >= most {
 		return false
 	}
-	d.busy[name] = true
+	inj.busy[name] = true
 	return true
 }
 
-func (d *faultInjector) release(name string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.busy, name)
+func (inj *faultInjector) release(name string) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	delete(inj.busy, name)
 }
 
-func (d *faultInjector) entry(ctx context.Context, how string) {
-	e := d.Entries[d.rand.IntN(len(d.Entries))]
-	if !d.reserve(e.Name, "entry", len(d.Entries)/2) {
+func (inj *faultInjector) disruptEntry(ctx context.Context, how string) {
+	e := inj.Entries[inj.rand.IntN(len(inj.Entries))]
+	if !inj.reserve(e.Name, "entry", len(inj.Entries)/2) {
 		return
 	}
-	d.running.Go(func() {
-		defer d.release(e.Name)
+	inj.running.Go(func() {
+		defer inj.release(e.Name)
 		var err error
 		switch how {
 		case "frozen":
-			err = d.pause(e.Process)
+			err = inj.pause(e.Process)
 		case "killed":
 			e.Process.Kill()
-			err = d.StartEntry(ctx, e)
+			err = inj.StartEntry(ctx, e)
 		case "stopped":
-			err = d.restart(ctx, e)
+			err = inj.restart(ctx, e)
 		}
 		if err != nil {
-			d.fail(merry.Prepend(err, e.Name+" "+how))
+			inj.fail(merry.Prepend(err, e.Name+" "+how))
 		}
 	})
 }
 
-func (d *faultInjector) engine(ctx context.Context, killed bool) {
-	e := d.Engines[d.rand.IntN(len(d.Engines))]
-	if !d.reserve(e.Name, "engine", 2) {
+func (inj *faultInjector) disruptEngine(ctx context.Context, killed bool) {
+	e := inj.Engines[inj.rand.IntN(len(inj.Engines))]
+	if !inj.reserve(e.Name, "engine", 2) {
 		return
 	}
-	d.running.Go(func() {
-		defer d.release(e.Name)
+	inj.running.Go(func() {
+		defer inj.release(e.Name)
 		if !killed {
-			if err := d.pause(e.Process); err != nil {
-				d.fail(err)
+			if err := inj.pause(e.Process); err != nil {
+				inj.fail(err)
 			}
 			return
 		}
 		e.Process.Kill()
 		time.Sleep(freezeTime / 2)
-		if err := d.StartEngine(ctx, e); err != nil {
-			d.fail(err)
+		if err := inj.StartEngine(ctx, e); err != nil {
+			inj.fail(err)
 		}
 	})
 }
 
-func (d *faultInjector) pause(p signaler) error {
+func (inj *faultInjector) pause(p signaler) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -192,58 +192,58 @@
 }
 
 // changeLinks cuts or silences the links between two random sets of entries, or restores all links.
-func (d *faultInjector) changeLinks() {
-	n := 1 + d.rand.IntN(len(d.Entries)-1)
-	switch d.rand.IntN(4) {
+func (inj *faultInjector) changeLinks() {
+	n := 1 + inj.rand.IntN(len(inj.Entries)-1)
+	switch inj.rand.IntN(4) {
 	case 0:
-		d.setLinks(d.Entries[:n], d.Entries[n:], ferryproxy.Cut{})
+		inj.setLinks(inj.Entries[:n], inj.Entries[n:], ferryproxy.Cut{})
 	case 1:
-		d.setLinks(d.Entries[:n], d.Entries[n:], ferryproxy.Silent{})
+		inj.setLinks(inj.Entries[:n], inj.Entries[n:], ferryproxy.Silent{})
 	default:
-		d.restoreLinks()
+		inj.restoreLinks()
 	}
 }
 
-func (d *faultInjector) plainLinks() {
-	d.PlainProxy.SetAll(ferryproxy.Cut{})
-	d.PlainProxy.SetAll(ferryproxy.Pass{})
+func (inj *faultInjector) changePlainLinks() {
+	inj.PlainProxy.SetAll(ferryproxy.Cut{})
+	inj.PlainProxy.SetAll(ferryproxy.Pass{})
 }
 
-func (d *faultInjector) platform(ctx context.Context) {
+func (inj *faultInjector) disruptPlatform(ctx context.Context) {
 	choices := []map[string]any{
 		{"Outage": true}, {"DelayMS": 300}, {"LoseAnswers": 3, "LateEffectMS": 200}, {"WatchLagMS": 1000, "ListLagMS": 1000}, {}, {},
 	}
-	if err := d.platformFaults(ctx, choices[d.rand.IntN(len(choices))]); err != nil {
-		d.fail(err)
+	if err := inj.platformFaults(ctx, choices[inj.rand.IntN(len(choices))]); err != nil {
+		inj.fail(err)
 	}
 }
 
 // change applies a document on top of the last generation known
 // to be accepted; a refused or lost change is not retried.
-func (d *faultInjector) change(ctx context.Context) {
+func (inj *faultInjector) change(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, freezeTime)
 	defer cancel()
-	err := d.apply(ctx, ferrydemo.ModelService, d.ModelDocument(100+d.accepted), d.accepted, "morning")
+	err := inj.apply(ctx, ferrydemo.ModelService, inj.ModelDocument(100+inj.accepted), inj.accepted, "morning")
 	if err == nil {
-		d.accepted++
+		inj.accepted++
 	}
 }
 
 // repair removes every fault and waits until all processes run and the membership is complete.
-func (d *faultInjector) repair(ctx context.Context) error {
-	d.restoreLinks()
-	if err := d.platformFaults(ctx, map[string]any{}); err != nil {
+func (inj *faultInjector) repair(ctx context.Context) error {
+	inj.restoreLinks()
+	if err := inj.platformFaults(ctx, map[string]any{}); err != nil {
 		return err
 	}
-	d.running.Wait()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.err != nil {
-		return d.err
+	inj.running.Wait()
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if inj.err != nil {
+		return inj.err
 	}
-	took, err := d.waitMembership(ctx, togetherRepairLimit)
+	took, err := inj.waitMembership(ctx, togetherRepairLimit)
 	if err == nil {
-		d.note("membership complete %s after the last fault", took.Round(time.Millisecond))
+		inj.note("membership complete %s after the last fault", took.Round(time.Millisecond))
 	}
 	return err
 }
--- a/ferrystand/ferryproxy/proxy_test.go
+++ b/ferrystand/ferryproxy/proxy_test.go
@@ -56,11 +56,11 @@
 	return conn{Conn: c, r: bufio.NewReader(c)}
 }
 
-func (e conn) roundTrip(t *testing.T, line string) {
+func (c conn) roundTrip(t *testing.T, line string) {
 	t.Helper()
-	_, err := fmt.Fprintln(e, line)
+	_, err := fmt.Fprintln(c, line)
 	assert.NilError(t, err)
-	back, err := e.r.ReadString('\n')
+	back, err := c.r.ReadString('\n')
 	assert.NilError(t, err)
 	assert.Equal(t, back, line+"\n")
 }
--- a/ferrystand/ferrystandengine/chain.go
+++ b/ferrystand/ferrystandengine/chain.go
@@ -65,7 +65,8 @@
 	return f
 }
 
-// read reads items continuously, so that heartbeats are consumed also while no item is requested.
+// read reads items continuously, so that heartbeats reset the
+// idle timeout also while no item is requested.
 func (h *hop) read() {
 	for {
 		it, err := h.stream.Next()
--- a/ferrystand/ferrystandengine/record.go
+++ b/ferrystand/ferrystandengine/record.go
@@ -12,7 +12,8 @@
 // Record is the application of one layer to one position of a stream.
 type Record = ferrypipeline.Applied
 
-// Step is the application of the engine's layers to N positions of a stream; the last position yields a token.
+// Step is the application of the engine's layers to N
+// positions of a stream; the last position yields a token.
 type Step struct {
 	Stream  ferryid.StreamID   `json:"Stream"`
 	Epoch   ferryid.Epoch      `json:"Epoch"`
--- a/ferrystand/process_test.go
+++ b/ferrystand/process_test.go
@@ -109,7 +109,7 @@
 		name   string
 		signal syscall.Signal
 		epochs int
-		// whole is set if all engines survive, so that their records can be compared with the answer.
+		// checkRecords is set if all engines survive, so that their records can be compared with the answer.
 		checkRecords bool
 	}{
 		{"killed", syscall.SIGKILL, 2, false},
