--- a/ferrystand/ferrydemo/demo.go
+++ b/ferrystand/ferrydemo/demo.go
@@ -55,7 +55,7 @@
 		run   func(ctx context.Context) error
 	}{
 		{"start a platform, six engines, one plain service and three ferryd", d.start},
-		{"accept the two service documents", d.applyDocuments},
+		{"apply the two service documents", d.applyDocuments},
 		{"stream a completion", d.stream},
 		{"send an idempotent read", d.read},
 		{"send a non-idempotent change with the same key to every entry", d.change},
--- a/ferrystand/ferryproof/load.go
+++ b/ferrystand/ferryproof/load.go
@@ -45,7 +45,7 @@
 func (t *tally) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return fmt.Sprintf("%d complete answers, %d resumes, %d refusals as NotRun %v, %d calls to an unreachable entry, %d failures", t.complete, t.resumed, t.refused, t.reasons, t.unreached, len(t.failures))
+	return fmt.Sprintf("%d whole answers, %d resumes, %d refusals as NotRun %v, %d calls to an entry that was gone, %d wrong", t.complete, t.resumed, t.refused, t.reasons, t.unreached, len(t.failures))
 }
 
 // err returns the first failure, if any.
--- a/ferrystand/ferryproof/stale.go
+++ b/ferrystand/ferryproof/stale.go
@@ -77,7 +77,7 @@
 func (s *staleLoad) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("%d calls, %d of them to the stopping entry after that, with lists up to %s old and lifetimes of at most %s; %d errors",
+	return fmt.Sprintf("%d calls, %d of them to it after that, by lists up to %s old of at most %s; %d errors seen",
 		s.calls, s.late, s.oldest.Round(time.Millisecond), s.maxLifetime, len(s.failures))
 }
 
--- a/ferrystand/ferrystandengine/dispatch_test.go
+++ b/ferrystand/ferrystandengine/dispatch_test.go
@@ -102,7 +102,7 @@
 
 // The connection of a dispatch is cut after every seventh byte of the request and the answer. NotRun
 // and Ran must be correct, and no outcome may be Unknown, since the cancel call reaches the engine.
-func TestOutcomeAtEveryByte(t *testing.T) {
+func TestOutcomeWithConnectionCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		count := map[ferryoutcome.Outcome]int{}
 		try := func(request, answer int64) {
--- a/ferrystand/process_test.go
+++ b/ferrystand/process_test.go
@@ -140,7 +140,7 @@
 			}
 			assert.Equal(t, len(got), processTokens)
 			if tt.signal == syscall.SIGTERM {
-				assert.NilError(t, p.commands[victim].Wait(), "exit after SIGTERM")
+				assert.NilError(t, p.commands[victim].Wait(), "expected exit status 0 after SIGTERM")
 			}
 			if tt.checkRecords {
 				c := ferrypipeline.Checker{Layers: processLayers}
