--- a/ferrystand/ferryprocess/process.go
+++ b/ferrystand/ferryprocess/process.go
@@ -191,7 +191,8 @@
 	})
 }
 
-// The port range of FreeAddresses is below the ephemeral port range of the system.
+// The port range of FreeAddresses is below the ephemeral port range of
+// the system, so that no outgoing connection takes a chosen port.
 const (
 	firstPort = 20000
 	lastPort  = 32000
--- a/ferrystand/ferrystandengine/bench_test.go
+++ b/ferrystand/ferrystandengine/bench_test.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	benchParts    = 4
+	benchRanges   = 4
 	benchReplicas = 10
 	benchTokens   = 40
 )
@@ -46,11 +46,11 @@
 func newBenchFleet(b *testing.B) *benchFleet {
 	f := &benchFleet{}
 	clock := clockwork.NewRealClock()
-	cfg := ferrypipeline.PlannerConfig{Layers: 12 * benchParts}
+	cfg := ferrypipeline.PlannerConfig{Layers: 12 * benchRanges}
 	var loads []ferrypipeline.Load
-	for i := range benchParts * benchReplicas {
-		part, replica := i%benchParts, i/benchParts
-		layers := ferryid.LayerRange{From: ferryid.Layer(12 * part), To: ferryid.Layer(12*part + 12)}
+	for i := range benchRanges * benchReplicas {
+		rangeIndex, replica := i%benchRanges, i/benchRanges
+		layers := ferryid.LayerRange{From: ferryid.Layer(12 * rangeIndex), To: ferryid.Layer(12*rangeIndex + 12)}
 		rate := ferryid.TokensPerSecond(100 * (1 + replica))
 		e := ferrystandengine.New(ferrystandengine.Config{Name: "engine", Layers: layers, TokensPerSecond: rate, Slots: 64})
 		srv := httptest.NewServer(e)
@@ -64,7 +64,7 @@
 			Name: ferryid.UpstreamName(fmt.Sprintf("e%d", i)), Address: strings.TrimPrefix(srv.URL, "http://"), Layers: layers, Domain: "a",
 		})
 		loads = append(loads, ferrypipeline.Load{Rate: rate})
-		if part == 0 {
+		if rangeIndex == 0 {
 			f.capacity += float64(rate)
 		}
 	}
@@ -109,20 +109,20 @@
 // the token rate stays above 90% of the smaller of the load and the remaining capacity.
 func BenchmarkRecovery(b *testing.B) {
 	for _, tt := range []struct {
-		name  string
-		parts int
-		kill  int
-	}{{"OneEngine", 1, 1}, {"AThirdOfAll", benchParts, 3}} {
+		name   string
+		ranges int
+		kill   int
+	}{{"OneEngine", 1, 1}, {"AThirdOfAll", benchRanges, 3}} {
 		b.Run(tt.name, func(b *testing.B) {
 			for b.Loop() {
-				benchRecovery(b, tt.parts, tt.kill)
+				benchRecovery(b, tt.ranges, tt.kill)
 			}
 		})
 	}
 }
 
 // benchRecovery kills the fastest engines of the given number of layer ranges under load.
-func benchRecovery(b *testing.B, parts, kill int) {
+func benchRecovery(b *testing.B, ranges, kill int) {
 	const (
 		window  = 100 * time.Millisecond
 		windows = 80
@@ -141,7 +141,7 @@
 	var counts []int64
 	for i := range windows {
 		if i == killAt {
-			f.kill(parts, kill)
+			f.kill(ranges, kill)
 		}
 		time.Sleep(window)
 		counts = append(counts, f.tokens.Load())
@@ -163,10 +163,10 @@
 	b.ReportMetric(float64(f.jobs.Load()), "jobs")
 }
 
-func (f *benchFleet) kill(parts, n int) {
+func (f *benchFleet) kill(ranges, n int) {
 	for i := range n {
-		for part := range parts {
-			f.engines[(benchReplicas-1-i)*benchParts+part].Kill()
+		for rangeIndex := range ranges {
+			f.engines[(benchReplicas-1-i)*benchRanges+rangeIndex].Kill()
 		}
 	}
 }
