--- a/ferrystand/process_test.go
+++ b/ferrystand/process_test.go
@@ -109,7 +109,7 @@
 		name   string
 		signal syscall.Signal
 		epochs int
-		// whole is set if all engines survive, so that their records can be compared with the answer.
+		// checkRecords is set if all engines survive, so that their records can be compared with the answer.
 		checkRecords bool
 	}{
 		{"killed", syscall.SIGKILL, 2, false},
@@ -140,7 +140,7 @@
 			}
 			assert.Equal(t, len(got), processTokens)
 			if tt.signal == syscall.SIGTERM {
-				assert.NilError(t, p.commands[victim].Wait(), "exit after SIGTERM")
+				assert.NilError(t, p.commands[victim].Wait(), "expected exit status 0 after SIGTERM")
 			}
 			if tt.checkRecords {
 				c := ferrypipeline.Checker{Layers: processLayers}
