--- a/ferrybench/live.go
+++ b/ferrybench/live.go
@@ -194,7 +194,7 @@
 func (c *liveCommand) newFleet(w *ferryworkload.Workload, p livePolicy) (*liveFleet, error) {
 	l := &liveFleet{workload: w, policy: p, slowFoundAt: map[string]time.Duration{}}
 	for _, cu := range w.Customers {
-		l.tenants = append(l.tenants, ferrydemo.Tenant{Name: string(cu.Name), Key: "live-key-" + string(cu.Name), Share: cu.Share})
+		l.tenants = append(l.tenants, ferrydemo.CustomerConfig{Name: string(cu.Name), Key: "live-key-" + string(cu.Name), Share: cu.Share})
 	}
 	first := w.Runners[0]
 	f, err := ferrydemo.New(ferrydemo.Config{
--- a/ferrybench/livefault.go
+++ b/ferrybench/livefault.go
@@ -26,7 +26,7 @@
 	*ferrydemo.Fleet
 	workload    *ferryworkload.Workload
 	policy      livePolicy
-	tenants     []ferrydemo.Tenant
+	tenants     []ferrydemo.CustomerConfig
 	mu          sync.Mutex
 	slowFoundAt map[string]time.Duration
 }
--- a/ferrystand/ferrydemo/fleet.go
+++ b/ferrystand/ferrydemo/fleet.go
@@ -97,11 +97,11 @@
 	graceFlags []string
 	slots      int
 	policy     string
-	customers  []Tenant
+	customers  []CustomerConfig
 }
 
-// Tenant is one customer of both services.
-type Tenant struct {
+// CustomerConfig is one customer of both services.
+type CustomerConfig struct {
 	Name  string
 	Key   string
 	Share float64
@@ -118,7 +118,7 @@
 	// Policy is the text of the [Policy] section of the model service's document, if any.
 	Policy string
 	// Customers are the customers of both services; if empty, the demo's two.
-	Customers []Tenant
+	Customers []CustomerConfig
 	// TokensPerSecond is the rate of every engine; if 0, the rates differ by accelerator.
 	TokensPerSecond int
 	// EightKinds gives the engines eight kinds whose rates differ by
@@ -144,7 +144,7 @@
 	}
 	f := &Fleet{Group: ferryprocess.Group{Dir: cfg.Dir}, slots: cfg.Slots, policy: cfg.Policy, customers: cfg.Customers}
 	if len(f.customers) == 0 {
-		f.customers = []Tenant{{Customer, CustomerKey, 1}, {"smolyan", OtherCustomerKey, 1}}
+		f.customers = []CustomerConfig{{Customer, CustomerKey, 1}, {"smolyan", OtherCustomerKey, 1}}
 	}
 	if f.slots == 0 {
 		f.slots = defaultSlots
